--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -1,6 +1,6 @@
 """Contracts between two teams on the real program, and what the contract stage costs.
 
-    python -m benchmarks.broker [--quick] --json FILE
+python -m benchmarks.broker [--quick] --json FILE
 """
 
 from __future__ import annotations
@@ -65,8 +65,9 @@
 """
 
 
-def play(address: tuple[str, int], crowds: list[tuple[Crowd, int]], phases: list[tuple[str, float]],
-         seed: int) -> dict[str, dict[str, Tally]]:
+def play(
+    address: tuple[str, int], crowds: list[tuple[Crowd, int]], phases: list[tuple[str, float]], seed: int
+) -> dict[str, dict[str, Tally]]:
     """Run the crowds through phases: before each, ``quiet`` and ``loud`` are awake if its name says so.
 
     A phase's name is words; ``skip`` leaves its tallies out.
@@ -94,10 +95,20 @@
     stack = start(["quiet", "loud"], contracts)
     crowds = [(Crowd("quiet", 5.0), 60), (Crowd("loud", 5.0), 10 * LOUD)]
     try:
-        return play(stack.address, crowds, [
-            ("skip quiet", 2.0), ("alone quiet", seconds), ("both quiet loud", 1.5 * seconds),
-            ("skip loud", 4.0), ("idle loud", 0.5 * seconds), ("wakes quiet loud", WITHIN),
-            ("woken quiet loud", seconds)], seed)
+        return play(
+            stack.address,
+            crowds,
+            [
+                ("skip quiet", 2.0),
+                ("alone quiet", seconds),
+                ("both quiet loud", 1.5 * seconds),
+                ("skip loud", 4.0),
+                ("idle loud", 0.5 * seconds),
+                ("wakes quiet loud", WITHIN),
+                ("woken quiet loud", seconds),
+            ],
+            seed,
+        )
     finally:
         stack.stop()
 
@@ -119,11 +130,16 @@
 
 def many_teams(count: int) -> Contracts:
     """Teams that each ask for half as much again as their budget."""
-    teams = "".join(f'[teams.t{n}]\ntenants = ["t{n}"]\npool = "all"\n'
-                    f"guarantee = {{ connections = 10, setups_per_s = 2.0 }}\n"
-                    f"ceiling = {{ connections = 20, setups_per_s = 4.0 }}\n" for n in range(count))
-    return parse(f"version = 1\n[fleet]\nconnections = {15 * count}\nsetups_per_s = {3.0 * count}\n"
-                 f"[pools.all]\n{teams}")
+    teams = "".join(
+        f'[teams.t{n}]\ntenants = ["t{n}"]\npool = "all"\n'
+        f"guarantee = {{ connections = 10, setups_per_s = 2.0 }}\n"
+        f"ceiling = {{ connections = 20, setups_per_s = 4.0 }}\n"
+        for n in range(count)
+    )
+    return parse(
+        f"version = 1\n[fleet]\nconnections = {15 * count}\nsetups_per_s = {3.0 * count}\n"
+        f"[pools.all]\n{teams}"
+    )
 
 
 class Cost:
@@ -131,17 +147,23 @@
 
     def __init__(self, count: int) -> None:
         from snowwick.config import check
+
         self.now, self.count, self.asked = 0.0, count, 0
-        config = check({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
-                        "settings": settings(["t0"], 600.0)})
+        config = check(
+            {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings(["t0"], 600.0)}
+        )
         loop = Loop(Log(sink=io.StringIO()), lambda: self.now)
-        desks = Desks(lambda *_: Decider(loop, config.settings, 1, lambda: 0.0, lambda: None,
-                                            lambda *_: None), lambda _: config.settings, dict)
+        desks = Desks(
+            lambda *_: Decider(loop, config.settings, 1, lambda: 0.0, lambda: None, lambda *_: None),
+            lambda _: config.settings,
+            dict,
+        )
         self.stage = ContractStage(loop, many_teams(count), desks, 1, 0, 1, 600.0, lambda: 300.0)
         self.stage.desks.split = None  # every pool counts as having destinations
-        self.openings = [lines.parse_opening(
-            b"OPEN 1 k%d c=feed,t=t%d,d=1200,g=g\r\n" % (n, n * 7919 % count))
-                         for n in range(20000)]
+        self.openings = [
+            lines.parse_opening(b"OPEN 1 k%d c=feed,t=t%d,d=1200,g=g\r\n" % (n, n * 7919 % count))
+            for n in range(20000)
+        ]
         self.standing: deque[Ask] = deque()
 
     def run(self, requests: int) -> float:
@@ -177,10 +199,18 @@
     """MB that the program at ``root`` holds once it serves."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
-                                    "settings": settings(["quiet"], 600.0)}))
-        with subprocess.Popen([sys.executable, "-m", "snowwick", "serve"], cwd=root, text=True,
-                              stderr=subprocess.PIPE, env={"GW_CONFIG": str(path)}) as process:
+        path.write_text(
+            json.dumps(
+                {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings(["quiet"], 600.0)}
+            )
+        )
+        with subprocess.Popen(
+            [sys.executable, "-m", "snowwick", "serve"],
+            cwd=root,
+            text=True,
+            stderr=subprocess.PIPE,
+            env={"GW_CONFIG": str(path)},
+        ) as process:
             assert process.stderr is not None
             process.stderr.readline()
             status = Path(f"/proc/{process.pid}/status").read_text()
@@ -204,29 +234,51 @@
     chosen = options(__doc__ or "")
     seconds = 6.5 if chosen.quick else 30.0
     with ThreadPoolExecutor() as pool:  # each part drives processes of its own; threads only wait for them
-        parts = [pool.submit(subprocess.run, [
-            sys.executable, "-c", f"import benchmarks.broker as b, json, dataclasses as d; r = {call}; "
-            "print(json.dumps({p: {t: d.asdict(v) for t, v in m.items()} for p, m in r.items()}))"],
-            cwd=ROOT, capture_output=True, text=True, check=True) for call in (
-                f"b.two_teams(b.CONTRACTS, {seconds}, 1)", f"b.two_teams('', {seconds}, 1)",
-                f"b.steady({3 * seconds}, 2)")]
+        parts = [
+            pool.submit(
+                subprocess.run,
+                [
+                    sys.executable,
+                    "-c",
+                    f"import benchmarks.broker as b, json, dataclasses as d; r = {call}; "
+                    "print(json.dumps({p: {t: d.asdict(v) for t, v in m.items()} for p, m in r.items()}))",
+                ],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                check=True,
+            )
+            for call in (
+                f"b.two_teams(b.CONTRACTS, {seconds}, 1)",
+                f"b.two_teams('', {seconds}, 1)",
+                f"b.steady({3 * seconds}, 2)",
+            )
+        ]
         held, free, told = [
-            {phase: {team: Tally(**tally) for team, tally in rows.items()}
-             for phase, rows in json.loads(part.result().stdout).items()} for part in parts]
+            {
+                phase: {team: Tally(**tally) for team, tally in rows.items()}
+                for phase, rows in json.loads(part.result().stdout).items()
+            }
+            for part in parts
+        ]
     few, many = costs(15 if chosen.quick else 60)
     alone, both = held["alone quiet"]["quiet"], held["both quiet loud"]["quiet"]
     woken, idle = held["woken quiet loud"]["quiet"], held["idle loud"]["loud"]
     figures = {
         "quiet_service_beside_tenfold": Figure(both.service / alone.service, 0.95, "higher"),
         "quiet_setups_beside_tenfold": Figure(
-            both.in_time / max(1, both.setups + both.refused) / (alone.in_time / max(1, alone.setups)), 0.95,
-            "higher"),
+            both.in_time / max(1, both.setups + both.refused) / (alone.in_time / max(1, alone.setups)),
+            0.95,
+            "higher",
+        ),
         "quiet_service_after_waking": Figure(woken.service / alone.service, 0.95, "higher"),
         "idle_room_used": Figure((idle.standing - LOUD) / (FLEET - LOUD), 0.9, "higher"),
         "let_in_when_told_connections": Figure(
-            told["quiet loud"]["quiet"].right / max(1, told["quiet loud"]["quiet"].told), 0.8, "higher"),
+            told["quiet loud"]["quiet"].right / max(1, told["quiet loud"]["quiet"].told), 0.8, "higher"
+        ),
         "let_in_when_told_rate": Figure(
-            told["quiet loud"]["loud"].right / max(1, told["quiet loud"]["loud"].told), 0.8, "higher"),
+            told["quiet loud"]["loud"].right / max(1, told["quiet loud"]["loud"].told), 0.8, "higher"
+        ),
         "stage_us_10_teams": Figure(few, 15.0, "lower"),
         "stage_10000_teams_over_10": Figure(many / few, 1.3, "lower"),
     }
@@ -234,7 +286,8 @@
     if more is not None:
         figures["resident_mb_more_without_contracts"] = Figure(more, 1.0, "lower")
     beside = {
-        "quiet_service_alone": alone.service, "quiet_service_beside": both.service,
+        "quiet_service_alone": alone.service,
+        "quiet_service_beside": both.service,
         "quiet_service_beside_without_contracts": free["both quiet loud"]["quiet"].service,
         "quiet_service_alone_without_contracts": free["alone quiet"]["quiet"].service,
         "loud_refused": float(held["both quiet loud"]["loud"].refused),
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -38,6 +38,8 @@
     for name, value in beside.items():
         print(f"{name:44} {value:10.4g}")
     if path is not None:
-        rows = {name: {"value": one.value, "bound": one.bound, "better": one.better, "kept": one.kept}
-                for name, one in figures.items()}
+        rows = {
+            name: {"value": one.value, "bound": one.bound, "better": one.better, "kept": one.kept}
+            for name, one in figures.items()
+        }
         path.write_text(json.dumps({"figures": rows, "beside": beside}, indent=1) + "\n", encoding="utf-8")
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -52,8 +52,11 @@
 
 def begin(count: int, folder: Path, plain: bool) -> Standing:
     """A program, or the bare relay, with so many connections that stand."""
-    side = start(folder / f"{count}{plain}", max(count, MANY), words=lambda node: (
-        ["benchmarks.relay", "--bare", node] if plain else ["snowwick", "serve"]))
+    side = start(
+        folder / f"{count}{plain}",
+        max(count, MANY),
+        words=lambda node: ["benchmarks.relay", "--bare", node] if plain else ["snowwick", "serve"],
+    )
     try:
         for _ in range(count):
             side.open(1)
@@ -81,17 +84,28 @@
                 for side in sides:
                     side.turn(int(LINES * now))
                 time.sleep(0.001)
-            costs.append([(side.cpu() - cpu) / (side.sent - sent)
-                          for side, (cpu, sent) in zip(sides, before, strict=True)])
+            costs.append(
+                [
+                    (side.cpu() - cpu) / (side.sent - sent)
+                    for side, (cpu, sent) in zip(sides, before, strict=True)
+                ]
+            )
         for side, (count, _) in zip(sides, kinds, strict=True):
             left = min(2 * count, (HELD + 1.0) * LINES + count)  # held, or come back and not yet read
             assert side.back >= side.sent - left, f"{side.sent} lines sent, {side.back} came back"
     few, many, bare_few, bare_many = (statistics.median(column) for column in zip(*costs[1:], strict=True))
     growth = statistics.median((b / d) / (a / c) for a, b, c, d in costs[1:])
-    report({"cpu a line over a bare relay's, 4,000 standing over 100": Figure(growth, 1.15, "lower")},
-           {"cpu a line at 100, us": 1e6 * few, "cpu a line at 4,000, us": 1e6 * many,
-            "a bare relay's at 100, us": 1e6 * bare_few, "a bare relay's at 4,000, us": 1e6 * bare_many,
-            "4,000 over 100, not over the bare relay": many / few}, given.json)
+    report(
+        {"cpu a line over a bare relay's, 4,000 standing over 100": Figure(growth, 1.15, "lower")},
+        {
+            "cpu a line at 100, us": 1e6 * few,
+            "cpu a line at 4,000, us": 1e6 * many,
+            "a bare relay's at 100, us": 1e6 * bare_few,
+            "a bare relay's at 4,000, us": 1e6 * bare_many,
+            "4,000 over 100, not over the bare relay": many / few,
+        },
+        given.json,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -1,6 +1,6 @@
 """Replication among balancers: how fast and at what cost a change spreads, catch-up, cuts, a hanging server.
 
-    python -m benchmarks.replication [--quick] --json FILE
+python -m benchmarks.replication [--quick] --json FILE
 """
 
 from __future__ import annotations
@@ -33,9 +33,14 @@
     for n in range(3):
         key, began = f"k{n}", net.now
         net.write(f"m{n}", 1, key, b"v")
-        net.run(began + 30.0, lambda key=key: all(  # type: ignore[misc]
-            any((1, key) in owner.entries for owner in one.node.store.owners.values()) for one in net.live()),
-            0.02)
+        net.run(
+            began + 30.0,
+            lambda key=key: all(  # type: ignore[misc]
+                any((1, key) in owner.entries for owner in one.node.store.owners.values())
+                for one in net.live()
+            ),
+            0.02,
+        )
         taken.append((net.now - began) / net.period)
     before, began = sum(one.node.counts.bytes_out for one in net.live()), net.now
     while net.now < began + WATCHED:
@@ -48,17 +53,22 @@
         for _ in range(math.ceil(count / 50)):
             net.stop(f"m{net.random.randrange(count)}", 2.0)
         net.run(net.now + 10.0)
-    deaths = {news.member.name for one in net.live() for _, news in one.news
-              if isinstance(news, Change) and news.member.state >= DEAD}
+    deaths = {
+        news.member.name
+        for one in net.live()
+        for _, news in one.news
+        if isinstance(news, Change) and news.member.state >= DEAD
+    }
     return max(taken) / (4 * math.ceil(math.log2(count))), sent, float(len(deaths))
 
 
 def catch_up(entries: int, part: float) -> float:
-    """Bytes that two nodes exchange until one that was away has the changes, over 2 times those and 64 kB.
-    """
+    """Bytes that two nodes exchange until one that was away has the changes, over 2 times those and 64 kB."""
     now = 0.0
-    one, other = (Node(name, name, [KEY], ["a"], random.Random(n), lambda: 1e12 + 1000.0 * now)
-                  for n, name in enumerate("ab", 1))
+    one, other = (
+        Node(name, name, [KEY], ["a"], random.Random(n), lambda: 1e12 + 1000.0 * now)
+        for n, name in enumerate("ab", 1)
+    )
     for node in (one, other):
         node.store.most_entries, node.store.most_bytes = 10 * entries, 1 << 30
     nodes = {"a": one, "b": other}
@@ -106,8 +116,11 @@
             fleet.ask(n)
         fleet.turn(cut)
         fleet.heal()
-        took = fleet.until(lambda: fleet.joined() and all(
-            fleet.status(n)["held_elsewhere"] == count - 1 for n in range(count)))
+        took = fleet.until(
+            lambda: (
+                fleet.joined() and all(fleet.status(n)["held_elsewhere"] == count - 1 for n in range(count))
+            )
+        )
         fleet.answered()
     (folder / "without").mkdir()
     with Fleet(folder / "without", 1, fleet=False) as alone:
@@ -160,17 +173,24 @@
         took, idle, more = healed(Path(folder) / "halves", count, cut)
         with_it = lost(Path(folder) / "lost" / "with", count, True)
         without = lost(Path(folder) / "lost" / "without", count, False)
-    report({
-        "everywhere, over 4 ceil(log2 N) periods": Figure(max(row[0] for row in rows), 1.0, "lower"),
-        f"bytes a second, {sizes[-1]} over {sizes[-2]}": Figure(rows[-1][1] / rows[-2][1], 1.6, "lower"),
-        "false deaths": Figure(sum(row[2] for row in rows), 0.0, "lower"),
-        "catch-up, over 2 times the change and 64 kB": Figure(max(caught), 1.0, "lower"),
-        "agreed after a cut has healed, s": Figure(took, 2.0, "lower"),
-        "idle, part of a core": Figure(idle, 0.01, "lower"),
-        "memory, MB": Figure(more, 6.0, "lower"),
-        "lost at a hanging server, over without": Figure(with_it / max(1, without), 0.3, "lower"),
-    }, {**{f"bytes a second at {count}": row[1] for count, row in zip(sizes, rows, strict=True)},
-        "lost at a hanging server, with": float(with_it), "without": float(without)}, given.json)
+    report(
+        {
+            "everywhere, over 4 ceil(log2 N) periods": Figure(max(row[0] for row in rows), 1.0, "lower"),
+            f"bytes a second, {sizes[-1]} over {sizes[-2]}": Figure(rows[-1][1] / rows[-2][1], 1.6, "lower"),
+            "false deaths": Figure(sum(row[2] for row in rows), 0.0, "lower"),
+            "catch-up, over 2 times the change and 64 kB": Figure(max(caught), 1.0, "lower"),
+            "agreed after a cut has healed, s": Figure(took, 2.0, "lower"),
+            "idle, part of a core": Figure(idle, 0.01, "lower"),
+            "memory, MB": Figure(more, 6.0, "lower"),
+            "lost at a hanging server, over without": Figure(with_it / max(1, without), 0.3, "lower"),
+        },
+        {
+            **{f"bytes a second at {count}": row[1] for count, row in zip(sizes, rows, strict=True)},
+            "lost at a hanging server, with": float(with_it),
+            "without": float(without),
+        },
+        given.json,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -36,10 +36,15 @@
 from snowwick.lab.scale import simulated
 from snowwick.lab.workload import Workload
 
-BUDGETS = {"bytes_out": "control bytes", "bytes_in": "control bytes", "control_core": "control core",
-           "memory": "control memory"}
-QUICK = Workload(0, seconds=8.0, idle_s=1.0, burst_s=1.0, drain_s=2.0, faults="restarts", restart_s=0.5,
-                 failure_s=1.0)
+BUDGETS = {
+    "bytes_out": "control bytes",
+    "bytes_in": "control bytes",
+    "control_core": "control core",
+    "memory": "control memory",
+}
+QUICK = Workload(
+    0, seconds=8.0, idle_s=1.0, burst_s=1.0, drain_s=2.0, faults="restarts", restart_s=0.5, failure_s=1.0
+)
 QUICK_SIZES = (2, 4, 8, 16, 32, 64)
 WHOLE = Workload(0, seconds=20.0, idle_s=3.0, burst_s=5.0, drain_s=10.0, faults="restarts")
 WHOLE_SIZES = (8, 16, 32, 64, 128, 256, 512)
@@ -55,8 +60,12 @@
         began = time.monotonic()
         w = replace(workload, members=count)
         rows.append(simulated(w, lambda text: None, lambda row: None))
-        print(f"{count} members, {workload.load_writes:g} loads told a second: "
-              f"{time.monotonic() - began:.1f} s", file=sys.stderr, flush=True)
+        print(
+            f"{count} members, {workload.load_writes:g} loads told a second: "
+            f"{time.monotonic() - began:.1f} s",
+            file=sys.stderr,
+            flush=True,
+        )
     return rows
 
 
@@ -77,9 +86,14 @@
 
     ``slow`` is the series whose largest size is predicted; without it, ``rows`` are.
     """
-    model = Model(merge([("simulated", {"form": "simulated", "rows": rows}),
-                         ("simulated-slow", {"form": "simulated", "workload": {"load_writes": SLOW},
-                                             "rows": slow})]))
+    model = Model(
+        merge(
+            [
+                ("simulated", {"form": "simulated", "rows": rows}),
+                ("simulated-slow", {"form": "simulated", "workload": {"load_writes": SLOW}, "rows": slow}),
+            ]
+        )
+    )
     rows = model.measured.simulated
     at = {name: model.of(name) for name in BUDGETS}
     tested = at
@@ -97,26 +111,41 @@
     for name, budget in BUDGETS.items():
         reached = at[name].value
         found[f"{FORMS[name].title} at 5,700, over its budget"] = Figure(
-            reached / target(budget) if reached is not None else math.inf, 1.0, "lower")
+            reached / target(budget) if reached is not None else math.inf, 1.0, "lower"
+        )
     deaths = [false_deaths(row) for row in rows]
     half = rows[-2]["members"]
     found |= {
         f"everywhere, p99 over 8 s, {count} members": Figure(
-            value(last, "everywhere_p99_s") / target("in force everywhere"), 1.0, "lower"),
+            value(last, "everywhere_p99_s") / target("in force everywhere"), 1.0, "lower"
+        ),
         "size left out, worst relative error": Figure(max(map(error, tested.values())), 0.15, "lower"),
         f"bytes out, {count} members over {half}": Figure(ratio(rows, "bytes_out"), 1.15, "lower"),
         "error of the sums": Figure(value(last, "load_error"), 0.05, "lower"),
         "false deaths": Figure(sum(math.inf if one is None else one for one in deaths), 0.0, "lower"),
         f"bytes of a start, {count} over {half}": Figure(ratio(rows, "start_bytes"), 1.2, "lower"),
     }
-    beside = {f"{name}, error of the size left out": one.left.error
-              for name, one in (at | tested).items() if one.left is not None}
+    beside = {
+        f"{name}, error of the size left out": one.left.error
+        for name, one in (at | tested).items()
+        if one.left is not None
+    }
     # Above 0 where the series that is predicted comes to full frames: the test runs across the change then
-    beside["size from which frames are full in the predicted series, 0 for none"] = full_from(
-        model.measured.series.get(SLOW, ()) if slow else rows) or 0.0
+    beside["size from which frames are full in the predicted series, 0 for none"] = (
+        full_from(model.measured.series.get(SLOW, ()) if slow else rows) or 0.0
+    )
     for row in rows:
-        for name in (*BUDGETS, "datagrams_out", "core", "heed_core", "everywhere_p99_s", "load_error",
-                     "load_late_p99_s", "shed", "start_bytes"):
+        for name in (
+            *BUDGETS,
+            "datagrams_out",
+            "core",
+            "heed_core",
+            "everywhere_p99_s",
+            "load_error",
+            "load_late_p99_s",
+            "shed",
+            "start_bytes",
+        ):
             if (one := of(row, name)) is not None:
                 beside[f"{name} at {row['members']}"] = one
     return found, beside
@@ -124,11 +153,16 @@
 
 def main() -> None:
     given = options(__doc__ or "")
-    workload, sizes, slow = (QUICK, QUICK_SIZES, SLOW_QUICK_SIZES) if given.quick else (
-        WHOLE, WHOLE_SIZES, SLOW_WHOLE_SIZES)
+    workload, sizes, slow = (
+        (QUICK, QUICK_SIZES, SLOW_QUICK_SIZES) if given.quick else (WHOLE, WHOLE_SIZES, SLOW_WHOLE_SIZES)
+    )
     rows = played(workload, sizes)
-    print(f"the size left out is that of a second series, at {SLOW:g} loads told a second: at "
-          f"{workload.load_writes:g} frames are full from some 50 members on", file=sys.stderr, flush=True)
+    print(
+        f"the size left out is that of a second series, at {SLOW:g} loads told a second: at "
+        f"{workload.load_writes:g} frames are full from some 50 members on",
+        file=sys.stderr,
+        flush=True,
+    )
     report(*figures(rows, played(replace(workload, load_writes=SLOW), slow)), given.json)
 
 
--- a/crowgap/benchlink.py
+++ b/crowgap/benchlink.py
@@ -95,8 +95,14 @@
     """Where in a load report the load asked of a server over what it can do stands, if it does."""
     fields = setup.get("report", {}).get("fields") or []
     meaning = setup.get("familyInfo", {})
-    return next((at for at, name in enumerate(fields)
-                 if LOAD_FIELD in str(meaning.get(f"report{str(name).upper()}", ""))), None)
+    return next(
+        (
+            at
+            for at, name in enumerate(fields)
+            if LOAD_FIELD in str(meaning.get(f"report{str(name).upper()}", ""))
+        ),
+        None,
+    )
 
 
 def _entry(one: Wire) -> i.BackendEntry:
@@ -244,8 +250,9 @@
         if verb == "CRASH_NOW":
             del self.balancers[instance]
         elif verb in EVENTS:
-            translated = (_probed(event, self.loads[instance]) if verb == "PROBE_RESULT"
-                          else EVENTS[verb](event))
+            translated = (
+                _probed(event, self.loads[instance]) if verb == "PROBE_RESULT" else EVENTS[verb](event)
+            )
             if translated is None:
                 return
             try:
--- a/crowgap/interface.py
+++ b/crowgap/interface.py
@@ -112,8 +112,15 @@
             raise ValueError("balancers: at least 1 is needed")
         if self.max_attempts < 1:
             raise ValueError("max_attempts: at least 1 is needed")
-        for name in ("ask_every", "connect_timeout", "max_retry_after", "cold_time", "overload_for",
-                     "drain_grace", "tick"):
+        for name in (
+            "ask_every",
+            "connect_timeout",
+            "max_retry_after",
+            "cold_time",
+            "overload_for",
+            "drain_grace",
+            "tick",
+        ):
             if not getattr(self, name) >= 0:
                 raise ValueError(f"{name}: must not be negative")
         for name in ("cold_from", "fall_multiple"):
@@ -242,8 +249,19 @@
     token: int
 
 
-Event = (ListUpdate | Request | Carried | Established | DelayNote | LoadNote | Silent | Ended | Gone
-         | TimerDue | Probed)
+Event = (
+    ListUpdate
+    | Request
+    | Carried
+    | Established
+    | DelayNote
+    | LoadNote
+    | Silent
+    | Ended
+    | Gone
+    | TimerDue
+    | Probed
+)
 
 
 @dataclass(slots=True)
--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -45,8 +45,25 @@
 class Backend:
     """What this balancer knows of one backend, from the list and from its own traffic."""
 
-    __slots__ = ("chance", "down_until", "entry", "fails", "flows", "hash", "id", "leaving", "load", "ping",
-                 "ping_at", "ready", "relieved", "skipped", "slow", "slow_at", "weight")
+    __slots__ = (
+        "chance",
+        "down_until",
+        "entry",
+        "fails",
+        "flows",
+        "hash",
+        "id",
+        "leaving",
+        "load",
+        "ping",
+        "ping_at",
+        "ready",
+        "relieved",
+        "skipped",
+        "slow",
+        "slow_at",
+        "weight",
+    )
 
     def __init__(self, entry: i.BackendEntry, chance: float = 0.0) -> None:
         self.id, self.entry, self.weight, self.ready = entry.backend, entry, 1.0, False
@@ -72,8 +89,25 @@
 class Flow:
     """A request from its arrival to its end, and the connection it becomes."""
 
-    __slots__ = ("asked", "attempts", "backend", "calm", "cls", "deadline", "group", "id", "load", "open",
-                 "pending", "pick", "rounds", "since", "stood", "tried", "unsure")
+    __slots__ = (
+        "asked",
+        "attempts",
+        "backend",
+        "calm",
+        "cls",
+        "deadline",
+        "group",
+        "id",
+        "load",
+        "open",
+        "pending",
+        "pick",
+        "rounds",
+        "since",
+        "stood",
+        "tried",
+        "unsure",
+    )
 
     def __init__(self, e: i.Request | i.Carried, cls: i.RequestClass, group: Group, end: float, calm: bool):
         self.id, self.cls, self.group, self.deadline, self.calm = e.request, cls, group, end, calm
@@ -128,12 +162,24 @@
         self.rush, self.known = 0.0, 0.0  # in the time to fall: who come or lose theirs; who stood before
         self.pump_at, self.looking, self.now, self.out = math.inf, False, 0.0, list[i.Action]()
         self.timers: dict[int, Any] = {
-            0: self._pump, 1: self._look, 3: self._asked, 2: lambda: self.out.append(i.Subscribe())}
+            0: self._pump,
+            1: self._look,
+            3: self._asked,
+            2: lambda: self.out.append(i.Subscribe()),
+        }
         self.handlers: dict[type, Callable[[Any], None]] = {
-            i.ListUpdate: self._on_list, i.Request: self._on_request, i.Carried: self._on_carried,
-            i.Established: self._on_established, i.DelayNote: self._on_note, i.LoadNote: self._on_load,
-            i.Silent: self._on_silent, i.Ended: self._on_ended, i.Gone: self._on_gone,
-            i.TimerDue: lambda e: self.timers.get(e.token, lambda: None)(), i.Probed: self._on_probed}
+            i.ListUpdate: self._on_list,
+            i.Request: self._on_request,
+            i.Carried: self._on_carried,
+            i.Established: self._on_established,
+            i.DelayNote: self._on_note,
+            i.LoadNote: self._on_load,
+            i.Silent: self._on_silent,
+            i.Ended: self._on_ended,
+            i.Gone: self._on_gone,
+            i.TimerDue: lambda e: self.timers.get(e.token, lambda: None)(),
+            i.Probed: self._on_probed,
+        }
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
         """Take one event; the actions returned are carried out in order."""
@@ -199,15 +245,19 @@
             group.head, group.parts = [], []
 
     def _rank(self, group: Group) -> list[tuple[float, int]]:
-        group.head = group.head or sorted(
-            (-math.log(((group.hash * b.hash & M64) + 1) / M64) / b.weight, b.id) for b in self.rows)[:HEAD]
+        group.head = (
+            group.head
+            or sorted(
+                (-math.log(((group.hash * b.hash & M64) + 1) / M64) / b.weight, b.id) for b in self.rows
+            )[:HEAD]
+        )
         return group.head
 
     def _group(self, key: str) -> Group:
         if not key:
             return Group(self.random.getrandbits(64) | 1)
         if len(self.groups) >= KEPT:  # keys come and go: the cache must not grow without end
-            self.groups = dict(sorted(self.groups.items(), key=lambda row: -row[1].at)[:KEPT // 2])
+            self.groups = dict(sorted(self.groups.items(), key=lambda row: -row[1].at)[: KEPT // 2])
         key_hash = _hash(key)
         self.planned = self.planned and key_hash in self.groups
         return self.groups.get(key_hash) or self.groups.setdefault(key_hash, Group(key_hash))
@@ -216,8 +266,10 @@
         """Pour each group, its part of all that the quotas allow, into the backends in its ranking's order.
 
         The groups come in the hash's order, so that balancers agree as far as they have seen the same."""
-        seen = [(g, g.count * math.exp((g.at - self.now) / MEMORY))
-                for g in sorted(self.groups.values(), key=lambda group: group.hash)]
+        seen = [
+            (g, g.count * math.exp((g.at - self.now) / MEMORY))
+            for g in sorted(self.groups.values(), key=lambda group: group.hash)
+        ]
         room = {b.id: self.unit * b.weight * self._warm(b) for b in self.rows}
         n = 1.0 + sum(count for _, count in seen)  # and by Good and Turing the part that was seen once
         total = n * n / (n - sum(count for _, count in seen if count <= 1.0))  # is that of groups unseen
@@ -250,8 +302,13 @@
         """May a cold backend take one more of this balancer's?  All together could push it over."""
         s, part = self.settings, self._warm(b)
         room = s.fall_multiple * part * max(self.opened, 1) / max(1, len(self.rows))
-        mine = not s.loads or (flow.pick < COLD_SAFETY * part * 2 ** 32  # all see one late report
-                               and b.id in [row[1] for row in flow.group.head[:ASK]])
+        mine = (
+            not s.loads
+            or (
+                flow.pick < COLD_SAFETY * part * 2**32  # all see one late report
+                and b.id in [row[1] for row in flow.group.head[:ASK]]
+            )
+        )
         if flow.calm or not self.some_warm:
             room = 1.0 + COLD_SAFETY * room + math.sqrt(COLD_SAFETY * room)
         else:  # of what falls it in its time, and one, over all balancers: parts of one by chance, as Poisson
@@ -263,10 +320,16 @@
         group = flow.group
         if not self.planned:
             self._plan()
-        mine = [row for row in group.parts if flow.pick <= row[0] * 2 ** 32][:1]
-        return [b for n in dict.fromkeys(row[1] for row in (*mine, *group.parts, *self._rank(group)))
-                if (b := self.backends[n]).ready and b.down_until <= self.now and n not in flow.tried
-                and self._may_repeat(flow, b) and self._cold_room(flow, b)]
+        mine = [row for row in group.parts if flow.pick <= row[0] * 2**32][:1]
+        return [
+            b
+            for n in dict.fromkeys(row[1] for row in (*mine, *group.parts, *self._rank(group)))
+            if (b := self.backends[n]).ready
+            and b.down_until <= self.now
+            and n not in flow.tried
+            and self._may_repeat(flow, b)
+            and self._cold_room(flow, b)
+        ]
 
     def _choose(self, flow: Flow) -> Backend | None:
         """The least loaded that reports; else the first that is not much slower than the others asked."""
@@ -274,19 +337,34 @@
         if told := [b for b in some if b.load >= 0.0 and b.ping_at >= self.now - TOLD]:
             near = {row[1]: at for at, row in enumerate(flow.group.head)} | dict.fromkeys(flow.group.held, 0)
             one = SPLIT / GROUP  # load of a setup that the report, up to NEWS old as it came, cannot know yet
-            return min(told, key=lambda b: b.load + SPLIT * min(1, near[b.id]) + STEP * near[b.id]
-                       + one * sum(f.pending or f.stood > b.ping_at - NEWS for f in b.flows.values())
-                       + ACROSS * (b.entry.zone != self.settings.zone))
+            return min(
+                told,
+                key=lambda b: (
+                    b.load
+                    + SPLIT * min(1, near[b.id])
+                    + STEP * near[b.id]
+                    + one * sum(f.pending or f.stood > b.ping_at - NEWS for f in b.flows.values())
+                    + ACROSS * (b.entry.zone != self.settings.zone)
+                ),
+            )
         most = HOT * min([b.ping for b in some[:ASK] if b.ping_at >= since], default=0.0)
         return next((b for b in some[:ASK] if b.ping_at < since or b.ping <= most), None)
 
     def _may_repeat(self, flow: Flow, b: Backend) -> bool:
         """No effect twice: after an attempt that may have run, only where its repeat is dropped."""
         cls, key = flow.cls, {i.Scope.ALL: "", i.Scope.ZONE: "zone", i.Scope.CELL: "cell"}[flow.cls.scope]
-        return not flow.unsure or cls.effect is i.Effect.SAFE or (cls.effect is i.Effect.KEYED and all(
-            self.now + self.settings.connect_timeout + self.settings.tick < sent + cls.memory
-            and (not key or getattr(first.entry, key) == getattr(b.entry, key))
-            for first, sent in flow.unsure))
+        return (
+            not flow.unsure
+            or cls.effect is i.Effect.SAFE
+            or (
+                cls.effect is i.Effect.KEYED
+                and all(
+                    self.now + self.settings.connect_timeout + self.settings.tick < sent + cls.memory
+                    and (not key or getattr(first.entry, key) == getattr(b.entry, key))
+                    for first, sent in flow.unsure
+                )
+            )
+        )
 
     def _make(self, e: i.Request | i.Carried, deadline: float) -> Flow:
         group = self._group(e.group_key or e.client_key)
@@ -294,8 +372,10 @@
         self.count = self.count * math.exp((self.count_at - self.now) / MEMORY) + 1.0
         group.at = self.count_at = self.now
         self.rush += 1.0  # calm: so few come that a cold backend bears as many at each balancer
-        calm = self.random.random() * self.rush * self.settings.cold_time < \
-            self.settings.fall_multiple * self.settings.overload_for * (1.0 + self.known)
+        calm = (
+            self.random.random() * self.rush * self.settings.cold_time
+            < self.settings.fall_multiple * self.settings.overload_for * (1.0 + self.known)
+        )
         flow = Flow(e, self.classes.get(e.class_name) or self.settings.classes[0], group, deadline, calm)
         self.flows[flow.id] = flow
         return flow
@@ -313,10 +393,16 @@
     def _ask(self, flow: Flow) -> bool:
         """Have those that may get it answer a probe first: what all balancers do there shows nowhere else."""
         wait, loads = WAIT * flow.cls.aim, self.settings.loads
-        if self.settings.probes and flow.rounds < ROUNDS \
-                and self.now + wait < flow.deadline - self._margin(flow):
-            some = [b for b in self._could(flow) if b.ping_at < self.now - TOLD
-                    or (b.load <= RELIEVED and (b.load >= 0.0 or not loads))][:ASK]
+        if (
+            self.settings.probes
+            and flow.rounds < ROUNDS
+            and self.now + wait < flow.deadline - self._margin(flow)
+        ):
+            some = [
+                b
+                for b in self._could(flow)
+                if b.ping_at < self.now - TOLD or (b.load <= RELIEVED and (b.load >= 0.0 or not loads))
+            ][:ASK]
             if loads and not flow.rounds:
                 some += sorted(self.rows, key=lambda b: b.ping_at)[:MORE]
             flow.rounds += 1
@@ -369,8 +455,17 @@
         """Where it may have run and the client's repeat might count twice, a refusal promises too much."""
         self.flows.pop(flow.id, None)
         cls, wait = flow.cls, self.settings.max_retry_after * self._jitter() / 1.5
-        harmless = not flow.unsure or cls.effect is i.Effect.SAFE or (cls.effect is i.Effect.KEYED and all(
-            cls.scope is i.Scope.ALL and self.now + wait < sent + cls.memory for _, sent in flow.unsure))
+        harmless = (
+            not flow.unsure
+            or cls.effect is i.Effect.SAFE
+            or (
+                cls.effect is i.Effect.KEYED
+                and all(
+                    cls.scope is i.Scope.ALL and self.now + wait < sent + cls.memory
+                    for _, sent in flow.unsure
+                )
+            )
+        )
         self.out.append(i.Refuse(flow.id, wait) if harmless else i.Fail(flow.id))
 
     def _on_established(self, e: i.Established) -> None:
@@ -423,9 +518,15 @@
 
     def _move(self, flow: Flow, part: float, most: float = math.inf, after: float = -math.inf) -> bool:
         """Move one that has stood a while, by chance, to where it would go now if that has so little load."""
-        moves = flow.open and self.now - flow.since > SETTLED and self.random.random() < part \
-            and (b := self._choose(flow)) is not None and b.id != flow.backend and b.load < most \
+        moves = (
+            flow.open
+            and self.now - flow.since > SETTLED
+            and self.random.random() < part
+            and (b := self._choose(flow)) is not None
+            and b.id != flow.backend
+            and b.load < most
             and b.entry.started > after
+        )
         if moves:
             flow.since = self.now
             self.out.append(i.Move(flow.id))
@@ -475,8 +576,11 @@
         flow.tried.add(b.id)
         if e.outcome not in i.UNRUN:
             flow.unsure.append((b, flow.since))
-        if flow.attempts >= self.settings.max_attempts or e.outcome is i.Outcome.UNSENT \
-                or self.now >= flow.deadline - self._margin(flow):
+        if (
+            flow.attempts >= self.settings.max_attempts
+            or e.outcome is i.Outcome.UNSENT
+            or self.now >= flow.deadline - self._margin(flow)
+        ):
             self._refuse(flow)
         elif e.outcome is not i.Outcome.CONNECT_FAILED or not self._send(flow):
             self._admit(flow)  # further attempts in overload would be a storm of their own: a token each
@@ -497,8 +601,9 @@
     def _skip(self, b: Backend) -> None:
         """Nothing new goes to it for a while that doubles with each failure, until it serves again."""
         b.fails, b.skipped = min(b.fails + 1, 5), self.now
-        b.down_until = max(b.down_until, self.now
-                           + self.settings.connect_timeout * 2.0 ** b.fails * self._jitter())
+        b.down_until = max(
+            b.down_until, self.now + self.settings.connect_timeout * 2.0**b.fails * self._jitter()
+        )
 
     def _on_gone(self, e: i.Gone) -> None:
         flow = self.flows.get(e.request)
--- a/example/toy_client.py
+++ b/example/toy_client.py
@@ -1,6 +1,6 @@
 """A toy client: opens a connection through the balancer, says a few lines, comes again while it is busy.
 
-    python example/toy_client.py [HOST:PORT [TENANT]]
+python example/toy_client.py [HOST:PORT [TENANT]]
 """
 
 from __future__ import annotations
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,6 +1,6 @@
 """A toy to try the balancer with: destinations that echo lines, and a discovery that lists them.
 
-    python example/toy_server.py [--discovery HOST:PORT] [--destinations N]
+python example/toy_server.py [--discovery HOST:PORT] [--destinations N]
 """
 
 from __future__ import annotations
--- a/snowwick/__main__.py
+++ b/snowwick/__main__.py
@@ -24,12 +24,26 @@
 
 
 @main.command()
-@click.option("--log-format", type=click.Choice(["text", "json"]), default="text", show_default=True,
-              envvar="SNOWWICK_LOG_FORMAT", help="Lines for people, or one JSON object an event.")
-@click.option("--contracts", type=click.Path(path_type=Path), envvar="SNOWWICK_CONTRACTS",
-              help="Hold teams to the contracts in this file (docs/operators/broker.md).")
-@click.option("--fleet", type=click.Path(path_type=Path), envvar="SNOWWICK_FLEET",
-              help="Talk to the other balancers as this file says (docs/operators/fleet-links.md).")
+@click.option(
+    "--log-format",
+    type=click.Choice(["text", "json"]),
+    default="text",
+    show_default=True,
+    envvar="SNOWWICK_LOG_FORMAT",
+    help="Lines for people, or one JSON object an event.",
+)
+@click.option(
+    "--contracts",
+    type=click.Path(path_type=Path),
+    envvar="SNOWWICK_CONTRACTS",
+    help="Hold teams to the contracts in this file (docs/operators/broker.md).",
+)
+@click.option(
+    "--fleet",
+    type=click.Path(path_type=Path),
+    envvar="SNOWWICK_FLEET",
+    help="Talk to the other balancers as this file says (docs/operators/fleet-links.md).",
+)
 def serve(log_format: str, contracts: Path | None, fleet: Path | None) -> None:
     """Serve, as GW_CONFIG and the other GW_ variables say, until SIGTERM."""
     from snowwick.net.signals import CaughtSignals
@@ -48,8 +62,12 @@
     if fleet is not None:
         _read_fleet(fleet)
     try:
-        service = Service(settings, Loop(Log(style=style)), contracts=read,
-                          fleet=(lambda: _load_fleet(fleet)) if fleet is not None else None)
+        service = Service(
+            settings,
+            Loop(Log(style=style)),
+            contracts=read,
+            fleet=(lambda: _load_fleet(fleet)) if fleet is not None else None,
+        )
     except ValueError as error:
         if contracts is None:
             raise
@@ -66,10 +84,12 @@
 def check_config() -> None:
     """Read and check the configuration, and print what it comes to."""
     one = _load()
-    click.echo(f"name {one.name}\nlisten {one.listen[0]}:{one.listen[1]}\n"
-               f"discovery {one.discovery[0]}:{one.discovery[1]}\nsockets {one.sockets}\n"
-               f"classes {', '.join(c.name for c in one.settings.classes)}\n"
-               f"known {len(one.known['servers'])} destinations")
+    click.echo(
+        f"name {one.name}\nlisten {one.listen[0]}:{one.listen[1]}\n"
+        f"discovery {one.discovery[0]}:{one.discovery[1]}\nsockets {one.sockets}\n"
+        f"classes {', '.join(c.name for c in one.settings.classes)}\n"
+        f"known {len(one.known['servers'])} destinations"
+    )
 
 
 @main.group()
@@ -87,8 +107,9 @@
 
 @contracts.command("explain")
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--balancers", type=click.IntRange(1), default=1, show_default=True,
-              help="How many share the fleet.")
+@click.option(
+    "--balancers", type=click.IntRange(1), default=1, show_default=True, help="How many share the fleet."
+)
 def contracts_explain(file: Path, balancers: int) -> None:
     """Print what each team of FILE gets at one balancer: guaranteed, alone, and when all ask."""
     from snowwick.broker.contract import explain
@@ -155,14 +176,17 @@
     if as_json:
         click.echo(json.dumps(told, indent=1))
         return
-    click.echo(f"{told['name']}: {'caught up' if told['caught_up'] else 'not caught up yet'}"
-               f"{', alone' if told['alone'] else ''}, fleet file {told['revision']}")
+    click.echo(
+        f"{told['name']}: {'caught up' if told['caught_up'] else 'not caught up yet'}"
+        f"{', alone' if told['alone'] else ''}, fleet file {told['revision']}"
+    )
     click.echo(f"{'member':20} {'state':8} {'incarnation':>14} {'entries':>8}  revision")
     for one in told["members"]:
         mine = f"{told['revision']} {told['contracts']}".strip()
         revision = mine if one["state"] == "self" else told["revisions"].get(one["name"], "-")
-        click.echo(f"{one['name']:20} {one['state']:8} {one['incarnation']:14} {one['entries']:8}  "
-                   f"{revision}")
+        click.echo(
+            f"{one['name']:20} {one['state']:8} {one['incarnation']:14} {one['entries']:8}  {revision}"
+        )
     for name, count in told["kinds_by_name"].items():
         click.echo(f"{name:20} {count} entries")
     for reason, count in told["dropped"].items():
--- a/snowwick/broker/budget.py
+++ b/snowwick/broker/budget.py
@@ -85,7 +85,8 @@
         guarantee = share.guarantee
         if before < guarantee or after < guarantee:
             self.unused += (guarantee - after if after < guarantee else 0.0) - (
-                guarantee - before if before < guarantee else 0.0)
+                guarantee - before if before < guarantee else 0.0
+            )
         if after > guarantee:
             self._rank(share)
 
@@ -138,8 +139,9 @@
     def mark(self, until: float, share: Share, amount: float) -> bool:
         """Keep the room that is freed next for a share that was refused, if it is owed any."""
         more = share.marked + amount
-        if share.held + more > share.ceiling + SLACK \
-                or not (self.entitled(share, more) or self._poorer(share, more)):
+        if share.held + more > share.ceiling + SLACK or not (
+            self.entitled(share, more) or self._poorer(share, more)
+        ):
             return False
         self.marks.append((until, share, amount))
         share.marked += amount
--- a/snowwick/broker/contract.py
+++ b/snowwick/broker/contract.py
@@ -118,13 +118,15 @@
         of_teams[name] = TeamPart(
             (striped(first, guaranteed, balancers, index), striped(first, most, balancers, index)),
             ((team.guarantee.setups_per_s or 0.0) / balancers, rate / balancers),
-            ((team.guarantee.load or 0.0) / balancers, load / balancers))
+            ((team.guarantee.load or 0.0) / balancers, load / balancers),
+        )
         first += guaranteed
     return striped(0, contracts.fleet.connections, balancers, index), of_teams
 
 
-def parse(text: str, classes: Collection[str] | None = None,
-          tenants: Collection[str] | None = None) -> Contracts:
+def parse(
+    text: str, classes: Collection[str] | None = None, tenants: Collection[str] | None = None
+) -> Contracts:
     """Read and check a file's text; raises BadContracts with every fault found.
 
     ``classes`` and ``tenants`` are the settings' names, or None where there are no settings to check against.
@@ -143,8 +145,9 @@
     return Contracts(fleet, pools, teams)
 
 
-def load(path: str | Path, classes: Collection[str] | None = None,
-         tenants: Collection[str] | None = None) -> Contracts:
+def load(
+    path: str | Path, classes: Collection[str] | None = None, tenants: Collection[str] | None = None
+) -> Contracts:
     """Read a file; raises BadContracts, also where it cannot be read."""
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -180,12 +183,15 @@
         if not isinstance(one, dict):
             reader.fault(path, "must be a table")
             continue
-        inner = {key: reader.read(f"{path}.classes.{key}", value, Class)
-                 for key, value in reader.table(one, f"{path}.classes").items()}
+        inner = {
+            key: reader.read(f"{path}.classes.{key}", value, Class)
+            for key, value in reader.table(one, f"{path}.classes").items()
+        }
         team = reader.read(path, {key: value for key, value in one.items() if key != "classes"}, Team)
         if team is not None:
             found[name] = msgspec.structs.replace(
-                team, classes={key: value for key, value in inner.items() if value is not None})
+                team, classes={key: value for key, value in inner.items() if value is not None}
+            )
     return found
 
 
@@ -204,8 +210,9 @@
         for key in ("connections", "setups_per_s", "load"):
             low, high = getattr(team.guarantee, key), getattr(team.ceiling, key)
             if key == "load" and fleet.load is None and (low or high) is not None:
-                reader.fault(f"{path}.{'guarantee' if low is not None else 'ceiling'}.load",
-                             "needs fleet.load")
+                reader.fault(
+                    f"{path}.{'guarantee' if low is not None else 'ceiling'}.load", "needs fleet.load"
+                )
             if low is not None and high is not None and high < low:
                 reader.fault(f"{path}.ceiling.{key}", f"{high} is under the guarantee, {low}")
     for key in ("connections", "setups_per_s", "load"):
@@ -221,8 +228,9 @@
             reader.fault(f"pools.{one}", "no team uses it")
 
 
-def _against(reader: Reader, teams: dict[str, Team], classes: Collection[str] | None,
-             tenants: Collection[str] | None) -> None:
+def _against(
+    reader: Reader, teams: dict[str, Team], classes: Collection[str] | None, tenants: Collection[str] | None
+) -> None:
     """What the settings must know."""
     for name, team in teams.items():
         for key in team.classes if classes is not None else ():
@@ -245,8 +253,13 @@
     def shared(total: float, limits: list[tuple[float, float]]) -> list[float]:
         if math.isinf(total):
             return [total] * len(limits)
-        return max_min(total, [Claim(low, min(high, total), contracts.teams[name].weight)
-                               for name, (low, high) in zip(names, limits, strict=True)])
+        return max_min(
+            total,
+            [
+                Claim(low, min(high, total), contracts.teams[name].weight)
+                for name, (low, high) in zip(names, limits, strict=True)
+            ],
+        )
 
     seats = shared(fleet, [of_teams[n].connections for n in names])
     setups = shared(rate, [of_teams[n].setups for n in names])
@@ -255,12 +268,16 @@
     for at, name in enumerate(names):
         one = of_teams[name]
         refill = one.connections[0] / one.setups[0] if one.setups[0] else 0.0
-        rows.append({
-            "team": name, "pool": contracts.teams[name].pool,
-            "connections": (one.connections[0], min(fleet, one.connections[1]), int(seats[at] + 1e-9)),
-            "setups_per_s": (one.setups[0], min(rate, one.setups[1]), setups[at]),
-            "load": (one.load[0], min(load, one.load[1]), loads[at]),
-            "guarantee_after_s": max(contracts.fleet.reclaim.within_s, refill)})
+        rows.append(
+            {
+                "team": name,
+                "pool": contracts.teams[name].pool,
+                "connections": (one.connections[0], min(fleet, one.connections[1]), int(seats[at] + 1e-9)),
+                "setups_per_s": (one.setups[0], min(rate, one.setups[1]), setups[at]),
+                "load": (one.load[0], min(load, one.load[1]), loads[at]),
+                "guarantee_after_s": max(contracts.fleet.reclaim.within_s, refill),
+            }
+        )
     return rows
 
 
@@ -277,8 +294,9 @@
 
 def digest_of(contracts: Contracts) -> str:
     """The same for contracts that say the same, however their files are written."""
-    return blake2b(repr(msgspec.to_builtins(contracts, order="deterministic")).encode(),
-                   digest_size=6).hexdigest()
+    return blake2b(
+        repr(msgspec.to_builtins(contracts, order="deterministic")).encode(), digest_size=6
+    ).hexdigest()
 
 
 def budgets_of(contracts: Contracts, balancers: int, index: int) -> dict[str, tuple[float, bool]]:
@@ -286,15 +304,17 @@
     connections, of_teams = parts(contracts, balancers, index)
     found: dict[str, tuple[float, bool]] = {
         "fleet.connections": (connections, True),
-        "fleet.setups": (contracts.fleet.setups_per_s / balancers, False)}
+        "fleet.setups": (contracts.fleet.setups_per_s / balancers, False),
+    }
     for name, part in of_teams.items():
         found[f"{name}.connections"] = part.connections[1], True
         found[f"{name}.setups"] = part.setups[1], False
     return found
 
 
-def book_of(contracts: Contracts, balancers: int, index: int,
-            rights: Mapping[str, float] | None = None) -> Book:
+def book_of(
+    contracts: Contracts, balancers: int, index: int, rights: Mapping[str, float] | None = None
+) -> Book:
     """What one balancer enforces; ``rights`` holds what it has of the budgets now, where they move.
 
     A team's guarantee goes with its rights: over all balancers it is at most the contract's.
@@ -313,8 +333,21 @@
         seats, setups = f"{name}.connections", f"{name}.setups"
         teams[name] = Terms(
             (min(have[seats], math.floor(moved(part.connections[0], seats) + 1e-9)), have[seats]),
-            (moved(part.setups[0], setups), have[setups]), part.load, team.weight, team.pool, {
+            (moved(part.setups[0], setups), have[setups]),
+            part.load,
+            team.weight,
+            team.pool,
+            {
                 key: ClassTerms(one.share, one.max_deadline_ms or math.inf)
-                for key, one in team.classes.items()})
-    return Book(have["fleet.connections"], have["fleet.setups"], teams, (fleet.load or math.inf) / balancers,
-                fleet.burst_s, fleet.reclaim.within_s, fleet.reclaim.reserve)
+                for key, one in team.classes.items()
+            },
+        )
+    return Book(
+        have["fleet.connections"],
+        have["fleet.setups"],
+        teams,
+        (fleet.load or math.inf) / balancers,
+        fleet.burst_s,
+        fleet.reclaim.within_s,
+        fleet.reclaim.reserve,
+    )
--- a/snowwick/broker/fair.py
+++ b/snowwick/broker/fair.py
@@ -26,8 +26,10 @@
     shares = [min(one.guarantee, top) for one, top in zip(claims, tops, strict=True)]
     left = max(0.0, total - sum(shares))
     # In order of the level at which each is satisfied: every step satisfies one more.
-    order = sorted((n for n, one in enumerate(claims) if tops[n] > shares[n] and one.weight > 0),
-                   key=lambda n: (tops[n] - shares[n]) / claims[n].weight)
+    order = sorted(
+        (n for n, one in enumerate(claims) if tops[n] > shares[n] and one.weight > 0),
+        key=lambda n: (tops[n] - shares[n]) / claims[n].weight,
+    )
     weights = sum(claims[n].weight for n in order)
     for n in order:
         extra = min(tops[n] - shares[n], left * claims[n].weight / weights)
@@ -43,6 +45,8 @@
     Units dealt to teams one after another this way sum up exactly over the parties, and at each party the
     teams' parts never sum to more than its part of all units: rounding each by itself does not keep both.
     """
+
     def before(unit: int) -> int:
         return (unit - index + parties - 1) // parties
+
     return before(first + count) - before(first)
--- a/snowwick/broker/gcra.py
+++ b/snowwick/broker/gcra.py
@@ -26,8 +26,11 @@
         self.rate, self.burst = rate, max(1.0, burst)
         self.step = 1.0 / rate if rate > 0.0 else math.inf  # s that a unit takes
         # How far ahead of the clock a unit may arrive: never, where nothing may pass.
-        self.slack = (self.burst - 1.0) * self.step + 1e-9 if 0.0 < rate < math.inf else (
-            math.inf if rate > 0.0 else -math.inf)
+        self.slack = (
+            (self.burst - 1.0) * self.step + 1e-9
+            if 0.0 < rate < math.inf
+            else (math.inf if rate > 0.0 else -math.inf)
+        )
 
     def conforms(self, now: float) -> bool:
         """May one unit pass now?"""
--- a/snowwick/broker/ledger.py
+++ b/snowwick/broker/ledger.py
@@ -76,8 +76,21 @@
 class TeamState:
     """One team: its shares of the resources, its rates, its classes, and what stands, oldest first."""
 
-    __slots__ = ("any_class", "classes", "committed", "gone", "lent", "lent_step", "load", "name", "peak",
-                 "pool", "seats", "standing", "told")
+    __slots__ = (
+        "any_class",
+        "classes",
+        "committed",
+        "gone",
+        "lent",
+        "lent_step",
+        "load",
+        "name",
+        "peak",
+        "pool",
+        "seats",
+        "standing",
+        "told",
+    )
 
     def __init__(self, name: str) -> None:
         self.name, self.pool, self.gone, self.any_class, self.told = name, "", False, True, 0
@@ -138,8 +151,9 @@
         self.seats.limit, self.seats.reserve_part = book.connections, book.reserve
         self.loads.limit, self.loads.reserve_part = book.load, book.reserve
         self.rate.change(now, book.setups, book.setups * book.burst)
-        lent = max(1.0, sum(terms.connections[0] for terms in book.teams.values()),
-                   LEAST_LENT * book.connections)
+        lent = max(
+            1.0, sum(terms.connections[0] for terms in book.teams.values()), LEAST_LENT * book.connections
+        )
         self.pace.change(now, lent / book.within, max(1.0, lent / book.within * STEP))
         weights = sum(terms.weight for terms in book.teams.values())
         self.fair = min(max(self.fair, book.setups / max(1.0, weights)), book.setups)
@@ -206,8 +220,9 @@
             return Refusal("no-contract", "team", self._spread(self.longest))
         return self.ask_of(now, owner, team, class_name, key)
 
-    def ask_of(self, now: float, owner: object, team: TeamState, class_name: str,
-               key: str) -> Lease | Refusal:
+    def ask_of(
+        self, now: float, owner: object, team: TeamState, class_name: str, key: str
+    ) -> Lease | Refusal:
         """The same for who has looked the team up."""
         now = self._at(now)
         if team.gone:
@@ -225,9 +240,15 @@
         load = self._expected(team) if self.by_load else 0.0
         called = due is not None and now >= due - EARLY
         # Who is owed room need not leave any for those who were promised a place.
-        leave = busy and not called and not (
-            self.seats.entitled(team.seats, 1.0) and team.committed.conforms(now)
-            and self.loads.entitled(team.load, load))
+        leave = (
+            busy
+            and not called
+            and not (
+                self.seats.entitled(team.seats, 1.0)
+                and team.committed.conforms(now)
+                and self.loads.entitled(team.load, load)
+            )
+        )
         limit = self._limit(now, team, cls, load, leave)
         if limit is None:
             if due is not None:
@@ -274,8 +295,9 @@
         told = sum(one.told for one in self.teams.values())
         return self.loads.total / told if told else 0.0
 
-    def _limit(self, now: float, team: TeamState, cls: ClassState, load: float,
-               leave: bool) -> tuple[str, str, float] | None:
+    def _limit(
+        self, now: float, team: TeamState, cls: ClassState, load: float, leave: bool
+    ) -> tuple[str, str, float] | None:
         """The limit in the way, if any: reason code, which one, and the rate it allows where that is known.
 
         With ``leave`` the ask has to leave something over, for those who were promised a place.
@@ -411,8 +433,11 @@
 
     def needs_step(self) -> bool:
         """Has anything to be moved?"""
-        return bool(self.misplaced or self.excess) or self.seats.victim() is not None or (
-            self.by_load and self.loads.victim() is not None)
+        return (
+            bool(self.misplaced or self.excess)
+            or self.seats.victim() is not None
+            or (self.by_load and self.loads.victim() is not None)
+        )
 
     def step(self, now: float) -> list[Lease]:
         """The leases whose clients have to be moved now, as many as the pace allows."""
--- a/snowwick/broker/pools.py
+++ b/snowwick/broker/pools.py
@@ -26,13 +26,21 @@
     cell: frozenset[str] | None = None
 
     def takes(self, labels: Labels) -> bool:
-        return all(wanted is None or label in wanted for wanted, label in (
-            (self.kind, labels.kind), (self.zone, labels.zone), (self.cell, labels.cell)))
+        return all(
+            wanted is None or label in wanted
+            for wanted, label in (
+                (self.kind, labels.kind),
+                (self.zone, labels.zone),
+                (self.cell, labels.cell),
+            )
+        )
 
     def overlaps(self, other: Match) -> bool:
         """Could one destination be in both?"""
-        return all(a is None or b is None or a & b for a, b in
-                   ((self.kind, other.kind), (self.zone, other.zone), (self.cell, other.cell)))
+        return all(
+            a is None or b is None or a & b
+            for a, b in ((self.kind, other.kind), (self.zone, other.zone), (self.cell, other.cell))
+        )
 
 
 class Split:
--- a/snowwick/checked.py
+++ b/snowwick/checked.py
@@ -35,8 +35,11 @@
             self.faults = [f"not TOML: {error}"]
             return {}
         if raw.get("version") != 1 or isinstance(raw.get("version"), bool):
-            self.faults = [f"version: must be 1, not {raw.get('version')!r}"
-                           if "version" in raw else "version: is missing"]
+            self.faults = [
+                f"version: must be 1, not {raw.get('version')!r}"
+                if "version" in raw
+                else "version: is missing"
+            ]
             return {}
         for key in raw.keys() - keys - {"version"}:
             self.fault(key, "unknown key")
--- a/snowwick/fleet/facts.py
+++ b/snowwick/fleet/facts.py
@@ -1,7 +1,7 @@
 """What the registers mean: their kinds, their values, and what follows from all balancers' together.
 
 Registers have one writer each, so what members say of one thing stands side by side; the functions here
-read it as one.  A value that cannot be read counts as not there. """
+read it as one.  A value that cannot be read counts as not there."""
 
 from __future__ import annotations
 
@@ -72,8 +72,12 @@
         """The others' registers that may be acted on, with their values."""
         for held in self.store.standing(kind):
             e = held.entry
-            if e.owner != self.store.name and self.members.is_there(e.owner) and e.value is not None \
-                    and self.store.left(held, now) > 0.0:
+            if (
+                e.owner != self.store.name
+                and self.members.is_there(e.owner)
+                and e.value is not None
+                and self.store.left(held, now) > 0.0
+            ):
                 yield e, e.value
 
     def of(self, kind: int, value: type[T], now: float) -> Iterator[tuple[str, str, T]]:
@@ -111,8 +115,12 @@
 
     def leaving(self, source: str, version: int, now: float) -> set[int]:
         """The destinations that a newer list than this balancer's says to leave."""
-        return {one for _, _, listed in self.of(LIST, Listed, now)
-                if listed.source == source and listed.version > version for one in listed.leaving}
+        return {
+            one
+            for _, _, listed in self.of(LIST, Listed, now)
+            if listed.source == source and listed.version > version
+            for one in listed.leaving
+        }
 
     # -- load --------------------------------------------------------------------------------------------
 
@@ -125,8 +133,9 @@
 
     # -- rights ------------------------------------------------------------------------------------------
 
-    def rights(self, now: float) -> tuple[dict[str, dict[str, tuple[int, Ask]]],
-                                          list[tuple[str, int, str, Grant]]]:
+    def rights(
+        self, now: float
+    ) -> tuple[dict[str, dict[str, tuple[int, Ask]]], list[tuple[str, int, str, Grant]]]:
         """The others' asks by budget and owner, with the owner's start, and the grants to this balancer."""
         asks: dict[str, dict[str, tuple[int, Ask]]] = defaultdict(dict)
         grants: list[tuple[str, int, str, Grant]] = []
--- a/snowwick/fleet/file.py
+++ b/snowwick/fleet/file.py
@@ -89,9 +89,12 @@
         for path, name in (("links.key_file", links.key_file), ("links.old_key_file", links.old_key_file)):
             if name is not None and (key := _key(reader, path, name, folder)) is not None:
                 keys.append(key)
-        for path, address in [("links.listen", links.listen), ("links.address", links.address),
-                              *((f"links.seeds.{n}", one) for n, one in enumerate(links.seeds)),
-                              *((f"links.routes.{n}", one) for n, one in links.routes.items())]:
+        for path, address in [
+            ("links.listen", links.listen),
+            ("links.address", links.address),
+            *((f"links.seeds.{n}", one) for n, one in enumerate(links.seeds)),
+            *((f"links.routes.{n}", one) for n, one in links.routes.items()),
+        ]:
             if address is not None and int(address.rpartition(":")[2]) > 65535:
                 reader.fault(path, f"{address!r} has no such port")
         if len(keys) == 2 and keys[0] == keys[1]:
--- a/snowwick/fleet/members.py
+++ b/snowwick/fleet/members.py
@@ -68,8 +68,9 @@
 class Members:
     """The members as one of them sees them."""
 
-    def __init__(self, name: str, address: str, incarnation: int, boot: int, period: float,
-                 rng: random.Random) -> None:
+    def __init__(
+        self, name: str, address: str, incarnation: int, boot: int, period: float, rng: random.Random
+    ) -> None:
         self.random, self.period = rng, period
         self.me = Record(name, address, incarnation, boot)
         self.records: dict[str, Record] = {}
@@ -134,15 +135,17 @@
                 self.rumours[said.name] = 0  # a new accuser is news: it shortens the suspicion elsewhere
             old.incarnation = max(old.incarnation, said.incarnation)
         elif (said.incarnation, said.state) > (old.incarnation, old.state) and not (
-                old.state >= DEAD and said.state == SUSPECT):
+            old.state >= DEAD and said.state == SUSPECT
+        ):
             self._set(said, now, by)
 
     def _set(self, said: Member, now: float, by: str) -> None:
         old = self.records.get(said.name)
         was = old.state if old is not None else -1
         accusers = {by} if said.state == SUSPECT else set()
-        self.records[said.name] = Record(said.name, said.address, said.incarnation, said.boot, said.state,
-                                         now, accusers)
+        self.records[said.name] = Record(
+            said.name, said.address, said.incarnation, said.boot, said.state, now, accusers
+        )
         if old is None or was >= DEAD > said.state:
             self.turns.insert(self.random.randint(0, len(self.turns)), said.name)
         self.rumours[said.name] = 0
--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -69,9 +69,17 @@
 class Node:
     """The protocol's state; ``seal`` and the socket are the caller's."""
 
-    def __init__(self, name: str, address: str, keys: Sequence[bytes], seeds: Sequence[str],
-                 rng: random.Random, wall_ms: Callable[[], float], period: float = 0.2,
-                 epoch: int = 0) -> None:
+    def __init__(
+        self,
+        name: str,
+        address: str,
+        keys: Sequence[bytes],
+        seeds: Sequence[str],
+        rng: random.Random,
+        wall_ms: Callable[[], float],
+        period: float = 0.2,
+        epoch: int = 0,
+    ) -> None:
         """``seeds`` are addresses to join by; ``epoch`` numbers this start, above those of earlier ones."""
         self.name, self.keys, self.seeds, self.random = name, list(keys), list(seeds), rng
         self.wall_ms, self.period = wall_ms, period
@@ -94,16 +102,22 @@
         self.status: Callable[[], dict[str, Any]] = dict
         self.answers: dict[int, tuple[float, list[bytes]]] = {}
         self.handlers: dict[type, Callable[[Frame, Any, float], None]] = {
-            wire.Ping: self._on_ping, wire.Ack: self._on_ack, wire.PingReq: self._on_ping_req,
-            wire.Nack: self._on_nack, wire.Root: self._on_root, wire.Ranges: self._on_ranges,
-            wire.Vector: self._on_vector, wire.Pull: self._on_pull, wire.Piece: self._on_piece,
-            wire.News: lambda *_: None}
+            wire.Ping: self._on_ping,
+            wire.Ack: self._on_ack,
+            wire.PingReq: self._on_ping_req,
+            wire.Nack: self._on_nack,
+            wire.Root: self._on_root,
+            wire.Ranges: self._on_ranges,
+            wire.Vector: self._on_vector,
+            wire.Pull: self._on_pull,
+            wire.Piece: self._on_piece,
+            wire.News: lambda *_: None,
+        }
 
     # -- own registers -----------------------------------------------------------------------------------
 
     def write(self, kind: int, key: str, value: bytes | None, now: float, left: float = 0.0) -> None:
-        """Set or (None) remove an own register; ``left`` in s is how long it may be acted on, 0 for always.
-        """
+        """Set or (None) remove an own register; ``left`` in s is how long it may be acted on, 0 for always."""
         self.store.write(kind, key, value, self.clock.stamp(self.wall_ms()), now, int(1000.0 * left))
 
     def leave(self, now: float) -> None:
@@ -189,8 +203,15 @@
         if one is not None:
             self._post(one.address, name, one.boot, body, now)
 
-    def _post(self, address: str, name: str, boot: int, body: wire.Body, now: float,
-              members: Sequence[wire.Member] = ()) -> None:
+    def _post(
+        self,
+        address: str,
+        name: str,
+        boot: int,
+        body: wire.Body,
+        now: float,
+        members: Sequence[wire.Member] = (),
+    ) -> None:
         me, self.seq = self.members.me, self.seq + 1
         frame = Frame(self.name, me.address, me.incarnation, me.boot, self.seq, name, boot, body, [*members])
         room = wire.MOST - 1 - wire.DIGEST - wire.size(frame) - 6
@@ -249,8 +270,12 @@
             self._tell_number(frame, now)
             return
         for member in frame.members:
-            if member.name == self.name and member.boot != self.members.me.boot and member.state <= SUSPECT \
-                    and member.address != self.members.me.address:
+            if (
+                member.name == self.name
+                and member.boot != self.members.me.boot
+                and member.state <= SUSPECT
+                and member.address != self.members.me.address
+            ):
                 self._post(member.address, self.name, 0, wire.Ping(0), now)  # an earlier start, or a twin?
             self.members.hear(member, frame.sender, now)
         for entry in frame.entries:
@@ -274,8 +299,12 @@
 
         At most one greeting a period.
         """
-        if frame.to == self.name and frame.to_boot and frame.to_boot != self.members.me.boot \
-                and now >= self.next_greeting:
+        if (
+            frame.to == self.name
+            and frame.to_boot
+            and frame.to_boot != self.members.me.boot
+            and now >= self.next_greeting
+        ):
             self.next_greeting = now + self.period
             self._post(frame.address, frame.sender, 0, wire.Ping(0), now)
 
@@ -358,8 +387,15 @@
         ranges = differing[:PULLS]
         self._vector(frame.sender, self.store.rows(set(ranges), count), True, now, count, ranges)
 
-    def _vector(self, to: str, rows: list[wire.Row], answer: bool, now: float, count: int = 1,
-                ranges: Sequence[int] = ()) -> None:
+    def _vector(
+        self,
+        to: str,
+        rows: list[wire.Row],
+        answer: bool,
+        now: float,
+        count: int = 1,
+        ranges: Sequence[int] = (),
+    ) -> None:
         room, some = wire.MOST - 300, list[wire.Row]()
         self.random.shuffle(rows)
         for row in rows:
@@ -406,13 +442,18 @@
     def _on_piece(self, frame: Frame, body: wire.Piece, now: float) -> None:
         name, row = body.row.owner, body.row
         pulling = self.pulling.get(name)
-        if name == self.name or not self.members.is_there(name) or pulling is None \
-                or pulling.peer != frame.sender:
+        if (
+            name == self.name
+            or not self.members.is_there(name)
+            or pulling is None
+            or pulling.peer != frame.sender
+        ):
             return
         for entry in body.entries:
             self.clock.hear(entry.stamp, self.wall_ms())
-        self.store.merge(row, body.after, body.upto, [
-            entry for entry in body.entries if entry.owner == name], now)
+        self.store.merge(
+            row, body.after, body.upto, [entry for entry in body.entries if entry.owner == name], now
+        )
         if pulling.whole is not None:
             pulling.whole.update(entry.seq for entry in body.entries)
         if body.more:
@@ -438,7 +479,7 @@
         self.answers = {n: row for n, row in self.answers.items() if now < row[0]}
         if body.number not in self.answers:
             text = json.dumps({**self.describe(now), **self.status()}).encode()
-            parts = [text[at:at + TEXT] for at in range(0, len(text), TEXT)]
+            parts = [text[at : at + TEXT] for at in range(0, len(text), TEXT)]
             self.answers[body.number] = now + ASKED, parts
         parts = self.answers[body.number][1]
         if source and 0 <= body.part < len(parts):
@@ -447,13 +488,27 @@
     def describe(self, now: float) -> dict[str, Any]:
         """How things stand, for ``snowwick fleet status``."""
         me = self.members.me
-        rows = [{"name": me.name, "address": me.address, "state": "self", "incarnation": me.incarnation,
-                 "entries": len(self.store.owners[self.name].entries)}]
+        rows = [
+            {
+                "name": me.name,
+                "address": me.address,
+                "state": "self",
+                "incarnation": me.incarnation,
+                "entries": len(self.store.owners[self.name].entries),
+            }
+        ]
         for one in sorted(self.members.records.values(), key=lambda one: one.name):
             owner = self.store.owners.get(one.name)
-            rows.append({"name": one.name, "address": one.address, "state": STATES[one.state],
-                         "incarnation": one.incarnation, "for_s": round(now - one.since, 1),
-                         "entries": len(owner.entries) if owner is not None else 0})
+            rows.append(
+                {
+                    "name": one.name,
+                    "address": one.address,
+                    "state": STATES[one.state],
+                    "incarnation": one.incarnation,
+                    "for_s": round(now - one.since, 1),
+                    "entries": len(owner.entries) if owner is not None else 0,
+                }
+            )
         kinds: Counter[int] = Counter()
         ages: dict[int, float] = {}
         wall = self.wall_ms()
@@ -461,13 +516,21 @@
             for (kind, _), held in owner.entries.items():
                 kinds[kind] += 1
                 ages[kind] = max(ages.get(kind, 0.0), (wall - ms_of(held.entry.stamp)) / 1000.0)
-        return {"name": self.name, "members": rows, "caught_up": self.caught,
-                "alone": not self.members.alive(),
-                "kinds": {str(kind): {"entries": count, "oldest_s": round(ages[kind], 1)}
-                          for kind, count in sorted(kinds.items())},
-                "frames_in": self.counts.frames_in, "frames_out": self.counts.frames_out,
-                "bytes_in": self.counts.bytes_in, "bytes_out": self.counts.bytes_out,
-                "dropped": dict(self.counts.dropped)}
+        return {
+            "name": self.name,
+            "members": rows,
+            "caught_up": self.caught,
+            "alone": not self.members.alive(),
+            "kinds": {
+                str(kind): {"entries": count, "oldest_s": round(ages[kind], 1)}
+                for kind, count in sorted(kinds.items())
+            },
+            "frames_in": self.counts.frames_in,
+            "frames_out": self.counts.frames_out,
+            "bytes_in": self.counts.bytes_in,
+            "bytes_out": self.counts.bytes_out,
+            "dropped": dict(self.counts.dropped),
+        }
 
     def take_out(self) -> list[tuple[str, bytes]]:
         """What is to be sent, once."""
--- a/snowwick/fleet/rights.py
+++ b/snowwick/fleet/rights.py
@@ -123,8 +123,11 @@
 
     def target(self, now: float) -> float:
         """What should be in use here by now: what is wished back or not renewed is gone without in time."""
-        return self.own(now) + sum(min(one.amount, one.wish) for one in self.borrowed.values()
-                                   if now < one.until - DRAIN * self.lease)
+        return self.own(now) + sum(
+            min(one.amount, one.wish)
+            for one in self.borrowed.values()
+            if now < one.until - DRAIN * self.lease
+        )
 
     def confirm(self, others: Mapping[str, Mapping[str, Holding]], boot: int, all_others: int) -> None:
         """End the caution of a start early: all other balancers there are have said that they know of it.
@@ -132,8 +135,11 @@
         ``others`` holds, by balancer, what it has told that it holds; ``all_others`` is how many there are.
         Who knows of this start takes no more grants of an earlier one, and holds none.
         """
-        if self.cautious_until > 0.0 and len(others) >= all_others and all(
-                self.name in holds and holds[self.name].boot == boot for holds in others.values()):
+        if (
+            self.cautious_until > 0.0
+            and len(others) >= all_others
+            and all(self.name in holds and holds[self.name].boot == boot for holds in others.values())
+        ):
             self.cautious_until = 0.0
 
     # -- as a borrower -----------------------------------------------------------------------------------
@@ -197,8 +203,10 @@
             self._settle(name, boot, ask)
         spare = self.spare(used, now)
         wants = sum(ask.want for _, ask in asks.values())
-        mine = {name: max([one.amount for one in self.out.get((name, boot), ())], default=0.0)
-                for name, (boot, _) in asks.items()}
+        mine = {
+            name: max([one.amount for one in self.out.get((name, boot), ())], default=0.0)
+            for name, (boot, _) in asks.items()
+        }
         # What I have lent already and can spare beside it, against what all others could still lend.
         pot = spare + sum(mine.values())
         for name, (boot, ask) in sorted(asks.items()):
@@ -262,8 +270,13 @@
                 continue
             wanting = (1.0 + RESERVE) * one.peak > one.own(now) or bool(one.borrowed)
             spare = one.spare(in_use, now)
-            if before is None or wanting or before[0].want > 0.0 or before[2] != boots \
-                    or abs(spare - before[0].spare) > RESERVE * one.part:
+            if (
+                before is None
+                or wanting
+                or before[0].want > 0.0
+                or before[2] != boots
+                or abs(spare - before[0].spare) > RESERVE * one.part
+            ):
                 fresh[key] = one.ask(in_use, boots, now)
                 self.written[key] = fresh[key], now, dict(boots)
         return fresh
--- a/snowwick/fleet/store.py
+++ b/snowwick/fleet/store.py
@@ -189,8 +189,11 @@
             return
         self.next_sweep = now + 0.1 * TOMBSTONE
         for owner in self.owners.values():
-            for key in [key for key, held in owner.entries.items()
-                        if held.entry.value is None and now - held.at >= TOMBSTONE]:
+            for key in [
+                key
+                for key, held in owner.entries.items()
+                if held.entry.value is None and now - held.at >= TOMBSTONE
+            ]:
                 self._quiet(owner.drop(key).entry)
 
     # -- reading -----------------------------------------------------------------------------------------
@@ -212,8 +215,16 @@
         e = held.entry
         if not e.left:
             return e
-        return Entry(e.owner, e.epoch, e.seq, e.kind, e.key, e.value, e.stamp,
-                     max(1, int(1000.0 * self.left(held, now))))
+        return Entry(
+            e.owner,
+            e.epoch,
+            e.seq,
+            e.kind,
+            e.key,
+            e.value,
+            e.stamp,
+            max(1, int(1000.0 * self.left(held, now))),
+        )
 
     # -- passing on --------------------------------------------------------------------------------------
 
@@ -241,7 +252,7 @@
     def shed(self, most: int) -> int:
         """Keep at most so many rumours, dropping those told most; comparison still finds them."""
         over = len(self.rumours) - most
-        for key in sorted(self.rumours, key=lambda key: -self.rumours[key])[:max(0, over)]:
+        for key in sorted(self.rumours, key=lambda key: -self.rumours[key])[: max(0, over)]:
             del self.rumours[key]
         return max(0, over)
 
@@ -264,8 +275,11 @@
 
     def rows(self, differing: set[int] | None = None, count: int = 1) -> list[Row]:
         """The rows of the owners in those ranges."""
-        return [owner.row(name) for name, owner in self.owners.items()
-                if differing is None or owner.id % count in differing]
+        return [
+            owner.row(name)
+            for name, owner in self.owners.items()
+            if differing is None or owner.id % count in differing
+        ]
 
     def behind(self, row: Row) -> tuple[int, bool] | None:
         """After which number to pull, and whether the whole, where the other has what is missing here."""
@@ -284,8 +298,9 @@
             return 0, True
         return own.complete, False
 
-    def piece(self, name: str, epoch: int, after: int, room: int, now: float) -> tuple[
-            Row, int, bool, list[Entry]] | None:
+    def piece(
+        self, name: str, epoch: int, after: int, room: int, now: float
+    ) -> tuple[Row, int, bool, list[Entry]] | None:
         """The next entries of an owner after a number, as many as fit, and whether more follow."""
         owner = self.owners.get(name)
         if owner is None or owner.epoch < epoch:
@@ -306,7 +321,7 @@
     def _after(owner: Owner, after: int) -> list[Held]:
         if owner.order is None:
             owner.order = sorted(owner.entries.values(), key=lambda held: held.entry.seq)
-        return owner.order[bisect_right(owner.order, after, key=lambda held: held.entry.seq):]
+        return owner.order[bisect_right(owner.order, after, key=lambda held: held.entry.seq) :]
 
     def merge(self, row: Row, after: int, upto: int, entries: list[Entry], now: float) -> None:
         """Take a piece."""
--- a/snowwick/fleet/wire.py
+++ b/snowwick/fleet/wire.py
@@ -50,8 +50,7 @@
 
 
 class Ping(msgspec.Struct, array_like=True, tag=1):
-    """Answer with ``Ack``; ``accused`` tells the receiver at once that it is suspected (Lifeguard's buddy).
-    """
+    """Answer with ``Ack``; ``accused`` tells the receiver at once that it is suspected (Lifeguard's buddy)."""
 
     number: int
     accused: bool = False
@@ -202,7 +201,7 @@
         raise Dropped("too-long")
     if len(datagram) <= 1 + DIGEST or datagram[0] != VERSION:
         raise Dropped("version" if datagram[:1] != bytes([VERSION]) else "malformed")
-    said, data = datagram[1:1 + DIGEST], datagram[:1] + datagram[1 + DIGEST:]
+    said, data = datagram[1 : 1 + DIGEST], datagram[:1] + datagram[1 + DIGEST :]
     if not any(hmac.compare_digest(said, digest(key, data)) for key in keys):
         raise Dropped("digest")
     try:
--- a/snowwick/lab/capacity.py
+++ b/snowwick/lab/capacity.py
@@ -49,8 +49,9 @@
     if new == page:
         return 0
     if given.check:
-        print(f"{given.page}: the tables are not what the slopes say; python -m snowwick.lab.capacity does "
-              "it")
+        print(
+            f"{given.page}: the tables are not what the slopes say; python -m snowwick.lab.capacity does it"
+        )
         return 1
     given.page.write_text(new, encoding="utf-8")
     return 0
--- a/snowwick/lab/capacity_model.py
+++ b/snowwick/lab/capacity_model.py
@@ -50,58 +50,115 @@
     reason: str
 
 
-TARGET = {one.name: one for one in (
-    Assumption("balancers", 5_700, "", "the target"),
-    Assumption("connections", 530e6, "", "the target"),
-    Assumption("shards", 840_000, "", "the target: shards of topics"),
-    Assumption("listeners", 350_000, "", "the target: of the largest topic"),
-    Assumption("deliveries", 36e6, "/s", "the target"),
-    Assumption("delivered within", 0.39, "s", "the target: 99 in 100 deliveries"),
-    Assumption("regions", 2, "", "the target"),
-    Assumption("zones", 5, "", "the target: of both regions, as one zone is a fifth of the balancers"),
-    Assumption("changes of configuration", 26_000, "/day", "the target"),
-    Assumption("in force everywhere", 8.0, "s", "the target"),
-    Assumption("control core", 0.028, "core", "the target: of a balancer, for control"),
-    Assumption("control memory", 32e6, "bytes", "the target: of a balancer, for control"),
-    Assumption("control bytes", 21e3, "bytes/s", "the target: of a balancer, for control; read as a bound on "
-               "what goes out and another on what comes in"),
-    Assumption("control machines", 5, "", "the target"),
-    Assumption("failures", 36, "/day", "the target: machines on an ordinary day"),
-    Assumption("restarts", 2_800, "/day", "the target: restarted or replaced"),
-    Assumption("connections that come back", 106e6, "", "the target: a zone lost"),
-)}
-
-ASSUMPTIONS = {one.name: one for one in (
-    Assumption("cores of the data path", 1.0, "core", "the program is one loop on one thread; a machine may "
-               "run several, each a balancer of its own"),
-    Assumption("bytes a member's news", 48.0, "bytes", "a `wire.Member` in msgpack, names of 13 "
-               "characters"),
-    Assumption("bytes an entry", 75.0, "bytes", "a load register of 12 destinations in msgpack; 67 where no "
-               "count is over 127, 79 where all are"),
-    Assumption("register writes of a member", 1.0, "/s", "loads, as the simulated workload writes them"),
-    Assumption("bytes a shard's place", 16.0, "bytes", "id and index in a flat table; what Python objects "
-               "would take is some ten times that"),
-    Assumption("processor a shard's score", 2e-6, "s", "one keyed 64-bit hash and a comparison in Python; to "
-               "be measured when it is built"),
-    Assumption("members of a cell", 57.0, "", "a twentieth of a zone; for the estimates of the roles, the "
-               "options compare several"),
-    Assumption("listeners of a shard at a balancer", 4.0, "", "36 million deliveries a second say nothing of "
-               "how listeners cluster; it sets how many frames between balancers a delivery costs"),
-    Assumption("bytes a delivery between balancers", 300.0, "bytes", "a line of 200 bytes, a frame's "
-               "head"),
-    Assumption("processor a frame in or out", 50e-6, "s", "sealing, msgpack and the system call, as "
-               "`snowwick/fleet` has them; to be measured when it is built"),
-    Assumption("bytes a change of configuration", 2_000.0, "bytes", "a team's contract; a whole file is sent "
-               "by digest and in pieces"),
-    Assumption("bytes a sum", 900.0, "bytes", "the room of one register (`store.VALUE`)"),
-    Assumption("s between sums", 1.0, "s", "a load that is a second old is within the age that is stated"),
-    Assumption("sums a member hears", 5.0, "", "one a zone, whatever the number of cells: delegates add "
-               "up those of their zone"),
-    Assumption("processor a held call at discovery", 0.010, "s", "8 to 12 ms, docs/fleet.md: of the "
-               "platform's discovery, not of ours"),
-    Assumption("processor a new watch at discovery", 0.129, "s", "docs/fleet.md, the same"),
-    Assumption("held calls a second a balancer", 1.0, "/s", "`net/pool.py`, WATCH"),
-)}
+TARGET = {
+    one.name: one
+    for one in (
+        Assumption("balancers", 5_700, "", "the target"),
+        Assumption("connections", 530e6, "", "the target"),
+        Assumption("shards", 840_000, "", "the target: shards of topics"),
+        Assumption("listeners", 350_000, "", "the target: of the largest topic"),
+        Assumption("deliveries", 36e6, "/s", "the target"),
+        Assumption("delivered within", 0.39, "s", "the target: 99 in 100 deliveries"),
+        Assumption("regions", 2, "", "the target"),
+        Assumption("zones", 5, "", "the target: of both regions, as one zone is a fifth of the balancers"),
+        Assumption("changes of configuration", 26_000, "/day", "the target"),
+        Assumption("in force everywhere", 8.0, "s", "the target"),
+        Assumption("control core", 0.028, "core", "the target: of a balancer, for control"),
+        Assumption("control memory", 32e6, "bytes", "the target: of a balancer, for control"),
+        Assumption(
+            "control bytes",
+            21e3,
+            "bytes/s",
+            "the target: of a balancer, for control; read as a bound on "
+            "what goes out and another on what comes in",
+        ),
+        Assumption("control machines", 5, "", "the target"),
+        Assumption("failures", 36, "/day", "the target: machines on an ordinary day"),
+        Assumption("restarts", 2_800, "/day", "the target: restarted or replaced"),
+        Assumption("connections that come back", 106e6, "", "the target: a zone lost"),
+    )
+}
+
+ASSUMPTIONS = {
+    one.name: one
+    for one in (
+        Assumption(
+            "cores of the data path",
+            1.0,
+            "core",
+            "the program is one loop on one thread; a machine may run several, each a balancer of its own",
+        ),
+        Assumption(
+            "bytes a member's news", 48.0, "bytes", "a `wire.Member` in msgpack, names of 13 characters"
+        ),
+        Assumption(
+            "bytes an entry",
+            75.0,
+            "bytes",
+            "a load register of 12 destinations in msgpack; 67 where no count is over 127, 79 where all are",
+        ),
+        Assumption("register writes of a member", 1.0, "/s", "loads, as the simulated workload writes them"),
+        Assumption(
+            "bytes a shard's place",
+            16.0,
+            "bytes",
+            "id and index in a flat table; what Python objects would take is some ten times that",
+        ),
+        Assumption(
+            "processor a shard's score",
+            2e-6,
+            "s",
+            "one keyed 64-bit hash and a comparison in Python; to be measured when it is built",
+        ),
+        Assumption(
+            "members of a cell",
+            57.0,
+            "",
+            "a twentieth of a zone; for the estimates of the roles, the options compare several",
+        ),
+        Assumption(
+            "listeners of a shard at a balancer",
+            4.0,
+            "",
+            "36 million deliveries a second say nothing of "
+            "how listeners cluster; it sets how many frames between balancers a delivery costs",
+        ),
+        Assumption(
+            "bytes a delivery between balancers", 300.0, "bytes", "a line of 200 bytes, a frame's head"
+        ),
+        Assumption(
+            "processor a frame in or out",
+            50e-6,
+            "s",
+            "sealing, msgpack and the system call, as "
+            "`snowwick/fleet` has them; to be measured when it is built",
+        ),
+        Assumption(
+            "bytes a change of configuration",
+            2_000.0,
+            "bytes",
+            "a team's contract; a whole file is sent by digest and in pieces",
+        ),
+        Assumption("bytes a sum", 900.0, "bytes", "the room of one register (`store.VALUE`)"),
+        Assumption(
+            "s between sums", 1.0, "s", "a load that is a second old is within the age that is stated"
+        ),
+        Assumption(
+            "sums a member hears",
+            5.0,
+            "",
+            "one a zone, whatever the number of cells: delegates add up those of their zone",
+        ),
+        Assumption(
+            "processor a held call at discovery",
+            0.010,
+            "s",
+            "8 to 12 ms, docs/fleet.md: of the platform's discovery, not of ours",
+        ),
+        Assumption("processor a new watch at discovery", 0.129, "s", "docs/fleet.md, the same"),
+        Assumption("held calls a second a balancer", 1.0, "/s", "`net/pool.py`, WATCH"),
+    )
+}
 
 
 def target(name: str) -> float:
@@ -130,63 +187,161 @@
     full: tuple[str, ...] | None = None
 
 
-FORMS = {one.quantity: one for one in (
-    Form("bytes_out", "control bytes out", "bytes/s", ("1", "log2 N", "N log2 N"),
-         "probes and roots are a fixed number a period (1); the fleet's changes, verdicts and rights come at "
-         "one rate at any size, each told 3 log2 N times (log2 N); each of N writers' loads is told 3 log2 N "
-         "times by each that hears of it (N log2 N). A range's hash for each eight owners is some 4% of "
-         "that at 100 and at 200 writers of an eighth a second, and is left out. With full frames the rest "
-         "is pulled, in frames whose number grows with the writers (1, log2 N, N), up to what comparison can "
-         "start a period (a ceiling that is counted)",
-         full=("1", "log2 N", "N")),
-    Form("bytes_in", "control bytes in", "bytes/s", ("1", "log2 N", "N log2 N"),
-         "what all send is what all are sent, less what links lose", full=("1", "log2 N", "N")),
-    Form("datagrams_out", "datagrams out", "/s", ("1", "log2 N"),
-         "a probe, its answer, two with news and a comparison a period, whatever the size; further steps of "
-         "comparison where members differ, which lasts as long as news takes to spread. With full frames "
-         "what "
-         "is written beyond their room is pulled, in proportion to the writers (N)",
-         full=("1", "log2 N", "N")),
-    Form("datagrams_in", "datagrams in", "/s", ("1", "log2 N"), "as out", full=("1", "log2 N", "N")),
-    Form("core", "processor of the protocol", "core", ("1", "N", "N log2 N"),
-         "frames a period are fixed (1); roots and ranges are summed over all owners (N); each entry that is "
-         "told is packed, unpacked and taken or known already (N log2 N); what waits to be passed on, the "
-         "writers' registers for as long as news spreads, is sorted for each frame (N log2 N, up to "
-         f"{node.MOST_RUMOURS}). Nothing in a period goes over pairs of owners. Once frames are full 1, log2 "
-         "N and N are left", full=("1", "log2 N", "N")),
-    Form("reference", "the protocol's, in reference frames", "/s", ("1", "N", "N log2 N"),
-         "as the processor of the protocol, over what a full frame took on the machine in the same run",
-         full=("1", "log2 N", "N")),
-    Form("heed_core", "processor of reading the registers", "core", ("1", "N"),
-         "all registers are read at each look, four times a second, by kinds, however rarely they are "
-         "written"),
-    Form("control_core", "control processor", "core", ("1", "N", "N log2 N"),
-         "the protocol's and that of reading the registers, added up a size", full=("1", "log2 N", "N")),
-    Form("memory", "control memory", "bytes", ("1", "1/N", "N"),
-         "a copy of each owner's registers, its record and its window of numbers (N); what the process that "
-         "plays the fleet takes once is shared out over its members (1/N)"),
-    Form("idle_bytes_out", "bytes out when nothing changes", "bytes/s", ("1", "log2 N"),
-         "probes, answers and one root a period"),
-    Form("idle_core", "processor when nothing changes", "core", ("1", "N"),
-         "the root over all owners, twice a period"),
-    Form("everywhere_p50_s", "a change everywhere, half", "s", ("1", "log2 N"),
-         "rounds of spreading (log2 N); with full frames what is left is found by comparison, eight "
-         "owners at a time (N)", full=("1", "log2 N", "N")),
-    Form("everywhere_p99_s", "a change everywhere, 99 in 100", "s", ("1", "log2 N"), "as the half",
-         full=("1", "log2 N", "N")),
-    Form("everywhere_worst_s", "a change everywhere, the slowest", "s", ("1", "log2 N"), "as the half",
-         full=("1", "log2 N", "N")),
-    Form("start_bytes", "bytes of a start", "bytes", ("1", "N"),
-         "a copy of each owner's registers. With full frames the same terms, and others' news and pieces "
-         "that come meanwhile", full=("1", "N")),
-    Form("start_s", "s until caught up", "s", ("1", "N"),
-         "pieces are asked for one at a time, eight owners at once. With full frames the same terms, while "
-         "what was written since is pulled too", full=("1", "N")),
-    Form("load_age_p99_s", "age of a load that is held, 99 in 100", "s", ("1", "log2 N"),
-         "as a change everywhere, beside the time between two of a writer", full=("1", "log2 N", "N")),
-    Form("load_late_p99_s", "a load that is not held yet is late by, 99 in 100", "s", ("1", "log2 N"),
-         "as a change everywhere", full=("1", "log2 N", "N")),
-)}
+FORMS = {
+    one.quantity: one
+    for one in (
+        Form(
+            "bytes_out",
+            "control bytes out",
+            "bytes/s",
+            ("1", "log2 N", "N log2 N"),
+            "probes and roots are a fixed number a period (1); the fleet's changes, verdicts and rights come at "
+            "one rate at any size, each told 3 log2 N times (log2 N); each of N writers' loads is told 3 log2 N "
+            "times by each that hears of it (N log2 N). A range's hash for each eight owners is some 4% of "
+            "that at 100 and at 200 writers of an eighth a second, and is left out. With full frames the rest "
+            "is pulled, in frames whose number grows with the writers (1, log2 N, N), up to what comparison can "
+            "start a period (a ceiling that is counted)",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "bytes_in",
+            "control bytes in",
+            "bytes/s",
+            ("1", "log2 N", "N log2 N"),
+            "what all send is what all are sent, less what links lose",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "datagrams_out",
+            "datagrams out",
+            "/s",
+            ("1", "log2 N"),
+            "a probe, its answer, two with news and a comparison a period, whatever the size; further steps of "
+            "comparison where members differ, which lasts as long as news takes to spread. With full frames "
+            "what "
+            "is written beyond their room is pulled, in proportion to the writers (N)",
+            full=("1", "log2 N", "N"),
+        ),
+        Form("datagrams_in", "datagrams in", "/s", ("1", "log2 N"), "as out", full=("1", "log2 N", "N")),
+        Form(
+            "core",
+            "processor of the protocol",
+            "core",
+            ("1", "N", "N log2 N"),
+            "frames a period are fixed (1); roots and ranges are summed over all owners (N); each entry that is "
+            "told is packed, unpacked and taken or known already (N log2 N); what waits to be passed on, the "
+            "writers' registers for as long as news spreads, is sorted for each frame (N log2 N, up to "
+            f"{node.MOST_RUMOURS}). Nothing in a period goes over pairs of owners. Once frames are full 1, log2 "
+            "N and N are left",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "reference",
+            "the protocol's, in reference frames",
+            "/s",
+            ("1", "N", "N log2 N"),
+            "as the processor of the protocol, over what a full frame took on the machine in the same run",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "heed_core",
+            "processor of reading the registers",
+            "core",
+            ("1", "N"),
+            "all registers are read at each look, four times a second, by kinds, however rarely they are "
+            "written",
+        ),
+        Form(
+            "control_core",
+            "control processor",
+            "core",
+            ("1", "N", "N log2 N"),
+            "the protocol's and that of reading the registers, added up a size",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "memory",
+            "control memory",
+            "bytes",
+            ("1", "1/N", "N"),
+            "a copy of each owner's registers, its record and its window of numbers (N); what the process that "
+            "plays the fleet takes once is shared out over its members (1/N)",
+        ),
+        Form(
+            "idle_bytes_out",
+            "bytes out when nothing changes",
+            "bytes/s",
+            ("1", "log2 N"),
+            "probes, answers and one root a period",
+        ),
+        Form(
+            "idle_core",
+            "processor when nothing changes",
+            "core",
+            ("1", "N"),
+            "the root over all owners, twice a period",
+        ),
+        Form(
+            "everywhere_p50_s",
+            "a change everywhere, half",
+            "s",
+            ("1", "log2 N"),
+            "rounds of spreading (log2 N); with full frames what is left is found by comparison, eight "
+            "owners at a time (N)",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "everywhere_p99_s",
+            "a change everywhere, 99 in 100",
+            "s",
+            ("1", "log2 N"),
+            "as the half",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "everywhere_worst_s",
+            "a change everywhere, the slowest",
+            "s",
+            ("1", "log2 N"),
+            "as the half",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "start_bytes",
+            "bytes of a start",
+            "bytes",
+            ("1", "N"),
+            "a copy of each owner's registers. With full frames the same terms, and others' news and pieces "
+            "that come meanwhile",
+            full=("1", "N"),
+        ),
+        Form(
+            "start_s",
+            "s until caught up",
+            "s",
+            ("1", "N"),
+            "pieces are asked for one at a time, eight owners at once. With full frames the same terms, while "
+            "what was written since is pulled too",
+            full=("1", "N"),
+        ),
+        Form(
+            "load_age_p99_s",
+            "age of a load that is held, 99 in 100",
+            "s",
+            ("1", "log2 N"),
+            "as a change everywhere, beside the time between two of a writer",
+            full=("1", "log2 N", "N"),
+        ),
+        Form(
+            "load_late_p99_s",
+            "a load that is not held yet is late by, 99 in 100",
+            "s",
+            ("1", "log2 N"),
+            "as a change everywhere",
+            full=("1", "log2 N", "N"),
+        ),
+    )
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -202,9 +357,11 @@
 
     def slopes(self, n: float) -> str:
         """The coefficients of what counts at that size, a thousandth of the whole at least."""
-        some = [f"{c:.3g} {'' if name == '1' else name}".strip()
-                for name, c in zip(self.basis, self.coefficients, strict=True)
-                if c * BASIS[name](n) > 1e-3 * self.at(n)]
+        some = [
+            f"{c:.3g} {'' if name == '1' else name}".strip()
+            for name, c in zip(self.basis, self.coefficients, strict=True)
+            if c * BASIS[name](n) > 1e-3 * self.at(n)
+        ]
         return " + ".join(some) or "0"
 
 
@@ -271,8 +428,9 @@
 
     Larger ones are in that regime too, though the small frames that ask for pieces make their mean smaller.
     """
-    return min((float(row["members"]) for row in rows if "members" in row and is_full(row, part)),
-               default=None)
+    return min(
+        (float(row["members"]) for row in rows if "members" in row and is_full(row, part)), default=None
+    )
 
 
 def regime(form: Form, quantity: str, rows: Sequence[Row]) -> tuple[tuple[str, ...], Sequence[Row]]:
@@ -354,8 +512,16 @@
         one = whole(form, smaller, quantity, size)
         if one is not None:
             fleet = size == "members" and form.full is not None
-            found.append(LeftOut(one, at, one.at(at), value, full_from(smaller, part) if fleet else None,
-                                 filled(smaller, at, part) if fleet else None))
+            found.append(
+                LeftOut(
+                    one,
+                    at,
+                    one.at(at),
+                    value,
+                    full_from(smaller, part) if fleet else None,
+                    filled(smaller, at, part) if fleet else None,
+                )
+            )
     return found
 
 
@@ -366,13 +532,26 @@
     return some[0] if some else None
 
 
-PATH_FORMS = {one.quantity: one for one in (
-    Form("memory", "memory with standing connections", "bytes", ("1", "N"),
-         "the program itself, and each connection's objects and buffers; N is connections"),
-    Form("line_s", "processor a line", "s", ("1", "log2 N"),
-         "a fixed number of turns and calls; what is touched more rarely leaves the caches, by levels"),
-    Form("setup_s", "processor a setup", "s", ("1", "log2 N"), "as a line"),
-)}
+PATH_FORMS = {
+    one.quantity: one
+    for one in (
+        Form(
+            "memory",
+            "memory with standing connections",
+            "bytes",
+            ("1", "N"),
+            "the program itself, and each connection's objects and buffers; N is connections",
+        ),
+        Form(
+            "line_s",
+            "processor a line",
+            "s",
+            ("1", "log2 N"),
+            "a fixed number of turns and calls; what is touched more rarely leaves the caches, by levels",
+        ),
+        Form("setup_s", "processor a setup", "s", ("1", "log2 N"), "as a line"),
+    )
+}
 
 
 # -- what was measured ---------------------------------------------------------------------------------------
@@ -431,8 +610,12 @@
             if not row.get("partial"):
                 into[float(row[key])] = control(row)
     found = {key: [one for _, one in sorted(some.items())] for key, some in rows.items()}
-    return Measured({writes: some for (form, writes), some in sorted(found.items()) if form == "simulated"},
-                    found.get(("real", 0.0), ()), found.get(("data-path", 0.0), ()), runs)
+    return Measured(
+        {writes: some for (form, writes), some in sorted(found.items()) if form == "simulated"},
+        found.get(("real", 0.0), ()),
+        found.get(("data-path", 0.0), ()),
+        runs,
+    )
 
 
 PERIOD = 0.2  # s: the protocol's, as shipped
@@ -446,8 +629,16 @@
     """Bytes of the frame with the hashes of the ranges at so many owners, names as on the platform."""
     count = 1 << max(0, math.ceil(math.log2(max(1, n / store.OWNERS_A_RANGE))))
     hashes = [(1 << 63) + 1] * count
-    frame = wire.Frame("balancer-0000", "10.0.0.1:7946", 1_700_000_000_000, 1 << 62, 1 << 20, "balancer-0001",
-                       1 << 62, wire.Ranges(hashes))
+    frame = wire.Frame(
+        "balancer-0000",
+        "10.0.0.1:7946",
+        1_700_000_000_000,
+        1 << 62,
+        1 << 20,
+        "balancer-0001",
+        1 << 62,
+        wire.Ranges(hashes),
+    )
     return 1 + wire.DIGEST + wire.size(frame)
 
 
@@ -564,7 +755,8 @@
 
 # What no fit goes beyond
 CAPS: dict[str, Callable[[int], float]] = {
-    "bytes_out": ceiling, "bytes_in": ceiling,
+    "bytes_out": ceiling,
+    "bytes_in": ceiling,
     "datagrams_out": lambda n: FRAMES / PERIOD,
     "datagrams_in": lambda n: FRAMES / PERIOD,
 }
@@ -575,8 +767,9 @@
     return CAPS[quantity](int(at)) if quantity in CAPS else math.inf
 
 
-def estimate(form: Form, rows: Sequence[Row], at: float, quantity: str = "",
-             size: str = "members") -> Estimate:
+def estimate(
+    form: Form, rows: Sequence[Row], at: float, quantity: str = "", size: str = "members"
+) -> Estimate:
     """The quantity at a size, by the fit over all that were measured.
 
     Where the series has come to full frames, what frames bound is the counted ceiling: no law of the regime
@@ -613,24 +806,30 @@
     whatever it is.  What the process that plays the fleet takes once (1/N) is no member's and falls away.
     """
     factor = {"N log2 N": times, "1/N": 0.0}
-    return replace(one, coefficients=tuple(c * factor.get(name, 1.0) for name, c in
-                                           zip(one.basis, one.coefficients, strict=True)))
+    return replace(
+        one,
+        coefficients=tuple(
+            c * factor.get(name, 1.0) for name, c in zip(one.basis, one.coefficients, strict=True)
+        ),
+    )
 
 
 def added(one: Fit, other: Fit) -> Fit:
     """The sum of two laws."""
     names = tuple(dict.fromkeys((*one.basis, *other.basis)))
     parts = [dict(zip(some.basis, some.coefficients, strict=True)) for some in (one, other)]
-    return Fit(names, tuple(sum(part.get(name, 0.0) for part in parts) for name in names),
-               tuple(sorted({*one.sizes, *other.sizes})))
+    return Fit(
+        names,
+        tuple(sum(part.get(name, 0.0) for part in parts) for name in names),
+        tuple(sorted({*one.sizes, *other.sizes})),
+    )
 
 
 MOST_FLEET = 10_000_000
 
 
 def regime_ends(sent: Fit, frames: Fit) -> int:
-    """The largest fleet whose frames have room for what they carry, by the laws of bytes and datagrams out.
-    """
+    """The largest fleet whose frames have room for what they carry, by the laws of bytes and datagrams out."""
     low, high = 2, MOST_FLEET
     while high - low > 1:
         middle = (low + high) // 2
@@ -651,13 +850,22 @@
 
 # -- budgets -------------------------------------------------------------------------------------------------
 
-PARTS = {"": "an ordinary day", "burst.": "a burst of changes", "zone_lost.": "a zone lost",
-         "region_cut.": "a region cut"}
+PARTS = {
+    "": "an ordinary day",
+    "burst.": "a burst of changes",
+    "zone_lost.": "a zone lost",
+    "region_cut.": "a region cut",
+}
 CONTROL_BUDGETS = {
-    "bytes_out": "control bytes", "bytes_in": "control bytes", "control_core": "control core",
-    "memory": "control memory", "zone_lost.bytes_out": "control bytes",
-    "zone_lost.bytes_in": "control bytes", "zone_lost.control_core": "control core",
-    "everywhere_p99_s": "in force everywhere", "burst.everywhere_p99_s": "in force everywhere",
+    "bytes_out": "control bytes",
+    "bytes_in": "control bytes",
+    "control_core": "control core",
+    "memory": "control memory",
+    "zone_lost.bytes_out": "control bytes",
+    "zone_lost.bytes_in": "control bytes",
+    "zone_lost.control_core": "control core",
+    "everywhere_p99_s": "in force everywhere",
+    "burst.everywhere_p99_s": "in force everywhere",
     "zone_lost.everywhere_p99_s": "in force everywhere",
 }
 
@@ -704,12 +912,18 @@
         if quantity == "control_core" and one.value is None:
             core, heed = estimate(FORMS["core"], rows, self.n), self.of("heed_core") if rows else one
             if core.value is not None and heed.value is not None:
-                worse = max((some.left for some in (core, heed) if some.left is not None),
-                            key=lambda left: abs(left.error), default=None)
+                worse = max(
+                    (some.left for some in (core, heed) if some.left is not None),
+                    key=lambda left: abs(left.error),
+                    default=None,
+                )
                 one = replace(core, value=core.value + heed.value, left=worse, fit=None)
         ends = None
-        if form_of(quantity).full is not None and not one.capped and \
-                full_from(rows, of_part(quantity)) is None:
+        if (
+            form_of(quantity).full is not None
+            and not one.capped
+            and full_from(rows, of_part(quantity)) is None
+        ):
             sent, frames = law(FORMS["bytes_out"], rows), law(FORMS["datagrams_out"], rows)
             if sent is not None and frames is not None and sent.at(self.n) > frames.at(self.n) * wire.MOST:
                 ends = regime_ends(sent, frames)
--- a/snowwick/lab/capacity_roles.py
+++ b/snowwick/lab/capacity_roles.py
@@ -58,129 +58,205 @@
     line, worse = model.path("line_s", model.held), model.path("line_s", model.held_worst)
     back = target("connections that come back") / (model.n - model.zone)
     again = times(model.path("setup_s", model.held_worst), back, "s")
-    return ["data path: connections and lines", "`net/service.py`, `net/front.py`, `net/loop.py`",
-            f"{number(model.held)} connections", f"{number(model.lines)} lines/s",
-            times(line, model.lines, "core"), model.path("memory", model.held).said("bytes"),
-            f"zone: {number(model.held_worst)} connections, "
-            f"{model.path('memory', model.held_worst).said('bytes')}"
-            f"; {number(model.lines_worst)} lines/s, {times(worse, model.lines_worst, 'core')}; setups of "
-            f"{number(back)} that come back: processor {again}"]
+    return [
+        "data path: connections and lines",
+        "`net/service.py`, `net/front.py`, `net/loop.py`",
+        f"{number(model.held)} connections",
+        f"{number(model.lines)} lines/s",
+        times(line, model.lines, "core"),
+        model.path("memory", model.held).said("bytes"),
+        f"zone: {number(model.held_worst)} connections, "
+        f"{model.path('memory', model.held_worst).said('bytes')}"
+        f"; {number(model.lines_worst)} lines/s, {times(worse, model.lines_worst, 'core')}; setups of "
+        f"{number(back)} that come back: processor {again}",
+    ]
 
 
 def _shards(model: Model) -> list[str]:
     shards, score = target("shards"), assumed("processor a shard's score")
     place, cell, zones = assumed("bytes a shard's place"), assumed("members of a cell"), target("zones")
     flat, steps = model.n * score, (zones + model.zone / cell + cell) * score
-    return ["placing of shards", "**missing**; would be rendezvous hashing, as `crowgap/policy.py` has it "
-            "for groups, over zones, then cells, then members",
-            f"{number(shards / model.n)} of {number(shards)} shards (estimated)", "none beside membership",
-            f"a look-up: {seconds(steps)} in steps, {seconds(flat)} over all members; all shards anew: "
-            f"{seconds(shards * steps)} (estimated)",
-            f"{size(shards * place)} with all places, {size(shards / model.n * place)} with its own "
-            "(estimated)",
-            f"zone: {number(shards / zones)} shards move, {seconds(shards / zones * steps)} where each "
-            "balancer reckons all, nothing where it looks up what it uses (estimated); cut: each region "
-            "places all shards in itself"]
+    return [
+        "placing of shards",
+        "**missing**; would be rendezvous hashing, as `crowgap/policy.py` has it "
+        "for groups, over zones, then cells, then members",
+        f"{number(shards / model.n)} of {number(shards)} shards (estimated)",
+        "none beside membership",
+        f"a look-up: {seconds(steps)} in steps, {seconds(flat)} over all members; all shards anew: "
+        f"{seconds(shards * steps)} (estimated)",
+        f"{size(shards * place)} with all places, {size(shards / model.n * place)} with its own (estimated)",
+        f"zone: {number(shards / zones)} shards move, {seconds(shards / zones * steps)} where each "
+        "balancer reckons all, nothing where it looks up what it uses (estimated); cut: each region "
+        "places all shards in itself",
+    ]
 
 
 def _fan_out(model: Model) -> list[str]:
     per, frame = assumed("listeners of a shard at a balancer"), assumed("processor a frame in or out")
     frames, n, cell = model.lines / per, model.n, assumed("members of a cell")
     sent = n * frame
-    return ["fan-out of a topic's deliveries", "**missing**; would be frames from a shard's owner to each "
-            "balancer with listeners, large topics by way of one balancer a cell",
-            f"{number(target('listeners') / n)} listeners of the largest topic",
-            f"{number(frames)} frames/s in and out, "
-            f"{rate(frames * assumed('bytes a delivery between balancers'))} each (estimated)",
-            f"{shown(2.0 * frames * frame, 'core')} (estimated)", "not estimated: it depends on the queues",
-            f"zone: {number(model.lines_worst / per)} frames/s; one message of the largest topic, sent by "
-            f"its owner alone: {number(n)} frames, {seconds(sent)} of {seconds(target('delivered within'))}; "
-            f"by way of one a cell: {seconds((n / cell + cell) * frame)} (estimated)"]
+    return [
+        "fan-out of a topic's deliveries",
+        "**missing**; would be frames from a shard's owner to each "
+        "balancer with listeners, large topics by way of one balancer a cell",
+        f"{number(target('listeners') / n)} listeners of the largest topic",
+        f"{number(frames)} frames/s in and out, "
+        f"{rate(frames * assumed('bytes a delivery between balancers'))} each (estimated)",
+        f"{shown(2.0 * frames * frame, 'core')} (estimated)",
+        "not estimated: it depends on the queues",
+        f"zone: {number(model.lines_worst / per)} frames/s; one message of the largest topic, sent by "
+        f"its owner alone: {number(n)} frames, {seconds(sent)} of {seconds(target('delivered within'))}; "
+        f"by way of one a cell: {seconds((n / cell + cell) * frame)} (estimated)",
+    ]
 
 
 def _membership(model: Model) -> list[str]:
     news = told(model.n) * assumed("bytes a member's news")
     goings = 2.0 * (target("failures") + target("restarts")) / DAY
     storm = model.zone * news
-    return ["membership", "`fleet/members.py` (SWIM, Lifeguard)", f"{number(model.n)} records",
-            f"{model.of('idle_bytes_out').said('bytes/s')} idle; {number(goings)} goings and comings a "
-            f"second are {rate(goings * news)} out (counted)", f"{model.of('idle_core').said('core')} idle",
-            ALL, f"zone: {number(model.zone)} deaths are {size(storm)} out, "
-            f"{seconds(storm / target('control bytes'))} of the whole budget (counted); cut: the other "
-            "region's members are taken for dead, and come back"]
+    return [
+        "membership",
+        "`fleet/members.py` (SWIM, Lifeguard)",
+        f"{number(model.n)} records",
+        f"{model.of('idle_bytes_out').said('bytes/s')} idle; {number(goings)} goings and comings a "
+        f"second are {rate(goings * news)} out (counted)",
+        f"{model.of('idle_core').said('core')} idle",
+        ALL,
+        f"zone: {number(model.zone)} deaths are {size(storm)} out, "
+        f"{seconds(storm / target('control bytes'))} of the whole budget (counted); cut: the other "
+        "region's members are taken for dead, and come back",
+    ]
 
 
 def _configuration(model: Model) -> list[str]:
     changes = target("changes of configuration") / DAY
     body = changes * assumed("bytes a change of configuration")
     entry = changes * told(model.n) * assumed("bytes an entry")
-    day, burst, zone = (model.of(f"{part}everywhere_p99_s").said("s")
-                        for part in ("", "burst.", "zone_lost."))
-    return ["configuration", "that it differs, and limits: `fleet/facts.py` (Revision); its contents "
-            "**missing**, files and SIGHUP: would be signed files in pieces, asked for as `store.piece`",
-            "one file", f"{number(changes)} changes/s: {rate(entry)} out (counted), contents {rate(body)} in "
-            "(estimated)", ALL, ALL, f"everywhere, 99 in 100: {day} on an ordinary day, {burst} in a burst, "
-            f"{zone} with a zone lost, of {seconds(target('in force everywhere'))}; cut: not before it heals"]
+    day, burst, zone = (
+        model.of(f"{part}everywhere_p99_s").said("s") for part in ("", "burst.", "zone_lost.")
+    )
+    return [
+        "configuration",
+        "that it differs, and limits: `fleet/facts.py` (Revision); its contents "
+        "**missing**, files and SIGHUP: would be signed files in pieces, asked for as `store.piece`",
+        "one file",
+        f"{number(changes)} changes/s: {rate(entry)} out (counted), contents {rate(body)} in (estimated)",
+        ALL,
+        ALL,
+        f"everywhere, 99 in 100: {day} on an ordinary day, {burst} in a burst, "
+        f"{zone} with a zone lost, of {seconds(target('in force everywhere'))}; cut: not before it heals",
+    ]
 
 
 def _health(model: Model) -> list[str]:
-    return ["health", "`fleet/facts.py` (Health)", "a verdict for each bad destination and finder, 6 s",
-            f"{rate(told(model.n) * assumed('bytes an entry'))} out for one verdict a second of the fleet "
-            "(counted)", ALL, ALL, "zone: verdicts on its destinations from each who had any there; cut: who "
-            "finds over a quarter bad is taken for sick and not heeded"]
+    return [
+        "health",
+        "`fleet/facts.py` (Health)",
+        "a verdict for each bad destination and finder, 6 s",
+        f"{rate(told(model.n) * assumed('bytes an entry'))} out for one verdict a second of the fleet "
+        "(counted)",
+        ALL,
+        ALL,
+        "zone: verdicts on its destinations from each who had any there; cut: who "
+        "finds over a quarter bad is taken for sick and not heeded",
+    ]
 
 
 def _loads(model: Model) -> list[str]:
     writes = assumed("register writes of a member")
     every = demand(model.n, writes, assumed("bytes an entry"))
-    return ["loads", "`fleet/facts.py` (LOAD), `net/fleet.py`", f"{number(4 * model.n)} registers",
-            f"{rate(every)} out if each tells {number(writes)} a second (counted): over the budget "
-            f"{number(every / target('control bytes'))} times", ALL, ALL, f"late by, 99 in 100: "
-            f"{model.of('load_late_p99_s').said('s')}, with a zone lost "
-            f"{model.of('zone_lost.load_late_p99_s').said('s')}; cut: the other region's count nothing"]
+    return [
+        "loads",
+        "`fleet/facts.py` (LOAD), `net/fleet.py`",
+        f"{number(4 * model.n)} registers",
+        f"{rate(every)} out if each tells {number(writes)} a second (counted): over the budget "
+        f"{number(every / target('control bytes'))} times",
+        ALL,
+        ALL,
+        f"late by, 99 in 100: "
+        f"{model.of('load_late_p99_s').said('s')}, with a zone lost "
+        f"{model.of('zone_lost.load_late_p99_s').said('s')}; cut: the other region's count nothing",
+    ]
 
 
 def _rights(model: Model) -> list[str]:
-    return ["rights", "`fleet/rights.py`, `net/fleet.py`", "an ask a member and budget, a grant a pair",
-            f"{rate(demand(model.n, 1.0, assumed('bytes an entry')))} out for a budget that all want more "
-            "of: asks once a second, heard by all (counted)", ALL, ALL, "zone: what was lent to it counts as "
-            "used for 12 s, its own part is not used until it is back; who starts has a tenth for 12 s; cut: "
-            "each region has its own parts"]
+    return [
+        "rights",
+        "`fleet/rights.py`, `net/fleet.py`",
+        "an ask a member and budget, a grant a pair",
+        f"{rate(demand(model.n, 1.0, assumed('bytes an entry')))} out for a budget that all want more "
+        "of: asks once a second, heard by all (counted)",
+        ALL,
+        ALL,
+        "zone: what was lent to it counts as "
+        "used for 12 s, its own part is not used until it is back; who starts has a tenth for 12 s; cut: "
+        "each region has its own parts",
+    ]
 
 
 def _joining(model: Model) -> list[str]:
     start = model.of("start_bytes")
     others = model.zone / (model.n - model.zone)
-    return ["joining and catching up", "`fleet/node.py` (comparison, pulls)", "-",
-            f"{start.said('bytes')} in a start; {number(target('restarts') / DAY)} starts/s in the fleet",
-            ALL, "as before the start", f"a start takes {model.of('start_s').said('s')}; zone: "
-            f"{number(model.zone)} at once, {times(start, others, 'bytes')} out of each other balancer"]
+    return [
+        "joining and catching up",
+        "`fleet/node.py` (comparison, pulls)",
+        "-",
+        f"{start.said('bytes')} in a start; {number(target('restarts') / DAY)} starts/s in the fleet",
+        ALL,
+        "as before the start",
+        f"a start takes {model.of('start_s').said('s')}; zone: "
+        f"{number(model.zone)} at once, {times(start, others, 'bytes')} out of each other balancer",
+    ]
 
 
 def _machines(model: Model) -> list[str]:
     into = model.n * assumed("bytes a sum") / assumed("s between sums")
     machines = target("control machines")
-    return ["the five control machines", "**missing**; would add up loads and hand on files", "-",
-            f"{rate(into)} into each that hears all balancers (estimated)", "the options below",
-            f"{size(model.n * assumed('bytes a sum'))} (estimated)", "one or two down: nothing here depends "
-            f"on them; as relays the others bear {number(machines / (machines - 2.0))} times as much"]
+    return [
+        "the five control machines",
+        "**missing**; would add up loads and hand on files",
+        "-",
+        f"{rate(into)} into each that hears all balancers (estimated)",
+        "the options below",
+        f"{size(model.n * assumed('bytes a sum'))} (estimated)",
+        "one or two down: nothing here depends "
+        f"on them; as relays the others bear {number(machines / (machines - 2.0))} times as much",
+    ]
 
 
 def _discovery(model: Model) -> list[str]:
     calls = model.n * assumed("held calls a second a balancer")
     watches = model.zone * assumed("processor a new watch at discovery")
-    return ["discovery", "watched by `net/pool.py`; the service itself is the platform's", "the list, 1 MB "
-            "of JSON at most (`MAX_BODY`)", f"{number(calls)} held calls/s of all balancers (counted)",
-            f"of the service: {shown(calls * assumed('processor a held call at discovery'), 'core')} "
-            "(counted)",
-            "the list, read: some ten times its JSON", f"zone: {number(model.zone)} new watches, "
-            f"{seconds(watches)} of the service's processor (counted); a list of all 1 MB to each"]
+    return [
+        "discovery",
+        "watched by `net/pool.py`; the service itself is the platform's",
+        "the list, 1 MB of JSON at most (`MAX_BODY`)",
+        f"{number(calls)} held calls/s of all balancers (counted)",
+        f"of the service: {shown(calls * assumed('processor a held call at discovery'), 'core')} (counted)",
+        "the list, read: some ten times its JSON",
+        f"zone: {number(model.zone)} new watches, "
+        f"{seconds(watches)} of the service's processor (counted); a list of all 1 MB to each",
+    ]
 
 
 def roles(model: Model) -> str:
     """What each role holds and costs a balancer at the target, and what carries it."""
-    rows = [make(model) for make in (_path, _shards, _fan_out, _membership, _configuration, _health, _loads,
-                                     _rights, _joining, _machines, _discovery)]
+    rows = [
+        make(model)
+        for make in (
+            _path,
+            _shards,
+            _fan_out,
+            _membership,
+            _configuration,
+            _health,
+            _loads,
+            _rights,
+            _joining,
+            _machines,
+            _discovery,
+        )
+    ]
     return table(["role", "mechanism", "state held", "messages", "processor", "memory", "worst hour"], rows)
 
 
@@ -222,12 +298,25 @@
         else:
             room = target("control bytes") - idle.fit.at(cell) - beside
             row.append(seconds(demand(cell, 1.0, entry) / room) if room > 0.0 else "no room")
-        inside = bool(played) and min(played) <= cell <= max(played) and (
-            rest == 1.0 or min(played) <= rest <= max(played))
+        inside = (
+            bool(played)
+            and min(played) <= cell <= max(played)
+            and (rest == 1.0 or min(played) <= rest <= max(played))
+        )
         row.append("inside the sizes measured" if inside else "beyond them" if played else "-")
         rows.append(row)
-    return table(["who is heard in full", "bytes out", "processor", "memory", "sums in beside",
-                  "one register told each, within the budget (counted)", "fits"], rows)
+    return table(
+        [
+            "who is heard in full",
+            "bytes out",
+            "processor",
+            "memory",
+            "sums in beside",
+            "one register told each, within the budget (counted)",
+            "fits",
+        ],
+        rows,
+    )
 
 
 def others(model: Model) -> str:
@@ -237,26 +326,60 @@
     rows = []
     for k in CHILDREN:
         depth = math.ceil(math.log(n, k))
-        rows.append([f"a tree, {k} children a member", f"{rate(one / every + k * heard)}",
-                     f"{rate(k * one / every + heard)}",
-                     f"{seconds(2.0 * depth * every)}, {depth} levels up and down", "a member that dies cuts "
-                     "off what is under it until that has found another parent; a change of configuration "
-                     "waits for it too"])
+        rows.append(
+            [
+                f"a tree, {k} children a member",
+                f"{rate(one / every + k * heard)}",
+                f"{rate(k * one / every + heard)}",
+                f"{seconds(2.0 * depth * every)}, {depth} levels up and down",
+                "a member that dies cuts "
+                "off what is under it until that has found another parent; a change of configuration "
+                "waits for it too",
+            ]
+        )
     machines = target("control machines")
     frames = n / every / machines * (1.0 + math.ceil(heard * every / wire.MOST))
-    rows.append(["the five machines as relays", rate(one / every), rate(heard), seconds(2.0 * every),
-                 f"a machine: {rate(n * one / every / machines)} in, {rate(n * heard / machines)} out, "
-                 f"{shown(frames * assumed('processor a frame in or out'), 'core')}; with two down "
-                 f"{number(machines / (machines - 2.0))} times that. All away: no sums; each goes by its "
-                 "own count and its part of the budgets"])
+    rows.append(
+        [
+            "the five machines as relays",
+            rate(one / every),
+            rate(heard),
+            seconds(2.0 * every),
+            f"a machine: {rate(n * one / every / machines)} in, {rate(n * heard / machines)} out, "
+            f"{shown(frames * assumed('processor a frame in or out'), 'core')}; with two down "
+            f"{number(machines / (machines - 2.0))} times that. All away: no sums; each goes by its "
+            "own count and its part of the budgets",
+        ]
+    )
     bound = target("control bytes")
-    rows.append(["doing without: tell less often", rate(bound), rate(bound),
-                 f"{seconds(demand(n, 1.0, entry) / bound)} between two tellings of a member", "memory, "
-                 "processor of the looks and the bounds of the shipped code stay as they are"])
+    rows.append(
+        [
+            "doing without: tell less often",
+            rate(bound),
+            rate(bound),
+            f"{seconds(demand(n, 1.0, entry) / bound)} between two tellings of a member",
+            "memory, processor of the looks and the bounds of the shipped code stay as they are",
+        ]
+    )
     loads = 10.0
-    rows.append([f"doing without: tell changes of {number(loads)} times the size", rate(bound), rate(bound),
-                 f"{seconds(demand(n, 1.0 / loads, entry) / bound)}, if {number(loads)} times as large are "
-                 f"{number(loads)} times as rare", "the same; and sums are off by the size times the root "
-                 "of the members, if errors are independent, which a common rise is not"])
-    return table(["option", "out of a balancer", "into a balancer", "age", "cost elsewhere, and what holds "
-                  "when it is away"], rows)
+    rows.append(
+        [
+            f"doing without: tell changes of {number(loads)} times the size",
+            rate(bound),
+            rate(bound),
+            f"{seconds(demand(n, 1.0 / loads, entry) / bound)}, if {number(loads)} times as large are "
+            f"{number(loads)} times as rare",
+            "the same; and sums are off by the size times the root "
+            "of the members, if errors are independent, which a common rise is not",
+        ]
+    )
+    return table(
+        [
+            "option",
+            "out of a balancer",
+            "into a balancer",
+            "age",
+            "cost elsewhere, and what holds when it is away",
+        ],
+        rows,
+    )
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -45,12 +45,28 @@
 )
 from snowwick.lab.capacity_roles import options, others, roles
 
-MISSING = (("placing of shards", "840,000 shards"), ("99 in 100 deliveries", "390 ms"),
-           ("contents of a change of configuration, in force", "8 s"))
+MISSING = (
+    ("placing of shards", "840,000 shards"),
+    ("99 in 100 deliveries", "390 ms"),
+    ("contents of a change of configuration, in force", "8 s"),
+)
 WORST = ("bytes_out", "bytes_in", "control_core", "everywhere_p99_s", "load_late_p99_s")
-SIZES = ("bytes_out", "bytes_in", "datagrams_out", "core", "reference", "heed_core", "memory",
-         "idle_bytes_out", "idle_core", "everywhere_p99_s", "start_bytes", "start_s", "load_age_p99_s",
-         "load_late_p99_s")
+SIZES = (
+    "bytes_out",
+    "bytes_in",
+    "datagrams_out",
+    "core",
+    "reference",
+    "heed_core",
+    "memory",
+    "idle_bytes_out",
+    "idle_core",
+    "everywhere_p99_s",
+    "start_bytes",
+    "start_s",
+    "load_age_p99_s",
+    "load_late_p99_s",
+)
 
 
 def glance(model: Model) -> str:
@@ -60,42 +76,99 @@
     """
     rows: list[tuple[float, list[str]]] = []
 
-    def add(name: str, value: float | None, unit: str, budget: float, stands: str,
-            factor: float | None = None, past: bool = False, beside: str = "the same",
-            counted: str = "") -> None:
+    def add(
+        name: str,
+        value: float | None,
+        unit: str,
+        budget: float,
+        stands: str,
+        factor: float | None = None,
+        past: bool = False,
+        beside: str = "the same",
+        counted: str = "",
+    ) -> None:
         if value is None:
             rows.append((-1.0, [name, stands, shown(budget, unit), "-", "-", "-", beside]))
             return
         over = value / budget if budget else (math.inf if value else 0.0)
         said = f"open: {number(over)} of it, were there no bound" if past and over <= 1.0 else verdict(over)
-        rows.append((over, [name, shown(value, unit) + counted, shown(budget, unit), said,
-                            f"{number(factor)} times" if factor is not None else "-", stands, beside]))
+        rows.append(
+            (
+                over,
+                [
+                    name,
+                    shown(value, unit) + counted,
+                    shown(budget, unit),
+                    said,
+                    f"{number(factor)} times" if factor is not None else "-",
+                    stands,
+                    beside,
+                ],
+            )
+        )
 
     for quantity, budget in CONTROL_BUDGETS.items():
         form, one = form_of(quantity), model.of(quantity)
         part = quantity.rpartition(".")[0]
         title = form.title + (f", {PARTS[part + '.']}" if part else "")
-        add(title, one.value, form.unit, target(budget), one.stands, one.factor, one.past,
-            rarely(model, quantity, form, target(budget)), ", counted ceiling" if one.capped else "")
+        add(
+            title,
+            one.value,
+            form.unit,
+            target(budget),
+            one.stands,
+            one.factor,
+            one.past,
+            rarely(model, quantity, form, target(budget)),
+            ", counted ceiling" if one.capped else "",
+        )
     for title, held, lines in model.days():
         one = model.path("line_s", held)
-        add(f"data path, {title}: {number(lines)} lines a second at {number(held)} connections",
-            None if one.value is None else one.value * lines, "core", assumed("cores of the data path"),
-            one.stands, one.factor)
+        add(
+            f"data path, {title}: {number(lines)} lines a second at {number(held)} connections",
+            None if one.value is None else one.value * lines,
+            "core",
+            assumed("cores of the data path"),
+            one.stands,
+            one.factor,
+        )
     add("members that a balancer takes frames of", model.n, "", float(wire.SENDERS), "counted")
-    add("frame with the hashes of the ranges", float(ranges_bytes(int(model.n))), "bytes", float(wire.MOST),
-        "counted")
+    add(
+        "frame with the hashes of the ranges",
+        float(ranges_bytes(int(model.n))),
+        "bytes",
+        float(wire.MOST),
+        "counted",
+    )
     deaths = [some for row in model.measured.simulated if (some := false_deaths(row)) is not None]
     slow = model.measured.series.get(model.slow, ()) if model.slow is not None else ()
     rarer = [some for row in slow if (some := false_deaths(row)) is not None]
-    add("members falsely taken for dead, all sizes played", float(sum(deaths)) if deaths else None, "", 0.0,
-        "measured" if deaths else NOT_MEASURED, beside=number(sum(rarer)) if rarer else NOT_MEASURED)
-    rows += [(-0.5, [name, "missing", budget, "**no mechanism**", "-", "-", "the same"])
-             for name, budget in MISSING]
+    add(
+        "members falsely taken for dead, all sizes played",
+        float(sum(deaths)) if deaths else None,
+        "",
+        0.0,
+        "measured" if deaths else NOT_MEASURED,
+        beside=number(sum(rarer)) if rarer else NOT_MEASURED,
+    )
+    rows += [
+        (-0.5, [name, "missing", budget, "**no mechanism**", "-", "-", "the same"])
+        for name, budget in MISSING
+    ]
     rows.sort(key=lambda row: -row[0])
     how = f", {number(model.slow)}/s" if model.slow is not None else ""
-    return table(["at the target", "figure", "budget", "verdict", "extrapolated", "size left out",
-                  f"doing without: telling loads less often{how}"], [row for _, row in rows])
+    return table(
+        [
+            "at the target",
+            "figure",
+            "budget",
+            "verdict",
+            "extrapolated",
+            "size left out",
+            f"doing without: telling loads less often{how}",
+        ],
+        [row for _, row in rows],
+    )
 
 
 def rarely(model: Model, quantity: str, form: Form, budget: float) -> str:
@@ -123,37 +196,78 @@
 
 def rates(model: Model) -> list[float]:
     """The series, the target's first."""
-    return [model.writes, *(one for one in sorted(model.measured.series, reverse=True)
-                            if one != model.writes)]
+    return [
+        model.writes,
+        *(one for one in sorted(model.measured.series, reverse=True) if one != model.writes),
+    ]
 
 
 def slopes(model: Model) -> str:
     some: list[tuple[float | None, float, Form, Estimate]] = [
-        (writes, model.n, form, model.of(form.quantity, writes)) for writes in rates(model)
-        for form in FORMS.values()]
+        (writes, model.n, form, model.of(form.quantity, writes))
+        for writes in rates(model)
+        for form in FORMS.values()
+    ]
     some += [(None, model.held, form, model.path(form.quantity, model.held)) for form in PATH_FORMS.values()]
     rows = []
     for writes, at, form, one in some:
-        rows.append([form.title, one.fit.slopes(at) if one.fit is not None else one.why or "of its two parts",
-                     form.unit,
-                     sizes_said(one.sizes), sizes_said(one.fit.sizes) if one.fit is not None else "-",
-                     one.said(form.unit), f"{number(one.factor)} times" if one.factor is not None else "-",
-                     one.stands, told_said(writes)])
-    return table(["quantity", "slope", "unit", "sizes measured", "of these fitted", "at the target",
-                  "extrapolated", "size left out", "loads told"], rows)
+        rows.append(
+            [
+                form.title,
+                one.fit.slopes(at) if one.fit is not None else one.why or "of its two parts",
+                form.unit,
+                sizes_said(one.sizes),
+                sizes_said(one.fit.sizes) if one.fit is not None else "-",
+                one.said(form.unit),
+                f"{number(one.factor)} times" if one.factor is not None else "-",
+                one.stands,
+                told_said(writes),
+            ]
+        )
+    return table(
+        [
+            "quantity",
+            "slope",
+            "unit",
+            "sizes measured",
+            "of these fitted",
+            "at the target",
+            "extrapolated",
+            "size left out",
+            "loads told",
+        ],
+        rows,
+    )
 
 
 def _tested(form: Form, writes: float | None, unit: str, left: LeftOut) -> list[str]:
     said = "-" if writes is None else "either, one law" if form.full is None else regime_said(left.start)
-    return [form.title, told_said(writes), said,
-            sizes_said(left.fit.sizes), f"{number(left.size)} {unit}",
-            f"{100.0 * left.filled:.0f}%" if left.filled is not None else "-",
-            shown(left.predicted, form.unit), shown(left.measured, form.unit),
-            f"{100.0 * left.error:+.1f}%", "held" if left.held else "MISSED"]
-
-
-TESTED = ["quantity", "loads told", "regime of the fit", "fitted at", "left out", "frames filled, by the fit",
-          "predicted", "measured", "error", f"within {100.0 * WITHIN:.0f}%"]
+    return [
+        form.title,
+        told_said(writes),
+        said,
+        sizes_said(left.fit.sizes),
+        f"{number(left.size)} {unit}",
+        f"{100.0 * left.filled:.0f}%" if left.filled is not None else "-",
+        shown(left.predicted, form.unit),
+        shown(left.measured, form.unit),
+        f"{100.0 * left.error:+.1f}%",
+        "held" if left.held else "MISSED",
+    ]
+
+
+TESTED = [
+    "quantity",
+    "loads told",
+    "regime of the fit",
+    "fitted at",
+    "left out",
+    "frames filled, by the fit",
+    "predicted",
+    "measured",
+    "error",
+    f"within {100.0 * WITHIN:.0f}%",
+]
 
 
 def _all_tests(model: Model, writes: float) -> list[tuple[Form, list[LeftOut]]]:
@@ -172,13 +286,26 @@
                 why = "across the change of regime: below" if some else model.of(form.quantity, writes).why
                 if not some and not why and form.quantity == "control_core":
                     why = "its parts are: the protocol's here, reading at the target's rate"
-                rows.append([form.title, told_said(writes), why or "not tested: too few sizes under the "
-                             "largest", *["-"] * (len(TESTED) - 3)])
+                rows.append(
+                    [
+                        form.title,
+                        told_said(writes),
+                        why or "not tested: too few sizes under the largest",
+                        *["-"] * (len(TESTED) - 3),
+                    ]
+                )
     for form in PATH_FORMS.values():
         path = model.path(form.quantity, model.held)
-        rows.append(_tested(form, None, "connections", path.left) if path.left is not None else
-                    [form.title, "-", path.why or "not tested: too few sizes under the largest",
-                     *["-"] * (len(TESTED) - 3)])
+        rows.append(
+            _tested(form, None, "connections", path.left)
+            if path.left is not None
+            else [
+                form.title,
+                "-",
+                path.why or "not tested: too few sizes under the largest",
+                *["-"] * (len(TESTED) - 3),
+            ]
+        )
     return table(TESTED, rows)
 
 
@@ -186,8 +313,13 @@
     """The same where the change of regime lies in the fit's sizes or, by the fit, before the size left
     out.
     """
-    rows = [_tested(form, writes, "members", one) for writes in rates(model)
-            for form, some in _all_tests(model, writes) for one in some if one.across]
+    rows = [
+        _tested(form, writes, "members", one)
+        for writes in rates(model)
+        for form, some in _all_tests(model, writes)
+        for one in some
+        if one.across
+    ]
     return table(TESTED, rows or [["none", *["-"] * (len(TESTED) - 1)]])
 
 
@@ -216,22 +348,34 @@
             if ends is not None and fleet > ends:
                 many, past = f"{number(ends)} members, where frames are full and the law ends", ""
             row.append(f"{many}{past}" if fleet else "none")
-        row += [_brackets(model, name, budget),
-                " and ".join(shown(each.at(model.n), form.unit) for each in laws)]
+        row += [
+            _brackets(model, name, budget),
+            " and ".join(shown(each.at(model.n), form.unit) for each in laws),
+        ]
         most = cap(name, model.n)
         row.append(shown(most, form.unit) if math.isfinite(most) else "-")
         rows.append(row)
-    return table(["budget of a balancer", "law", "fitted at",
-                  *(f"largest fleet at {told_said(writes)}" for writes in some),
-                  f"sizes measured at {told_said(model.writes)}",
-                  "the target by the law, at " + " and ".join(map(told_said, some)),
-                  "counted ceiling: what is over it is not told"], rows)
+    return table(
+        [
+            "budget of a balancer",
+            "law",
+            "fitted at",
+            *(f"largest fleet at {told_said(writes)}" for writes in some),
+            f"sizes measured at {told_said(model.writes)}",
+            "the target by the law, at " + " and ".join(map(told_said, some)),
+            "counted ceiling: what is over it is not told",
+        ],
+        rows,
+    )
 
 
 def _brackets(model: Model, name: str, budget: float) -> str:
     """Between which sizes measured at the target's rate the budget ends."""
-    some = [(float(row["members"]), value) for row in model.measured.simulated
-            if (value := of(row, name)) is not None]
+    some = [
+        (float(row["members"]), value)
+        for row in model.measured.simulated
+        if (value := of(row, name)) is not None
+    ]
     over = min((size for size, value in some if value > budget), default=math.inf)
     within = max((size for size, value in some if size < over), default=0.0)
     said = [f"within to {number(within)}"] if within else []
@@ -253,10 +397,27 @@
                 continue
             said = one if name == "memory" else at_rate(one, model.writes / model.slow)
             off = said.at(size) / value - 1.0 if value else math.inf
-            rows.append([form.title, number(size), shown(said.at(size), form.unit), shown(value, form.unit),
-                         f"{100.0 * off:+.1f}%", "held" if abs(off) <= WITHIN else "MISSED"])
-    return table(["quantity", "members", "by the law at the target's rate", "measured", "error",
-                  f"within {100.0 * WITHIN:.0f}%"], rows or [[NOT_MEASURED, *["-"] * 5]])
+            rows.append(
+                [
+                    form.title,
+                    number(size),
+                    shown(said.at(size), form.unit),
+                    shown(value, form.unit),
+                    f"{100.0 * off:+.1f}%",
+                    "held" if abs(off) <= WITHIN else "MISSED",
+                ]
+            )
+    return table(
+        [
+            "quantity",
+            "members",
+            "by the law at the target's rate",
+            "measured",
+            "error",
+            f"within {100.0 * WITHIN:.0f}%",
+        ],
+        rows or [[NOT_MEASURED, *["-"] * 5]],
+    )
 
 
 def forms(model: Model) -> str:
@@ -280,13 +441,22 @@
 
 
 def runs(model: Model) -> str:
-    rows = [[name, str(file.get("form")), f"`{file.get('command', '')}`", str(file.get("date", "")),
-             machine_said(file.get("machine")),
-             str(sum(1 for row in file.get("rows", ()) if not row.get("partial"))),
-             "whole" if file.get("complete") else f"not whole: {file.get('ended', '')}"]
-            for name, file in model.measured.runs]
-    return table(["file", "form", "command", "date", "machine", "sizes", "run"],
-                 rows or [["none", NOT_MEASURED, *["-"] * 5]])
+    rows = [
+        [
+            name,
+            str(file.get("form")),
+            f"`{file.get('command', '')}`",
+            str(file.get("date", "")),
+            machine_said(file.get("machine")),
+            str(sum(1 for row in file.get("rows", ()) if not row.get("partial"))),
+            "whole" if file.get("complete") else f"not whole: {file.get('ended', '')}",
+        ]
+        for name, file in model.measured.runs
+    ]
+    return table(
+        ["file", "form", "command", "date", "machine", "sizes", "run"],
+        rows or [["none", NOT_MEASURED, *["-"] * 5]],
+    )
 
 
 def sizes(model: Model) -> str:
@@ -299,12 +469,26 @@
             room = f"{100.0 * sent / frames / wire.MOST:.0f}%" if sent and frames else "-"
             if start is not None and float(row["members"]) >= start:
                 room += ", full"
-            rows.append([number(float(row["members"])), told_said(writes), room,
-                         *(shown(of(row, name), FORMS[name].unit) for name in SIZES),
-                         shown(of(row, "load_error"), ""), shown(of(row, "shed"), "/s"),
-                         shown(false_deaths(row), "")])
-    head = ["members", "loads told", "frames filled", *(FORMS[name].title for name in SIZES),
-            "error of the sums", "shed", "false deaths, whole run"]
+            rows.append(
+                [
+                    number(float(row["members"])),
+                    told_said(writes),
+                    room,
+                    *(shown(of(row, name), FORMS[name].unit) for name in SIZES),
+                    shown(of(row, "load_error"), ""),
+                    shown(of(row, "shed"), "/s"),
+                    shown(false_deaths(row), ""),
+                ]
+            )
+    head = [
+        "members",
+        "loads told",
+        "frames filled",
+        *(FORMS[name].title for name in SIZES),
+        "error of the sums",
+        "shed",
+        "false deaths, whole run",
+    ]
     return table(head, rows or [[NOT_MEASURED, *["-"] * (len(head) - 1)]])
 
 
@@ -321,8 +505,16 @@
             cells.append(f"{shown(of(last, part + name), unit)}; {at}")
         cells += [shown(of(last, f"{part}false_deaths"), ""), shown(of(last, f"{part}healed_s"), "s")]
         rows.append(cells)
-    return table(["part of the run", "members", *(f"{FORMS[name].title}; at the target" for name in WORST),
-                  "false deaths", "agreed after"], rows)
+    return table(
+        [
+            "part of the run",
+            "members",
+            *(f"{FORMS[name].title}; at the target" for name in WORST),
+            "false deaths",
+            "agreed after",
+        ],
+        rows,
+    )
 
 
 def real(model: Model) -> str:
@@ -335,92 +527,170 @@
             mine = of(row, f"of_real.{name}")
             mine = of(row, name) if mine is None else mine
             theirs = of(same[0], name) if same else None
-            cells.append(shown(mine, FORMS[name].unit)
-                         + (f", {number(mine / theirs)} times" if mine is not None and theirs else ""))
+            cells.append(
+                shown(mine, FORMS[name].unit)
+                + (f", {number(mine / theirs)} times" if mine is not None and theirs else "")
+            )
         rows.append(cells)
-    head = ["members", "real", "hollow", "bytes out", "bytes in", "processor", "memory",
-            "a change everywhere, 99 in 100"]
+    head = [
+        "members",
+        "real",
+        "hollow",
+        "bytes out",
+        "bytes in",
+        "processor",
+        "memory",
+        "a change everywhere, 99 in 100",
+    ]
     return table(head, rows or [[NOT_MEASURED, *["-"] * (len(head) - 1)]])
 
 
 def data_path(model: Model) -> str:
     rows = []
     for row in model.measured.data_path:
-        rows.append([number(float(row["connections"])), shown(of(row, "memory"), "bytes"),
-                     shown(of(row, "pss"), "bytes"), shown(of(row, "line_s"), "s"),
-                     shown(of(row, "line_reference"), ""), shown(of(row, "setup_s"), "s"),
-                     shown(of(row, "lines_a_second"), "/s")])
+        rows.append(
+            [
+                number(float(row["connections"])),
+                shown(of(row, "memory"), "bytes"),
+                shown(of(row, "pss"), "bytes"),
+                shown(of(row, "line_s"), "s"),
+                shown(of(row, "line_reference"), ""),
+                shown(of(row, "setup_s"), "s"),
+                shown(of(row, "lines_a_second"), "/s"),
+            ]
+        )
     rows = rows or [[NOT_MEASURED, *["-"] * 6]]
     for title, held, lines in model.days():
         memory, line, setup = (model.path(name, held) for name in ("memory", "line_s", "setup_s"))
         busy = ""
         if line.value is not None:
             busy = f"; {shown(line.value * lines, 'core')} at {number(lines)}/s"
-        rows.append([f"**{number(held)}**, "
-                     f"{title}", memory.said("bytes"), "-", f"{line.said('s')}{busy}", "-",
-                     setup.said("s"), "-"])
-    return table(["connections", "memory", "of it its own (PSS)", "processor a line", "in reference lines",
-                  "processor a setup", "lines sent"], rows)
+        rows.append(
+            [
+                f"**{number(held)}**, {title}",
+                memory.said("bytes"),
+                "-",
+                f"{line.said('s')}{busy}",
+                "-",
+                setup.said("s"),
+                "-",
+            ]
+        )
+    return table(
+        [
+            "connections",
+            "memory",
+            "of it its own (PSS)",
+            "processor a line",
+            "in reference lines",
+            "processor a setup",
+            "lines sent",
+        ],
+        rows,
+    )
 
 
 # -- what is taken for granted -------------------------------------------------------------------------------
 
 
 def the_target(model: Model) -> str:
-    return table(["target", "value", "where from"],
-                 [[one.name, shown(one.value, one.unit), one.reason] for one in TARGET.values()])
+    return table(
+        ["target", "value", "where from"],
+        [[one.name, shown(one.value, one.unit), one.reason] for one in TARGET.values()],
+    )
 
 
 def assumptions(model: Model) -> str:
-    return table(["assumption", "value", "reason"],
-                 [[one.name, shown(one.value, one.unit), one.reason] for one in ASSUMPTIONS.values()])
+    return table(
+        ["assumption", "value", "reason"],
+        [[one.name, shown(one.value, one.unit), one.reason] for one in ASSUMPTIONS.values()],
+    )
 
 
 def walls(model: Model) -> str:
     """What in the shipped code ends before the target, whatever the slopes."""
     n = int(model.n)
     waiting = n / node.MOST_RUMOURS
-    return table(["bound", "where", "at the target", "reached at"], [
-        ["members whose frames are taken", "`wire.SENDERS`",
-         f"{number(n)} of {number(wire.SENDERS)}: frames of the others are dropped as `too-many-senders`",
-         f"{wire.SENDERS + 1:,} members"],
-        ["the frame with the hashes of the ranges", "`wire.MOST`, `store.OWNERS_A_RANGE`",
-         f"{number(ranges_bytes(n))} of {number(wire.MOST)} bytes: dropped as `too-long`, and nothing else "
-         "finds what news did not bring", f"{BOUND:,} owners"],
-        ["what a member can send", "`node.PULLS`, `node.GOSSIP`, `wire.MOST`",
-         f"{shown(ceiling(n), 'bytes/s')} in {number(FRAMES / PERIOD)} frames/s: a fit over it is cut down "
-         "to it, "
-         "and what is over it does not arrive", "-"],
-        ["what waits to be passed on", "`node.MOST_RUMOURS`",
-         f"one entry of each member is {number(waiting)} times what may wait; those told most are shed",
-         f"{node.MOST_RUMOURS:,} entries at once"],
-        ["a round of probes", "`members.Members._turn`",
-         f"{shown(n * PERIOD, 's')} until a member has probed each other once; how often a given one is "
-         "probed by anybody does not depend on the size", "-"],
-        ["an ask for rights names every member", "`rights.Ask.holds`, `store.VALUE`",
-         f"longer than the {number(store.VALUE)} bytes of a value: refused, which `net/fleet.py` passes over "
-         "(`_write`), so that rights stop moving (read in the code and computed, not played)",
-         f"{number(rights_bound())} members with names of 13 characters, {number(rights_bound(3))} with "
-         "names of 3"],
-        ["the news that one has caught up", "`node.CaughtUp`", "needs two equal roots, and somebody's loads "
-         "are on their way at any moment: `fleet-caught-up` is not said", _caught(model)],
-        ["reading the registers", "`net/fleet.py` (SHARE), `store.Store.standing`",
-         "all of everybody's, four times a second, however rarely they are written", _reading(model)],
-    ])
+    return table(
+        ["bound", "where", "at the target", "reached at"],
+        [
+            [
+                "members whose frames are taken",
+                "`wire.SENDERS`",
+                f"{number(n)} of {number(wire.SENDERS)}: frames of the others are dropped as `too-many-senders`",
+                f"{wire.SENDERS + 1:,} members",
+            ],
+            [
+                "the frame with the hashes of the ranges",
+                "`wire.MOST`, `store.OWNERS_A_RANGE`",
+                f"{number(ranges_bytes(n))} of {number(wire.MOST)} bytes: dropped as `too-long`, and nothing else "
+                "finds what news did not bring",
+                f"{BOUND:,} owners",
+            ],
+            [
+                "what a member can send",
+                "`node.PULLS`, `node.GOSSIP`, `wire.MOST`",
+                f"{shown(ceiling(n), 'bytes/s')} in {number(FRAMES / PERIOD)} frames/s: a fit over it is cut down "
+                "to it, "
+                "and what is over it does not arrive",
+                "-",
+            ],
+            [
+                "what waits to be passed on",
+                "`node.MOST_RUMOURS`",
+                f"one entry of each member is {number(waiting)} times what may wait; those told most are shed",
+                f"{node.MOST_RUMOURS:,} entries at once",
+            ],
+            [
+                "a round of probes",
+                "`members.Members._turn`",
+                f"{shown(n * PERIOD, 's')} until a member has probed each other once; how often a given one is "
+                "probed by anybody does not depend on the size",
+                "-",
+            ],
+            [
+                "an ask for rights names every member",
+                "`rights.Ask.holds`, `store.VALUE`",
+                f"longer than the {number(store.VALUE)} bytes of a value: refused, which `net/fleet.py` passes over "
+                "(`_write`), so that rights stop moving (read in the code and computed, not played)",
+                f"{number(rights_bound())} members with names of 13 characters, {number(rights_bound(3))} with "
+                "names of 3",
+            ],
+            [
+                "the news that one has caught up",
+                "`node.CaughtUp`",
+                "needs two equal roots, and somebody's loads "
+                "are on their way at any moment: `fleet-caught-up` is not said",
+                _caught(model),
+            ],
+            [
+                "reading the registers",
+                "`net/fleet.py` (SHARE), `store.Store.standing`",
+                "all of everybody's, four times a second, however rarely they are written",
+                _reading(model),
+            ],
+        ],
+    )
 
 
 def _caught(model: Model) -> str:
     """The sizes at which nobody that started heard it within the run."""
-    some = [f"{number(float(row['members']))} members at {told_said(writes)}" for writes in rates(model)
-            for row in model.measured.series.get(writes, ())
-            if of(row, "starts") and of(row, "start_said_s") is None]
+    some = [
+        f"{number(float(row['members']))} members at {told_said(writes)}"
+        for writes in rates(model)
+        for row in model.measured.series.get(writes, ())
+        if of(row, "starts") and of(row, "start_said_s") is None
+    ]
     return f"not said within the run at {', '.join(some)}" if some else NOT_MEASURED
 
 
 def _reading(model: Model) -> str:
     """What reading costs beside the protocol."""
-    some = [(float(row["members"]), heed / core) for row in model.measured.simulated
-            if (heed := of(row, "heed_core")) is not None and (core := of(row, "core"))]
+    some = [
+        (float(row["members"]), heed / core)
+        for row in model.measured.simulated
+        if (heed := of(row, "heed_core")) is not None and (core := of(row, "core"))
+    ]
     if not some:
         return NOT_MEASURED
     least, most = min(one for _, one in some), max(one for _, one in some)
@@ -428,10 +698,24 @@
 
 
 TABLES: dict[str, Callable[[Model], str]] = {
-    "glance": glance, "runs": runs, "roles": roles, "worst": worst, "left-out": left_out,
-    "across": across, "allowed": allowed, "by-rate": by_rate, "slopes": slopes, "forms": forms,
-    "sizes": sizes, "real": real, "data-path": data_path, "walls": walls, "options": options,
-    "others": others, "target": the_target, "assumptions": assumptions,
+    "glance": glance,
+    "runs": runs,
+    "roles": roles,
+    "worst": worst,
+    "left-out": left_out,
+    "across": across,
+    "allowed": allowed,
+    "by-rate": by_rate,
+    "slopes": slopes,
+    "forms": forms,
+    "sizes": sizes,
+    "real": real,
+    "data-path": data_path,
+    "walls": walls,
+    "options": options,
+    "others": others,
+    "target": the_target,
+    "assumptions": assumptions,
 }
 
 
--- a/snowwick/lab/data_path.py
+++ b/snowwick/lab/data_path.py
@@ -181,8 +181,15 @@
     lines: int
 
 
-def windows(standing: Standing, go: Callable[[int], None], done: Callable[[], int], rate: float, warm: float,
-            count: int, window: float) -> Costs:
+def windows(
+    standing: Standing,
+    go: Callable[[int], None],
+    done: Callable[[], int],
+    rate: float,
+    warm: float,
+    count: int,
+    window: float,
+) -> Costs:
     """Have ``go`` send its first lines at a rate, for ``warm`` s and so many windows of ``window`` s.
 
     Lines are counted by ``done``.  The reference is timed between windows, since the machine's speed shifts
@@ -212,27 +219,45 @@
         setup_s, setups = open_all(standing, size)
         # Until each connection has carried a line and as many waits stand as will.
         warm = size / LINES + longest_hold(size)
-        both = windows(standing, standing.turn, lambda: standing.sent + standing.answered, LINES, warm,
-                       plan.windows, plan.window)
+        both = windows(
+            standing,
+            standing.turn,
+            lambda: standing.sent + standing.answered,
+            LINES,
+            warm,
+            plan.windows,
+            plan.window,
+        )
         standing.all_back()
-        alone = windows(standing, standing.deliver, lambda: standing.delivered, 2 * LINES, 0.2,
-                        plan.deliveries, plan.window)
+        alone = windows(
+            standing,
+            standing.deliver,
+            lambda: standing.delivered,
+            2 * LINES,
+            0.2,
+            plan.deliveries,
+            plan.window,
+        )
         standing.all_back()
         memory, pss = settled_memory(standing.process.pid)
         buffers, slabs = (now - then for now, then in zip(kernel_memory(), before, strict=True))
         cpu, began = standing.cpu(), time.perf_counter()
         time.sleep(plan.window)
         idle = (standing.cpu() - cpu) / (time.perf_counter() - began)
-    return (Row(size, memory, pss, both.line_s, both.multiple, setup_s, both.lines, 2.0 * LINES),
-            Beside(setups, alone.line_s, idle, buffers, slabs))
+    return (
+        Row(size, memory, pss, both.line_s, both.multiple, setup_s, both.lines, 2.0 * LINES),
+        Beside(setups, alone.line_s, idle, buffers, slabs),
+    )
 
 
 def say(row: Row, beside: Beside) -> None:
-    print(f"{row.connections:11} {row.memory / 1e6:9.2f} {row.pss / 1e6:9.2f} {1e6 * row.line_s:8.1f} "
-          f"{row.line_reference:9.1f} {1e6 * beside.delivery_s:11.1f} {1e6 * row.setup_s:9.0f} "
-          f"{beside.setups_a_second:9.0f} {100 * beside.idle:6.2f} {beside.buffers / 1e6:10.2f} "
-          f"{beside.slabs / 1e6:8.1f} {row.lines:7}",
-          flush=True)
+    print(
+        f"{row.connections:11} {row.memory / 1e6:9.2f} {row.pss / 1e6:9.2f} {1e6 * row.line_s:8.1f} "
+        f"{row.line_reference:9.1f} {1e6 * beside.delivery_s:11.1f} {1e6 * row.setup_s:9.0f} "
+        f"{beside.setups_a_second:9.0f} {100 * beside.idle:6.2f} {beside.buffers / 1e6:10.2f} "
+        f"{beside.slabs / 1e6:8.1f} {row.lines:7}",
+        flush=True,
+    )
 
 
 def fits(rows: Sequence[Row]) -> None:
@@ -240,24 +265,30 @@
     *used, last = sorted(rows, key=lambda row: row.connections)
     at = [float(row.connections) for row in used]
     measured: dict[str, Callable[[Row], float]] = {
-        "memory, kB": lambda row: row.memory / 1e3, "pss, kB": lambda row: row.pss / 1e3,
+        "memory, kB": lambda row: row.memory / 1e3,
+        "pss, kB": lambda row: row.pss / 1e3,
         "a line, us": lambda row: 1e6 * row.line_s,
         "a line, times the reference": lambda row: row.line_reference,
-        "a setup, us": lambda row: 1e6 * row.setup_s}
+        "a setup, us": lambda row: 1e6 * row.setup_s,
+    }
     for name, value in measured.items():
         slope, base = statistics.linear_regression(at, [value(row) for row in used])
         foretold = base + slope * last.connections
-        print(f"{name}: {base:.5g} and {slope:.4g} a connection, from {at[0]:g} to {at[-1]:g}; at "
-              f"{last.connections} {foretold:.5g}, measured {value(last):.5g} "
-              f"({100 * (value(last) / foretold - 1):+.1f}%)")
+        print(
+            f"{name}: {base:.5g} and {slope:.4g} a connection, from {at[0]:g} to {at[-1]:g}; at "
+            f"{last.connections} {foretold:.5g}, measured {value(last):.5g} "
+            f"({100 * (value(last) / foretold - 1):+.1f}%)"
+        )
 
 
 def options() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="data_path", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="data_path", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--json", type=Path, required=True, help="write the rows there")
-    parser.add_argument("--sizes", type=sizes_of,
-                        help="connections, 250,500,1000,2000,4000,8000 if not given")
+    parser.add_argument(
+        "--sizes", type=sizes_of, help="connections, 250,500,1000,2000,4000,8000 if not given"
+    )
     parser.add_argument("--quick", action="store_true", help="smaller sizes if none are given, short windows")
     return parser.parse_args()
 
@@ -274,16 +305,25 @@
     sizes = given.sizes or (QUICK if given.quick else SIZES)
     descriptors, memory = most()
     if max(sizes) > min(descriptors, memory):
-        print(f"data_path: {max(sizes)} connections do not fit: the descriptors allow {descriptors}, half of "
-              f"the memory allows {memory}", file=sys.stderr)
+        print(
+            f"data_path: {max(sizes)} connections do not fit: the descriptors allow {descriptors}, half of "
+            f"the memory allows {memory}",
+            file=sys.stderr,
+        )
         return 2
     command = "python -m snowwick.lab.data_path --json FILE --sizes " + ",".join(map(str, sizes))
-    report = Report(command + " --quick" * given.quick, time.strftime("%Y-%m-%d"), {
-        "cores": os.cpu_count(), "memory_bytes": machine_memory(), "python": platform.python_version()})
+    report = Report(
+        command + " --quick" * given.quick,
+        time.strftime("%Y-%m-%d"),
+        {"cores": os.cpu_count(), "memory_bytes": machine_memory(), "python": platform.python_version()},
+    )
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     signal.signal(signal.SIGINT, signal.default_int_handler)  # also where the shell had it ignored
-    print("connections memory/MB    pss/MB  line/us reference delivery/us  setup/us  setups/s idle/%"
-          " buffers/MB slabs/MB   lines", flush=True)
+    print(
+        "connections memory/MB    pss/MB  line/us reference delivery/us  setup/us  setups/s idle/%"
+        " buffers/MB slabs/MB   lines",
+        flush=True,
+    )
     try:
         with tempfile.TemporaryDirectory() as folder:
             for size in sizes:
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/hollow.py
@@ -159,8 +159,9 @@
             link = self.link(member)
             if link is not None:
                 link.write(facts.REVISION, change_key(w, event.number), change_value(w, event.number))
-                self.process.changes.append((link.node.name, link.node.store.owners[link.node.name].complete,
-                                             time.time()))
+                self.process.changes.append(
+                    (link.node.name, link.node.store.owners[link.node.name].complete, time.time())
+                )
         elif event.kind is Kind.RIGHTS:
             lender = self.link(event.other)
             if link is not None:
@@ -246,23 +247,27 @@
     def arrived(self, entry: Entry) -> None:
         """A change of configuration of any member, or a load of a real one."""
         if (entry.kind == facts.REVISION and entry.key != "0000") or (
-                entry.kind == facts.LOAD and entry.owner in self.real):
+            entry.kind == facts.LOAD and entry.owner in self.real
+        ):
             now = time.time()
             one = self.arrivals.setdefault((entry.owner, entry.seq), Arrivals(ms_of(entry.stamp), now))
             one.last, one.members = now, one.members + 1
 
     # -- orders ------------------------------------------------------------------------------------------
 
-    def on_make(self, first: int, count: int, key: str, digest: str, period_ms: float,
-                real: list[str]) -> dict[str, Any]:
+    def on_make(
+        self, first: int, count: int, key: str, digest: str, period_ms: float, real: list[str]
+    ) -> dict[str, Any]:
         """Members m``first`` and so on, each with a socket; ``real`` are the names of the real ones."""
         self.real = frozenset(real)
         links = Links("127.0.0.1:0", "", [], period_ms=period_ms)
         file = FleetFile(links, Share(), (bytes.fromhex(key),), digest)
         for n in range(first, first + count):
             self.links[f"m{n}"] = HollowLink(self, file, f"m{n}", random.Random(f"hollow{n}{time.time_ns()}"))
-        return {"addresses": {name: link.node.members.me.address for name, link in self.links.items()},
-                "memory": anonymous(os.getpid())}
+        return {
+            "addresses": {name: link.node.members.me.address for name, link in self.links.items()},
+            "memory": anonymous(os.getpid()),
+        }
 
     def on_start(self, seeds: list[str], routes: dict[str, str], apart: float) -> dict[str, Any]:
         """``routes`` lead to some members by way of proxies, by the members' own addresses.
@@ -291,21 +296,26 @@
 
     def on_agree(self) -> dict[str, Any]:
         """How many members each sees alive, itself too, and what each holds, as a hash."""
-        return {"alive": {name: 1 + len(link.node.members.alive()) for name, link in self.links.items()},
-                "roots": {name: link.node.store.root() for name, link in self.links.items()},
-                "caught": {name: link.caught for name, link in self.links.items()}}
+        return {
+            "alive": {name: 1 + len(link.node.members.alive()) for name, link in self.links.items()},
+            "roots": {name: link.node.store.root() for name, link in self.links.items()},
+            "caught": {name: link.caught for name, link in self.links.items()},
+        }
 
     def on_sees(self, member: str, of: str) -> dict[str, Any]:
         """What a member has of another: its state and incarnation, and the texts of its changes by key."""
         node = self.links[member].node
         record, owner = node.members.records.get(of), node.store.owners.get(of)
         texts = {}
-        for (kind, key), held in (owner.entries.items() if owner is not None else ()):
+        for (kind, key), held in owner.entries.items() if owner is not None else ():
             if kind == facts.REVISION and held.entry.value is not None:
                 revision = facts.unpack(held.entry.value, Revision)
                 texts[key] = revision.fleet if revision is not None else ""
-        return {"state": record.state if record is not None else None, "texts": texts,
-                "incarnation": record.incarnation if record is not None else None}
+        return {
+            "state": record.state if record is not None else None,
+            "texts": texts,
+            "incarnation": record.incarnation if record is not None else None,
+        }
 
     def on_counts(self) -> dict[str, Any]:
         """All that was counted since the start, over all members of this process.
@@ -315,16 +325,24 @@
         """
         counts = [link.node.counts for link in self.links.values()]
         dropped = sum((one.dropped for one in counts), Counter[str]())
-        return {"at": time.monotonic(), "processor": time.process_time(), "memory": anonymous(os.getpid()),
-                "bytes_out": sum(one.bytes_out for one in counts),
-                "bytes_in": sum(one.bytes_in for one in counts),
-                "datagrams_out": sum(one.frames_out for one in counts),
-                "datagrams_in": sum(one.frames_in for one in counts),
-                "shed": sum(one.shed for one in counts), "dropped": dict(dropped),
-                "deaths": sorted(self.deaths), "changes": self.changes,
-                "arrivals": [(owner, seq, one.stamp_ms / 1000.0, one.last, one.members)
-                             for (owner, seq), one in self.arrivals.items()],
-                "ages": base64.b64encode(self.ages.encode()).decode()}
+        return {
+            "at": time.monotonic(),
+            "processor": time.process_time(),
+            "memory": anonymous(os.getpid()),
+            "bytes_out": sum(one.bytes_out for one in counts),
+            "bytes_in": sum(one.bytes_in for one in counts),
+            "datagrams_out": sum(one.frames_out for one in counts),
+            "datagrams_in": sum(one.frames_in for one in counts),
+            "shed": sum(one.shed for one in counts),
+            "dropped": dict(dropped),
+            "deaths": sorted(self.deaths),
+            "changes": self.changes,
+            "arrivals": [
+                (owner, seq, one.stamp_ms / 1000.0, one.last, one.members)
+                for (owner, seq), one in self.arrivals.items()
+            ],
+            "ages": base64.b64encode(self.ages.encode()).decode(),
+        }
 
 
 def anonymous(pid: int) -> int:
--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -40,8 +40,11 @@
 
 def begin(count: int) -> State:
     names = "abc"[:count]
-    state = State({name: Budget(name, PART, True, 0.0, LEASE) for name in names}, dict.fromkeys(names, 1),
-                  dict.fromkeys(names, 0))
+    state = State(
+        {name: Budget(name, PART, True, 0.0, LEASE) for name in names},
+        dict.fromkeys(names, 1),
+        dict.fromkeys(names, 0),
+    )
     state.wanted["a"] = 1
     return state
 
--- a/snowwick/lab/network.py
+++ b/snowwick/lab/network.py
@@ -2,7 +2,7 @@
 
 The nodes are the shipped ones (``snowwick.fleet.node``); only time, chance and what carries their datagrams
 are stand-ins.  Links lose, double, delay, reorder, corrupt and cut, one way or both; nodes stop, crash,
-start anew. """
+start anew."""
 
 from __future__ import annotations
 
@@ -44,8 +44,9 @@
 class Network:
     """Machines named m0, m1, ...; their addresses are their names."""
 
-    def __init__(self, count: int, seed: int, period: float = 0.2, faults: Faults | None = None,
-                 seeds: int = 2) -> None:
+    def __init__(
+        self, count: int, seed: int, period: float = 0.2, faults: Faults | None = None, seeds: int = 2
+    ) -> None:
         self.random, self.period, self.faults = random.Random(seed), period, faults or Faults()
         self.now, self.serial = 0.0, 0
         self.seeds = [f"m{n}" for n in range(seeds)]
@@ -57,15 +58,25 @@
             self.add(f"m{n}")
 
     def wall_ms(self, name: str) -> Callable[[], float]:
-        return lambda: 1_700_000_000_000.0 + 1000.0 * self.now + (
-            self.machines[name].skew_ms if name in self.machines else 0.0)
+        return lambda: (
+            1_700_000_000_000.0
+            + 1000.0 * self.now
+            + (self.machines[name].skew_ms if name in self.machines else 0.0)
+        )
 
     def add(self, name: str) -> Machine:
         """Start a machine, anew if it was there."""
         old = self.machines.get(name)
         starts = old.starts + 1 if old is not None else 1
-        node = Node(name, name, [KEY], self.seeds, random.Random(self.random.getrandbits(64)),
-                    self.wall_ms(name), self.period)
+        node = Node(
+            name,
+            name,
+            [KEY],
+            self.seeds,
+            random.Random(self.random.getrandbits(64)),
+            self.wall_ms(name),
+            self.period,
+        )
         machine = Machine(name, node, old.skew_ms if old is not None else 0.0, starts=starts)
         self.machines[name] = machine
         # Not in step: processes start apart.
@@ -122,7 +133,7 @@
                 data = datagram
                 if chance() < f.corrupt:
                     at = self.random.randrange(len(data))
-                    data = data[:at] + bytes([data[at] ^ (1 << self.random.randrange(8))]) + data[at + 1:]
+                    data = data[:at] + bytes([data[at] ^ (1 << self.random.randrange(8))]) + data[at + 1 :]
                 self._push(self.now + f.least + (f.most - f.least) * chance(), to, data)
         machine.news += [(self.now, one) for one in machine.node.take_news()]
 
@@ -153,7 +164,8 @@
         live = self.live()
         names = {one.name for one in live}
         return len({one.node.store.root() for one in live}) == 1 and all(
-            {record.name for record in one.node.members.alive()} | {one.name} == names for one in live)
+            {record.name for record in one.node.members.alive()} | {one.name} == names for one in live
+        )
 
     def write(self, name: str, kind: int, key: str, value: bytes | None, left: float = 0.0) -> None:
         machine = self.machines[name]
--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -83,8 +83,7 @@
 
 @dataclass
 class StandIn:
-    """A node: ``serve`` answers, ``hang`` takes the opening and says nothing more; PING is always answered.
-    """
+    """A node: ``serve`` answers, ``hang`` takes the opening and says nothing more; PING is always answered."""
 
     id: str
     address: str
@@ -152,8 +151,11 @@
                 pass
             after = int(request.split(b"after=")[1].split(b"&")[0]) if b"after=" in request else 0
             end = self.loop.clock() + 3.0
-            while self.name not in d.shut and min(d.version, d.stale.get(self.name, d.version)) <= after \
-                    and self.loop.clock() < end:
+            while (
+                self.name not in d.shut
+                and min(d.version, d.stale.get(self.name, d.version)) <= after
+                and self.loop.clock() < end
+            ):
                 yield Wait(until=self.loop.clock() + 0.02)
             if self.name in d.shut:
                 return
@@ -180,8 +182,9 @@
 class Client(Peer):
     """Asks for a connection and keeps it, sending a line now and then, until it is told to go."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int], answer: Answer, opening: bytes,
-                 keep: float) -> None:
+    def __init__(
+        self, loop: Loop, address: tuple[str, int], answer: Answer, opening: bytes, keep: float
+    ) -> None:
         super().__init__(loop, prepare(socket.socket()))
         self.address, self.answer, self.opening, self.keep = address, answer, opening, keep
         self.hang_up = False
@@ -238,8 +241,7 @@
 
 
 class Hollow:
-    """One process of hollow members (``snowwick.lab.hollow``), and the socket that it takes its orders from.
-    """
+    """One process of hollow members (``snowwick.lab.hollow``), and the socket that it takes its orders from."""
 
     def __init__(self, folder: Path, number: int) -> None:
         ours, theirs = socket.socketpair()
@@ -248,8 +250,13 @@
         self.addresses: dict[str, str] = {}  # of its members, by name
         self.sock.setblocking(False)
         with theirs, self.path.open("w") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "snowwick.lab.hollow"], cwd=ROOT,
-                                            stdin=theirs.fileno(), stdout=subprocess.DEVNULL, stderr=log)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "snowwick.lab.hollow"],
+                cwd=ROOT,
+                stdin=theirs.fileno(),
+                stdout=subprocess.DEVNULL,
+                stderr=log,
+            )
 
     @property
     def log(self) -> str:
@@ -282,9 +289,18 @@
 class Fleet:
     """So many balancers, nodes and one discovery; a context that ends all that it started."""
 
-    def __init__(self, folder: Path, count: int, nodes: int = 3, contracts: str = "", fleet: bool = True,
-                 deadline: float = 1200.0, tenants: Iterable[str] = ("n",), period_ms: float = 100.0,
-                 **more: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        count: int,
+        nodes: int = 3,
+        contracts: str = "",
+        fleet: bool = True,
+        deadline: float = 1200.0,
+        tenants: Iterable[str] = ("n",),
+        period_ms: float = 100.0,
+        **more: Any,
+    ) -> None:
         self.loop, self.folder, self.fleet, self.period_ms = Loop(), folder, fleet, period_ms
         self.hollow: list[Hollow] = []
         # To a hollow member by the balancer's number and the member's name, and back
@@ -301,8 +317,9 @@
         self.answers: list[Answer] = []
         self.clients: list[Client] = []
         hosts = [f"127.{self.random.randrange(60, 120)}.{os.getpid() % 250}.{n + 1}" for n in range(count)]
-        self.balancers = [Balancer(f"b{n}", folder / f"b{n}", f"{host}:{free_port(host)}")
-                          for n, host in enumerate(hosts)]
+        self.balancers = [
+            Balancer(f"b{n}", folder / f"b{n}", f"{host}:{free_port(host)}") for n, host in enumerate(hosts)
+        ]
         self.links: dict[tuple[int, int], Link] = {}
         for one in range(count):
             for other in range(count):
@@ -356,19 +373,34 @@
         """A balancer's files."""
         one, others = self.balancers[n], [m for m in range(len(self.balancers)) if m != n]
         routes = "\n".join(f'"{self.balancers[m].address}" = "{self.links[n, m].address}"' for m in others)
-        routes += "".join(f'\n"{self.addresses[name]}" = "{link.address}"' for (of, name), link in
-                          self.out.items() if of == n)
-        seeds = json.dumps([self.balancers[m].address for m in others][:2]
-                           + [next(iter(one.addresses.values())) for one in self.hollow][:2])
-        lines = [f'{key} = {json.dumps(value)}' for key, value in share.items()]
+        routes += "".join(
+            f'\n"{self.addresses[name]}" = "{link.address}"'
+            for (of, name), link in self.out.items()
+            if of == n
+        )
+        seeds = json.dumps(
+            [self.balancers[m].address for m in others][:2]
+            + [next(iter(one.addresses.values())) for one in self.hollow][:2]
+        )
+        lines = [f"{key} = {json.dumps(value)}" for key, value in share.items()]
         old = f'old_key_file = "{old_key}"\n' if old_key else ""
         (one.folder / "fleet.toml").write_text(
             f'version = 1\n[links]\nlisten = "{one.address}"\nkey_file = "key"\n{old}seeds = {seeds}\n'
-            f"period_ms = {self.period_ms}\n[links.routes]\n{routes}\n[share]\n" + "\n".join(lines) + "\n")
+            f"period_ms = {self.period_ms}\n[links.routes]\n{routes}\n[share]\n" + "\n".join(lines) + "\n"
+        )
         (one.folder / "contracts.toml").write_text(self.contracts)
-        (one.folder / "config.json").write_text(json.dumps({
-            "listen": "127.0.0.1:0", "discovery": self.discovery.door(one.name), "name": name or one.name,
-            "seed": f"rig{n}", "limits": {"sockets": 2048}, "settings": {**self.settings, "selfIndex": n}}))
+        (one.folder / "config.json").write_text(
+            json.dumps(
+                {
+                    "listen": "127.0.0.1:0",
+                    "discovery": self.discovery.door(one.name),
+                    "name": name or one.name,
+                    "seed": f"rig{n}",
+                    "limits": {"sockets": 2048},
+                    "settings": {**self.settings, "selfIndex": n},
+                }
+            )
+        )
 
     def file(self, n: int) -> FleetFile:
         return load(self.balancers[n].folder / "fleet.toml")
@@ -390,9 +422,16 @@
         self.hollow.append(one)
         first = len(self.balancers) + len(self.addresses)
         file = self.file(0)
-        one.addresses = self.order(one, "make", first=first, count=count, key=file.keys[0].hex(),
-                                   digest=file.digest, period_ms=file.links.period_ms,
-                                   real=[balancer.name for balancer in self.balancers])["addresses"]
+        one.addresses = self.order(
+            one,
+            "make",
+            first=first,
+            count=count,
+            key=file.keys[0].hex(),
+            digest=file.digest,
+            period_ms=file.links.period_ms,
+            real=[balancer.name for balancer in self.balancers],
+        )["addresses"]
         for n, balancer in enumerate(self.balancers if proxied else []):
             if n not in self.back:
                 self.back[n] = self._proxy(balancer.address, 5000 + n)
@@ -414,8 +453,13 @@
         seeds = [balancer.address for balancer in self.balancers][:2]
         seeds += [next(iter(one.addresses.values())) for one in self.hollow][:2]
         for one in self.hollow:
-            self.order(one, "start", seeds=seeds, apart=len(self.hollow) / rate, routes={
-                self.balancers[n].address: link.address for n, link in self.back.items()})
+            self.order(
+                one,
+                "start",
+                seeds=seeds,
+                apart=len(self.hollow) / rate,
+                routes={self.balancers[n].address: link.address for n, link in self.back.items()},
+            )
 
     def order(self, one: Hollow, do: str, **order: Any) -> dict[str, Any]:
         """Have a hollow process do something; returns its answer."""
@@ -443,13 +487,17 @@
         """Raises Failed where a process has ended that nobody ended, as a hollow one does at any fault."""
         for balancer in self.balancers:
             process = balancer.process
-            if process is not None and process.poll() is not None and not (
-                    balancer.ended and process.returncode in (0, -signal.SIGKILL)):
+            if (
+                process is not None
+                and process.poll() is not None
+                and not (balancer.ended and process.returncode in (0, -signal.SIGKILL))
+            ):
                 raise Failed(f"{balancer.name} has ended with {process.returncode}: {balancer.log[-1500:]}")
         for one in self.hollow:
             if one.process.poll() is not None and not one.ended:
-                raise Failed(f"hollow process {one.number} has ended with {one.process.returncode}: "
-                             f"{one.log[-1500:]}")
+                raise Failed(
+                    f"hollow process {one.number} has ended with {one.process.returncode}: {one.log[-1500:]}"
+                )
 
     def start(self, *numbers: int, skew: float = 0.0) -> None:
         """Start these balancers, or all; returns once they serve."""
@@ -462,8 +510,13 @@
             words += ["--contracts", str(one.folder / "contracts.toml")] if self.contracts else []
             with (one.folder / f"log{one.starts}").open("w") as log:
                 one.process = subprocess.Popen(
-                    [sys.executable, *words], cwd=ROOT, text=True, stderr=log, stdin=subprocess.DEVNULL,
-                    env={**os.environ, "GW_CONFIG": str(one.folder / "config.json")})
+                    [sys.executable, *words],
+                    cwd=ROOT,
+                    text=True,
+                    stderr=log,
+                    stdin=subprocess.DEVNULL,
+                    env={**os.environ, "GW_CONFIG": str(one.folder / "config.json")},
+                )
         for n in numbers or range(len(self.balancers)):
             one = self.balancers[n]
             self.until(lambda one=one: "serving on" in one.log)  # type: ignore[misc]
@@ -487,7 +540,8 @@
         while not condition():
             self.watch()
             assert time.monotonic() - began < patience, "the condition does not hold\n" + "\n".join(
-                f"{one.name}: {one.log[-1500:]}" for one in self.balancers if one.starts)
+                f"{one.name}: {one.log[-1500:]}" for one in self.balancers if one.starts
+            )
             self.loop.turn(0.01)
         return time.monotonic() - began
 
@@ -522,8 +576,10 @@
     def joined(self, *numbers: int) -> bool:
         """Do these, or all, see each other?"""
         names = [self.balancers[n].name for n in numbers or range(len(self.balancers))]
-        return all({name for name, state in self.members(n).items() if state in ("self", "alive")} ==
-        set(names) for n in numbers or range(len(self.balancers)))
+        return all(
+            {name for name, state in self.members(n).items() if state in ("self", "alive")} == set(names)
+            for n in numbers or range(len(self.balancers))
+        )
 
     # -- clients -----------------------------------------------------------------------------------------
 
