--- a/snowwick/lab/scale.py
+++ b/snowwick/lab/scale.py
@@ -85,9 +85,11 @@
         one = replace(top, members=members)
         return scale_simulated.estimate_bytes(one) <= most_bytes and scale_simulated.estimate_s(one) <= most_s
 
-    raise Refused(f"would take {need / 1e9:.1f} GB and {seconds / 60.0:.0f} minutes, "
-                  f"{most_bytes / 1e9:.1f} GB and {most_s / 60.0:.0f} minutes are allowed: "
-                  f"one size of at most {largest(fits, top.members)} members would fit")
+    raise Refused(
+        f"would take {need / 1e9:.1f} GB and {seconds / 60.0:.0f} minutes, "
+        f"{most_bytes / 1e9:.1f} GB and {most_s / 60.0:.0f} minutes are allowed: "
+        f"one size of at most {largest(fits, top.members)} members would fit"
+    )
 
 
 # -- what is kept --------------------------------------------------------------------------------------------
@@ -105,8 +107,9 @@
             return
         rows = [*self.result["rows"], *([partial] if partial is not None else [])]
         beside = self.path.with_name(self.path.name + ".part")
-        beside.write_text(json.dumps({**self.result, "rows": rows}, indent=1, allow_nan=False) + "\n",
-                          encoding="utf-8")
+        beside.write_text(
+            json.dumps({**self.result, "rows": rows}, indent=1, allow_nan=False) + "\n", encoding="utf-8"
+        )
         os.replace(beside, self.path)
 
 
@@ -118,8 +121,9 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends it
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
     try:
-        row = scale_simulated.play(workload, lambda text: pipe.send(("say", text)),
-                                   lambda row: pipe.send(("keep", row)))
+        row = scale_simulated.play(
+            workload, lambda text: pipe.send(("say", text)), lambda row: pipe.send(("keep", row))
+        )
         pipe.send(("done", row))
     except BrokenPipeError:
         pass
@@ -127,8 +131,9 @@
         pipe.send(("failed", f"{type(error).__name__}: {error}"))
 
 
-def simulated(workload: Workload, say: Callable[[str], None],
-              keep: Callable[[Mapping[str, object]], None]) -> Row:
+def simulated(
+    workload: Workload, say: Callable[[str], None], keep: Callable[[Mapping[str, object]], None]
+) -> Row:
     """One size, in a child that is ended with this call however it ends; raises Failed."""
     context = multiprocessing.get_context("spawn")
     ours, theirs = context.Pipe(duplex=False)
@@ -185,27 +190,55 @@
 
 def parse(arguments: list[str] | None = None) -> tuple[argparse.Namespace, list[Workload]]:
     """The flags and the workload of each size."""
-    parser = argparse.ArgumentParser(prog="python -m snowwick.lab.scale", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="python -m snowwick.lab.scale",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("form", nargs="?", choices=["simulated", "real"], default="simulated")
-    parser.add_argument("--members", type=_sizes, metavar="N,N,...",
-                        help=f"sizes of the fleet, one row each (default {MEMBERS})")
-    parser.add_argument("--real", type=int, default=REAL, metavar="N",
-                        help="in the real form, how many of the members are processes (default %(default)s)")
-    parser.add_argument("--quick", action="store_true",
-                        help=f"sizes {QUICK_MEMBERS} and " + ", ".join(f"{k} {v}" for k, v in QUICK.items()))
+    parser.add_argument(
+        "--members",
+        type=_sizes,
+        metavar="N,N,...",
+        help=f"sizes of the fleet, one row each (default {MEMBERS})",
+    )
+    parser.add_argument(
+        "--real",
+        type=int,
+        default=REAL,
+        metavar="N",
+        help="in the real form, how many of the members are processes (default %(default)s)",
+    )
+    parser.add_argument(
+        "--quick",
+        action="store_true",
+        help=f"sizes {QUICK_MEMBERS} and " + ", ".join(f"{k} {v}" for k, v in QUICK.items()),
+    )
     parser.add_argument("--json", type=Path, metavar="FILE", help="keep the rows there")
-    parser.add_argument("--most-minutes", type=float, default=MOST_MINUTES, metavar="N",
-                        help="refuse what is estimated to take longer (default %(default)g)")
+    parser.add_argument(
+        "--most-minutes",
+        type=float,
+        default=MOST_MINUTES,
+        metavar="N",
+        help="refuse what is estimated to take longer (default %(default)g)",
+    )
     for one in fields(Workload):
         if one.name == "members":
             continue
         what = f"{one.metadata.get('what', '')} (default {one.default})".strip().replace("%", "%%")
-        parser.add_argument("--" + one.name.replace("_", "-"), type=type(one.default), metavar="X",
-                            choices=["none", "restarts", "all"] if one.name == "faults" else None, help=what)
+        parser.add_argument(
+            "--" + one.name.replace("_", "-"),
+            type=type(one.default),
+            metavar="X",
+            choices=["none", "restarts", "all"] if one.name == "faults" else None,
+            help=what,
+        )
     given = parser.parse_args(arguments)
-    chosen = {one.name: getattr(given, one.name) for one in fields(Workload)
-              if one.name != "members" and getattr(given, one.name) is not None}
+    chosen = {
+        one.name: getattr(given, one.name)
+        for one in fields(Workload)
+        if one.name != "members" and getattr(given, one.name) is not None
+    }
     chosen = {**(QUICK if given.quick else {}), **chosen}
     sizes = given.members or _sizes(QUICK_MEMBERS if given.quick else MEMBERS)
     for name in ("seconds", "period", "idle_s", "burst_s", "wave_s", "burst_factor"):
@@ -216,11 +249,14 @@
 
 def table(rows: list[Row]) -> str:
     """The rows for reading; times in s, kB a member and second, percents of a core."""
-    head = (f"{'members':>8}{'kB/s out':>10}{'frames/s':>10}{'core %':>8}{'worst %':>8}{'refs/s':>8}{'MB':>7}"
-            f"{'p50':>7}{'p99':>7}{'worst':>7}{'start':>7}{'start kB':>10}{'late p99':>9}{'shed/s':>8}"
-            f"{'false':>6}")
+    head = (
+        f"{'members':>8}{'kB/s out':>10}{'frames/s':>10}{'core %':>8}{'worst %':>8}{'refs/s':>8}{'MB':>7}"
+        f"{'p50':>7}{'p99':>7}{'worst':>7}{'start':>7}{'start kB':>10}{'late p99':>9}{'shed/s':>8}"
+        f"{'false':>6}"
+    )
     lines = [head]
     for row in rows:
+
         def text(value: float | None, form: str = "{:.2f}") -> str:
             return form.format(value) if value is not None else "-"
 
@@ -230,7 +266,8 @@
             f"{row['memory'] / 1e6:>7.2f}{text(row['everywhere_p50_s']):>7}{text(row['everywhere_p99_s']):>7}"
             f"{text(row['everywhere_worst_s']):>7}{text(row['start_s']):>7}"
             f"{text(row['start_bytes'] / 1e3 if row['start_bytes'] is not None else None, '{:.0f}'):>10}"
-            f"{text(row['load_late_p99_s']):>9}{row['shed']:>8.1f}{row['false_deaths']:>6}")
+            f"{text(row['load_late_p99_s']):>9}{row['shed']:>8.1f}{row['false_deaths']:>6}"
+        )
     return "\n".join(lines)
 
 
@@ -254,16 +291,27 @@
             for w in workloads:
                 need = real.estimate_bytes(min(given.real, w.members), max(0, w.members - given.real))
                 if need > room():
-                    raise Refused(f"{w.members} members would take {need / 1e9:.1f} GB, "
-                                  f"{room() / 1e9:.1f} GB are allowed: fewer whole ones may fit, --real")
+                    raise Refused(
+                        f"{w.members} members would take {need / 1e9:.1f} GB, "
+                        f"{room() / 1e9:.1f} GB are allowed: fewer whole ones may fit, --real"
+                    )
     except Refused as refused:
         _say(f"refused: {refused}")
         sys.exit(2)
     words = sys.argv[1:] if arguments is None else arguments
-    kept = Kept(Result(form=form, command=shlex.join(["python", "-m", "snowwick.lab.scale", *words]),
-                       date=time.strftime("%Y-%m-%d"), machine=host(),
-                       workload={**asdict(workloads[0]), "members": [w.members for w in workloads]}, rows=[],
-                       complete=False, ended="under way"), given.json)
+    kept = Kept(
+        Result(
+            form=form,
+            command=shlex.join(["python", "-m", "snowwick.lab.scale", *words]),
+            date=time.strftime("%Y-%m-%d"),
+            machine=host(),
+            workload={**asdict(workloads[0]), "members": [w.members for w in workloads]},
+            rows=[],
+            complete=False,
+            ended="under way",
+        ),
+        given.json,
+    )
     for one in (signal.SIGINT, signal.SIGTERM):  # also where a shell has started it with SIGINT ignored
         signal.signal(one, _end)
     try:
@@ -290,8 +338,10 @@
         stopped = isinstance(error, KeyboardInterrupt)
         kept.result["ended"] = "interrupted" if stopped else f"failed: {type(error).__name__}: {error}"
         kept.rewrite()
-        _say(f"{kept.result['ended']}; all that was started has ended"
-             + (f"; {len(kept.result['rows'])} rows are in {given.json}" if given.json else ""))
+        _say(
+            f"{kept.result['ended']}; all that was started has ended"
+            + (f"; {len(kept.result['rows'])} rows are in {given.json}" if given.json else "")
+        )
         sys.exit(1)
     kept.result["complete"], kept.result["ended"] = True, "all played"
     kept.rewrite()
--- a/snowwick/lab/scale_real.py
+++ b/snowwick/lab/scale_real.py
@@ -77,8 +77,12 @@
     each other.
     """
     members = real + hollow
-    return int(real * REAL_BYTES + math.ceil(hollow / PER_PROCESS) * PROCESS_BYTES
-               + hollow * (MEMBER_BYTES + members * PAIR_BYTES) + real * members * PAIR_BYTES)
+    return int(
+        real * REAL_BYTES
+        + math.ceil(hollow / PER_PROCESS) * PROCESS_BYTES
+        + hollow * (MEMBER_BYTES + members * PAIR_BYTES)
+        + real * members * PAIR_BYTES
+    )
 
 
 def check(real: int, hollow: int) -> None:
@@ -121,29 +125,41 @@
     status = fleet.status(n)
     size = len(json.dumps(status).encode())
     parts = math.ceil(size / TEXT)
-    passed = {key: float(status[name]) for key, name in zip(
-        KEYS, ("bytes_out", "bytes_in", "frames_out", "frames_in"), strict=True)}
-    cost = {"bytes_out": float(size + parts * TOLD_OVER), "bytes_in": float(parts * TOLD_OVER),
-            "datagrams_out": float(parts), "datagrams_in": float(parts)}
+    passed = {
+        key: float(status[name])
+        for key, name in zip(KEYS, ("bytes_out", "bytes_in", "frames_out", "frames_in"), strict=True)
+    }
+    cost = {
+        "bytes_out": float(size + parts * TOLD_OVER),
+        "bytes_in": float(parts * TOLD_OVER),
+        "datagrams_out": float(parts),
+        "datagrams_in": float(parts),
+    }
     return Count(at, spent, passed), cost, status
 
 
 def registers(status: dict[str, Any]) -> dict[str, int]:
     """How many registers a real member holds of each that it believes to be there."""
-    return {row["name"]: row["entries"] for row in status["members"]
-            if row["state"] in ("self", "alive", "suspect")}
+    return {
+        row["name"]: row["entries"]
+        for row in status["members"]
+        if row["state"] in ("self", "alive", "suspect")
+    }
 
 
 def count_hollow(answer: dict[str, Any]) -> Count:
     return Count(answer["at"], answer["processor"], {key: float(answer[key]) for key in KEYS})
 
 
-def rates(before: Count, after: Count, members: int,
-          cost: dict[str, float] | None = None) -> dict[str, float]:
+def rates(
+    before: Count, after: Count, members: int, cost: dict[str, float] | None = None
+) -> dict[str, float]:
     """By member and second."""
     seconds = after.at - before.at
-    found = {key: (after.passed[key] - before.passed[key] - (cost or {}).get(key, 0.0)) / seconds / members
-             for key in KEYS}
+    found = {
+        key: (after.passed[key] - before.passed[key] - (cost or {}).get(key, 0.0)) / seconds / members
+        for key in KEYS
+    }
     return {**found, "core": (after.processor - before.processor) / seconds / members}
 
 
@@ -160,9 +176,11 @@
     histogram = HdrHistogram(1, LONGEST_MS * 10, 3)
     for one in times:
         histogram.record_value(max(1, round(1e4 * one)))
-    return {f"{name}_p50_s": histogram.get_value_at_percentile(50.0) / 1e4,
-            f"{name}_p99_s": histogram.get_value_at_percentile(99.0) / 1e4,
-            f"{name}_worst_s": round(max(times), 4)}
+    return {
+        f"{name}_p50_s": histogram.get_value_at_percentile(50.0) / 1e4,
+        f"{name}_p99_s": histogram.get_value_at_percentile(99.0) / 1e4,
+        f"{name}_worst_s": round(max(times), 4),
+    }
 
 
 def arrived(answers: list[dict[str, Any]]) -> dict[tuple[str, int], tuple[float, float, int]]:
@@ -192,8 +210,13 @@
         signal.signal(signal.SIGTERM, old)
 
 
-def play(workload: Workload, real: int, hollow: int, say: Callable[[str], None],
-         keep: Callable[[dict[str, Any]], None]) -> dict[str, Any]:
+def play(
+    workload: Workload,
+    real: int,
+    hollow: int,
+    say: Callable[[str], None],
+    keep: Callable[[dict[str, Any]], None],
+) -> dict[str, Any]:
     """Play so many real members beside so many hollow ones; returns the row.
 
     ``keep`` is given the row as far as it is there, ``partial``, after each step and when the run ends early.
@@ -207,8 +230,11 @@
             with Fleet(Path(folder), real, period_ms=1000.0 * workload.period) as fleet:
                 run.play(fleet)
         except BaseException as error:
-            run.row["ended"] = "interrupted" if isinstance(error, KeyboardInterrupt) else (
-                str(error) or type(error).__name__).splitlines()[0]
+            run.row["ended"] = (
+                "interrupted"
+                if isinstance(error, KeyboardInterrupt)
+                else (str(error) or type(error).__name__).splitlines()[0]
+            )
             keep(run.row)
             say(f"ended early: {run.row['ended']}")
             raise
@@ -218,8 +244,14 @@
 class Run:
     """One size."""
 
-    def __init__(self, workload: Workload, real: int, hollow: int, say: Callable[[str], None],
-                 keep: Callable[[dict[str, Any]], None]) -> None:
+    def __init__(
+        self,
+        workload: Workload,
+        real: int,
+        hollow: int,
+        say: Callable[[str], None],
+        keep: Callable[[dict[str, Any]], None],
+    ) -> None:
         self.workload, self.real, self.hollow = workload, real, hollow
         self.say, self.keep = say, keep
         self.members = real + hollow
@@ -273,11 +305,14 @@
             self.wait(time.monotonic() + ASKED)
         if lacking:
             dead = sum(len(one["deaths"]) for one in fleet.orders(fleet.hollow, "counts"))
-            raise Failed(f"{lacking} of {self.members} members did not see all others {JOINED:g} s after the "
-                         f"last had started, {dead} were said dead: too many for this machine or period")
+            raise Failed(
+                f"{lacking} of {self.members} members did not see all others {JOINED:g} s after the "
+                f"last had started, {dead} were said dead: too many for this machine or period"
+            )
         self.row["joined_s"] = round(time.monotonic() - began, 1)
-        self.say(f"{self.real} real and {self.hollow} hollow members see each other after "
-                 f"{self.row['joined_s']} s")
+        self.say(
+            f"{self.real} real and {self.hollow} hollow members see each other after {self.row['joined_s']} s"
+        )
         self.done()
 
     def pid(self, n: int) -> int:
@@ -300,13 +335,22 @@
         """Of hollow processes, of real members, what asking these cost, and the hollow ones' full answers."""
         answers = self.fleet.orders(self.fleet.hollow, "counts")
         asked = [count_real(self.fleet, n) for n in range(self.real)]
-        return [count_hollow(one) for one in answers], [one for one, _, _ in asked], [
-            cost for _, cost, _ in asked], answers
+        return (
+            [count_hollow(one) for one in answers],
+            [one for one, _, _ in asked],
+            [cost for _, cost, _ in asked],
+            answers,
+        )
 
     def measure(self) -> None:
         """The idle and the steady phase."""
-        w = replace(self.workload, members=self.members, faults="none", burst_s=0.0,
-                    seconds=self.workload.seconds + TAIL)
+        w = replace(
+            self.workload,
+            members=self.members,
+            faults="none",
+            burst_s=0.0,
+            seconds=self.workload.seconds + TAIL,
+        )
         play_from = time.monotonic() + ASKED
         self.fleet.orders(self.fleet.hollow, "play", workload=asdict(w), first=self.real, began=play_from)
         self.wait(play_from)
@@ -324,8 +368,10 @@
         rows = [self.figures(row) for _, row in self.rates_all(before, after)]
         self.row["worst"] = {key: max(row[key] for row in rows) for key in rows[0]}
         hollow = [rates(one, other, 1) for one, other in zip(before[0], after[0], strict=True)]
-        self.row |= {"played_s": round(after[0][0].at - before[0][0].at, 2),
-                     "busiest": max(row["core"] for row in hollow)}
+        self.row |= {
+            "played_s": round(after[0][0].at - before[0][0].at, 2),
+            "busiest": max(row["core"] for row in hollow),
+        }
         grown = [now["memory"] - then for now, then in zip(after[3], self.empty, strict=True)]
         real_grown = [anonymous(self.pid(n)) - then for n, then in enumerate(self.serving)]
         self.of_real |= {"played_s": self.row["played_s"], "memory": fmean(real_grown)}
@@ -346,21 +392,32 @@
         for answer in after[3]:
             ages.add(HdrHistogram.decode(base64.b64decode(answer["ages"])))
         # When loads should have come is not known here: a balancer writes its own when they change.
-        self.row |= {"load_late_p50_s": None, "load_late_p99_s": None, "load_error": None,
-                     "load_age_p50_s": None, "load_age_p99_s": None}
+        self.row |= {
+            "load_late_p50_s": None,
+            "load_late_p99_s": None,
+            "load_error": None,
+            "load_age_p50_s": None,
+            "load_age_p99_s": None,
+        }
         if ages.get_total_count():
-            self.row |= {"load_age_p50_s": ages.get_value_at_percentile(50.0) / 1000.0,
-                         "load_age_p99_s": ages.get_value_at_percentile(99.0) / 1000.0}
+            self.row |= {
+                "load_age_p50_s": ages.get_value_at_percentile(50.0) / 1000.0,
+                "load_age_p99_s": ages.get_value_at_percentile(99.0) / 1000.0,
+            }
         self.everywhere(since, until)
-        self.say(f"{self.row['bytes_out']:.0f} B/s out and {100.0 * self.row['core']:.2f} % of a core a "
-                 f"member; busiest hollow process {100.0 * self.row['busiest']:.0f} %, false deaths "
-                 f"{self.row['false_deaths']}")
+        self.say(
+            f"{self.row['bytes_out']:.0f} B/s out and {100.0 * self.row['core']:.2f} % of a core a "
+            f"member; busiest hollow process {100.0 * self.row['busiest']:.0f} %, false deaths "
+            f"{self.row['false_deaths']}"
+        )
         self.done()
 
     def dead(self, counted: Any) -> tuple[set[tuple[str, str]], set[tuple[str, str]]]:
         """Who was said dead so far, and under which incarnation: by real members, and by hollow ones."""
-        return ({said for one in self.fleet.balancers for said in DEAD.findall(one.log)},
-                {(name, str(incarnation)) for answer in counted[3] for name, incarnation in answer["deaths"]})
+        return (
+            {said for one in self.fleet.balancers for said in DEAD.findall(one.log)},
+            {(name, str(incarnation)) for answer in counted[3] for name, incarnation in answer["deaths"]},
+        )
 
     def rates_real(self, before: Any, after: Any) -> list[dict[str, float]]:
         return [rates(before[1][n], after[1][n], 1, before[2][n]) for n in range(self.real)]
@@ -378,18 +435,28 @@
         while True:
             answers = self.fleet.orders(self.fleet.hollow, "counts")
             there = arrived(answers)
-            changes = [(owner, seq, at) for answer in answers for owner, seq, at in answer["changes"]
-                       if since <= at < until]
+            changes = [
+                (owner, seq, at)
+                for answer in answers
+                for owner, seq, at in answer["changes"]
+                if since <= at < until
+            ]
             lacking = [one for one in changes if there.get(one[:2], (0.0, 0.0, 0))[2] < self.hollow - 1]
             if not lacking or time.monotonic() >= end:
                 break
             self.wait(time.monotonic() + 0.2)
         times = [(time.time() if one in lacking else there[one[:2]][1]) - one[2] for one in changes]
-        self.row |= {**spread("everywhere", times), "changes": len(changes),
-                     "changes_unfinished": len(lacking)}
+        self.row |= {
+            **spread("everywhere", times),
+            "changes": len(changes),
+            "changes_unfinished": len(lacking),
+        }
         names = {one.name for one in self.fleet.balancers}
-        loads = [last - written for (owner, _), (written, last, members) in there.items()
-                 if owner in names and since <= written < until and members == self.hollow]
+        loads = [
+            last - written
+            for (owner, _), (written, last, members) in there.items()
+            if owner in names and since <= written < until and members == self.hollow
+        ]
         self.of_real |= {**spread("everywhere", loads), "changes": len(loads)}
 
     def marks(self) -> None:
@@ -407,8 +474,12 @@
                 times.append(time.time() - at)
             self.wait(time.monotonic() + ASKED)
         found = spread("there", times)
-        self.of_real |= {"there_p50_s": found["there_p50_s"], "there_worst_s": found["there_worst_s"],
-                         "there": len(times), "there_unfinished": MARKS - len(times)}
+        self.of_real |= {
+            "there_p50_s": found["there_p50_s"],
+            "there_worst_s": found["there_worst_s"],
+            "there": len(times),
+            "there_unfinished": MARKS - len(times),
+        }
         self.done()
 
     def shown(self, waiting: list[int], member: str, text: str) -> bool:
@@ -444,11 +515,17 @@
                 self.wait(time.monotonic() + 0.1)
             if "caught up after" in one.log:
                 said.append(float(one.log.split("caught up after ")[1].split()[0]))
-        found = {"start_s": fmean(seconds) if seconds else None, "starts": len(seconds),
-                 "start_bytes": fmean(came) if came else None,
-                 "start_said_s": fmean(said) if said else None, "starts_said": len(said)}
+        found = {
+            "start_s": fmean(seconds) if seconds else None,
+            "starts": len(seconds),
+            "start_bytes": fmean(came) if came else None,
+            "start_said_s": fmean(said) if said else None,
+            "starts_said": len(said),
+        }
         self.row |= found
         self.of_real |= found
-        self.say(f"{len(seconds)} of those started anew held what the others hold after "
-                 f"{found['start_s'] or math.nan:.2f} s and {found['start_bytes'] or math.nan:.0f} bytes in "
-                 f"the mean; {len(said)} said so")
+        self.say(
+            f"{len(seconds)} of those started anew held what the others hold after "
+            f"{found['start_s'] or math.nan:.2f} s and {found['start_bytes'] or math.nan:.0f} bytes in "
+            f"the mean; {len(said)} said so"
+        )
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -244,8 +244,10 @@
         self.lookers = chance.sample(names, min(LOOKERS, len(names)))
         # (owner, chunk): (epoch, seq, when it was written), of the owners that are looked for
         self.writes: dict[tuple[str, int], list[tuple[int, int, float]]] = {
-            (name, chunk): [] for name in chance.sample(names, min(OWNERS, len(names)))
-            for chunk in range(facts.CHUNKS)}
+            (name, chunk): []
+            for name in chance.sample(names, min(OWNERS, len(names)))
+            for chunk in range(facts.CHUNKS)
+        }
         self.totals: dict[str, dict[int, int]] = {name: {} for name in names}  # the truth, by chunk
 
     # -- carrying --
@@ -310,8 +312,10 @@
         if end - start >= PAUSE and self.now < end + self.late:
             return True
         cut = self.cut(member.name, by) or self.cut(by, member.name)
-        return cut or (self.now < self.healed_at + self.late
-                       and (self.was_cut(member.name, by) or self.was_cut(by, member.name)))
+        return cut or (
+            self.now < self.healed_at + self.late
+            and (self.was_cut(member.name, by) or self.was_cut(by, member.name))
+        )
 
     def stop(self, name: str, seconds: float) -> None:
         super().stop(name, seconds)
@@ -363,9 +367,12 @@
         """It starts anew, with nothing; what it writes first is what it always writes."""
         if self.runs(name):
             return
-        lacking = {other: (owner.epoch, owner.complete) for other in self.ran_since
-                   for owner in (self.machines[other].node.store.owners[other],)
-                   if not self.cut(name, other)}
+        lacking = {
+            other: (owner.epoch, owner.complete)
+            for other in self.ran_since
+            for owner in (self.machines[other].node.store.owners[other],)
+            if not self.cut(name, other)
+        }
         # The dead core goes now, as the collector is off: its handlers are bound to itself.
         self.machines[name].node.handlers.clear()
         self.add(name)
@@ -399,8 +406,9 @@
         self.write(writer, facts.REVISION, key, change_value(self.w, number))
         own = self.machines[writer].node.store.owners[writer]
         waiting = {name for name in self.ran_since if name != writer and not self.cut(writer, name)}
-        one = Spreading(writer, (facts.REVISION, key), (own.epoch, own.complete), self.now, self.log, waiting,
-                        self.now)
+        one = Spreading(
+            writer, (facts.REVISION, key), (own.epoch, own.complete), self.now, self.log, waiting, self.now
+        )
         self.log.changes += 1
         self.spreading.append(one)
         if any(self.cut(writer, name) for name in self.ran_since):
@@ -421,8 +429,7 @@
             case Kind.RIGHTS if self.runs(name) and self.runs(f"m{event.other}"):
                 lender = f"m{event.other}"
                 epoch = {one: self.machines[one].node.store.owners[one].epoch for one in (name, lender)}
-                self.write(name, facts.RIGHTS, "ask:scale",
-                           ask_value(self.w, event, lender, epoch[lender]))
+                self.write(name, facts.RIGHTS, "ask:scale", ask_value(self.w, event, lender, epoch[lender]))
                 self.write(lender, facts.RIGHTS, f"grant:{name}:scale", grant_value(event, epoch[name]))
             case Kind.FAIL:
                 self.gone(name)
@@ -481,23 +488,28 @@
             node = self.machines[one.name].node
             for name, number in list(one.lacking.items()):
                 owner = node.store.owners.get(name)
-                if node.members.is_there(name) and owner is not None \
-                        and (owner.epoch, owner.complete) >= number:
+                if (
+                    node.members.is_there(name)
+                    and owner is not None
+                    and (owner.epoch, owner.complete) >= number
+                ):
                     del one.lacking[name]
             if not one.lacking:
                 one.took, one.bytes = self.now - one.at, node.counts.bytes_in
 
     def look_at_healing(self, log: Log) -> bool:
-        """After a fault: do all know all that run, those that started have caught up, the changes are there?
-        """
+        """After a fault: do all know all that run, those that started have caught up, the changes are there?"""
         if any(one.took is None for one in self.starting):
             return False
         for name in self.ran_since:
             there = {one.name for one in self.machines[name].node.members.alive()}
             if len(there) != len(self.ran_since) - 1 or not there <= self.ran_since.keys():
                 return False
-        self.in_cut = [one for one in self.in_cut if not all(
-            name == one.writer or self.holds(name, one) for name in self.ran_since)]
+        self.in_cut = [
+            one
+            for one in self.in_cut
+            if not all(name == one.writer or self.holds(name, one) for name in self.ran_since)
+        ]
         if self.in_cut:
             return False
         log.healed = self.now - log.ends
@@ -511,8 +523,13 @@
                 continue
             node = self.machines[name].node
             for (of, chunk), history in self.writes.items():
-                if of == name or not history or not self.runs(of) or self.cut(of, name) \
-                        or not node.members.is_there(of):
+                if (
+                    of == name
+                    or not history
+                    or not self.runs(of)
+                    or self.cut(of, name)
+                    or not node.members.is_there(of)
+                ):
                     continue
                 owner = node.store.owners.get(of)
                 held = owner.entries.get((facts.LOAD, str(chunk))) if owner is not None else None
@@ -558,22 +575,39 @@
     done = [one for one in starts if one.took is not None]
     said = [one.said for one in starts if one.said is not None]
     found = Measures(
-        bytes_out=rate("bytes_out"), bytes_in=rate("bytes_in"), datagrams_out=rate("datagrams_out"),
-        datagrams_in=rate("datagrams_in"), core=rate("core"), reference=rate("core") / reference,
-        worst={"bytes_out": worst("bytes_out"), "bytes_in": worst("bytes_in"),
-               "datagrams_out": worst("datagrams_out"), "datagrams_in": worst("datagrams_in"),
-               "core": worst("core"), "reference": worst("core") / reference},
-        everywhere_p50_s=everywhere.at(50.0), everywhere_p99_s=everywhere.at(99.0),
-        everywhere_worst_s=everywhere.at(100.0), changes=log.changes, changes_unfinished=len(late),
+        bytes_out=rate("bytes_out"),
+        bytes_in=rate("bytes_in"),
+        datagrams_out=rate("datagrams_out"),
+        datagrams_in=rate("datagrams_in"),
+        core=rate("core"),
+        reference=rate("core") / reference,
+        worst={
+            "bytes_out": worst("bytes_out"),
+            "bytes_in": worst("bytes_in"),
+            "datagrams_out": worst("datagrams_out"),
+            "datagrams_in": worst("datagrams_in"),
+            "core": worst("core"),
+            "reference": worst("core") / reference,
+        },
+        everywhere_p50_s=everywhere.at(50.0),
+        everywhere_p99_s=everywhere.at(99.0),
+        everywhere_worst_s=everywhere.at(100.0),
+        changes=log.changes,
+        changes_unfinished=len(late),
         false_deaths=sum(log.start <= at < log.end for at in fleet.deaths.false.values()),
-        load_age_p50_s=log.age.at(50.0), load_age_p99_s=log.age.at(99.0),
-        load_late_p50_s=log.late.at(50.0), load_late_p99_s=log.late.at(99.0),
+        load_age_p50_s=log.age.at(50.0),
+        load_age_p99_s=log.age.at(99.0),
+        load_late_p50_s=log.late.at(50.0),
+        load_late_p99_s=log.late.at(99.0),
         load_error=fmean(log.errors) if log.errors else None,
-        heed_core=fmean(log.heed) if log.heed else None, shed=rate("shed"),
+        heed_core=fmean(log.heed) if log.heed else None,
+        shed=rate("shed"),
         start_bytes=fmean(one.bytes for one in done) if done else None,
         start_s=fmean(one.took for one in done if one.took is not None) if done else None,
-        starts=len(done), starts_unfinished=len(starts) - len(done),
-        start_said_s=fmean(said) if said else None)
+        starts=len(done),
+        starts_unfinished=len(starts) - len(done),
+        start_said_s=fmean(said) if said else None,
+    )
     if log.ends:
         found["healed_s"] = log.healed
     return found
@@ -598,11 +632,16 @@
         fleet, logs = self.fleet, self.logs
         idle = measures(fleet, logs["idle"])
         row: dict[str, object] = {
-            "members": fleet.w.members, "played_s": fleet.now, "took_s": time.monotonic() - self.began,
+            "members": fleet.w.members,
+            "played_s": fleet.now,
+            "took_s": time.monotonic() - self.began,
             **measures(fleet, logs["steady"]),
-            "reference_s": median(logs["steady"].references), "memory": self.memory or self.used(),
-            "idle_bytes_out": idle["bytes_out"], "idle_core": idle["core"],
-            "false_deaths_all": len(fleet.deaths.false)}
+            "reference_s": median(logs["steady"].references),
+            "memory": self.memory or self.used(),
+            "idle_bytes_out": idle["bytes_out"],
+            "idle_core": idle["core"],
+            "false_deaths_all": len(fleet.deaths.false),
+        }
         for phase in ("burst", "zone_lost", "region_cut"):
             if phase in logs and logs[phase].meters:
                 row[phase] = measures(fleet, logs[phase])
@@ -611,13 +650,13 @@
 
 def estimate_bytes(w: Workload) -> int:
     """Resident bytes that a run of that size takes, the whole process."""
-    return round(PROCESS + w.members * MEMBER + w.members ** 2 * KNOWN)
+    return round(PROCESS + w.members * MEMBER + w.members**2 * KNOWN)
 
 
 def estimate_s(w: Workload) -> float:
     """s that a run takes, by the time of a member's frames and of what is done for each member it knows."""
     played = w.idle_s * IDLE + (w.length() - w.idle_s)
-    return BEGINS + played * w.members * (EACH + EACH_KNOWN * w.members) + w.members ** 2 * JOINS
+    return BEGINS + played * w.members * (EACH + EACH_KNOWN * w.members) + w.members**2 * JOINS
 
 
 def resident() -> int:
@@ -649,8 +688,9 @@
         gc.enable()
 
 
-def _course(run: Run, order: list[tuple[float, int, Event]], say: Callable[[str], None],
-            keep: Callable[[Row], None]) -> Row:
+def _course(
+    run: Run, order: list[tuple[float, int, Event]], say: Callable[[str], None], keep: Callable[[Row], None]
+) -> Row:
     fleet, w = run.fleet, run.fleet.w
 
     def progress(phase: Phase) -> None:
@@ -659,8 +699,10 @@
             row = run.row()
             row["partial"] = True
             keep(row)
-        say(f"{w.members} members, {phase.name} {fleet.now - phase.start:.0f} of "
-            f"{phase.end - phase.start:.0f} s, took {time.monotonic() - run.began:.0f} s")
+        say(
+            f"{w.members} members, {phase.name} {fleet.now - phase.start:.0f} of "
+            f"{phase.end - phase.start:.0f} s, took {time.monotonic() - run.began:.0f} s"
+        )
 
     heapq.heapify(order)
     for phase in w.phases():
@@ -674,14 +716,18 @@
     more = [(one.at, n, one) for n, one in enumerate(loads(w, w.length(), w.length() + w.drain_s))]
     heapq.heapify(more)
     end = fleet.now + w.drain_s
-    while fleet.now < end and (fleet.spreading or (last.ends and last.healed is None)
-                               or any(one.took is None for one in fleet.starting)):
+    while fleet.now < end and (
+        fleet.spreading
+        or (last.ends and last.healed is None)
+        or any(one.took is None for one in fleet.starting)
+    ):
         _phase(fleet, more, Phase("drain", fleet.now, min(end, fleet.now + 0.5)), last, lambda: None)
     return run.row()
 
 
-def _phase(fleet: Played, order: list[tuple[float, int, Event]], phase: Phase, log: Log,
-           progress: Callable[[], None]) -> None:
+def _phase(
+    fleet: Played, order: list[tuple[float, int, Event]], phase: Phase, log: Log, progress: Callable[[], None]
+) -> None:
     """Play one phase: events when they are due, looks between them; ``log`` is whose healing is looked at."""
     looks, seconds, told = phase.start + LOOK, phase.start + 1.0, phase.start + TOLD
     while fleet.now < phase.end:
--- a/snowwick/lab/search.py
+++ b/snowwick/lab/search.py
@@ -23,8 +23,12 @@
     """What went wrong with a seed; empty where nothing did."""
     rng = random.Random(seed)
     count = rng.choice([3, 4, 5])
-    faults = Faults(loss=rng.choice([0.0, 0.05, 0.3]), double=rng.choice([0.0, 0.2]),
-                    corrupt=rng.choice([0.0, 0.1]), most=rng.choice([0.01, 0.3]))
+    faults = Faults(
+        loss=rng.choice([0.0, 0.05, 0.3]),
+        double=rng.choice([0.0, 0.2]),
+        corrupt=rng.choice([0.0, 0.1]),
+        most=rng.choice([0.01, 0.3]),
+    )
     net = Network(count, seed, faults=faults)
     names = list(net.machines)
     wrote: dict[tuple[str, str], bytes | None] = {}
@@ -61,8 +65,9 @@
         return f"seed {seed}: no agreement {SETTLE} s after the last fault"
     want = {key: value for key, value in wrote.items() if value is not None}
     for machine in net.live():
-        have = {(held.entry.owner, held.entry.key): held.entry.value
-                for held in machine.node.store.standing(1)}
+        have = {
+            (held.entry.owner, held.entry.key): held.entry.value for held in machine.node.store.standing(1)
+        }
         if have != want:
             return f"seed {seed}: {machine.name} holds {have}, written was {want}"
     return ""
@@ -75,8 +80,11 @@
     parser.add_argument("--processes", type=int, default=4)
     given = parser.parse_args()
     with Pool(given.processes) as pool:
-        found = [one for one in pool.imap_unordered(
-            course, range(given.first, given.first + given.seeds), 16) if one]
+        found = [
+            one
+            for one in pool.imap_unordered(course, range(given.first, given.first + given.seeds), 16)
+            if one
+        ]
     for one in found[:20]:
         print(one)
     print(f"{given.seeds} seeds, {len(found)} broken")
--- a/snowwick/lab/standing.py
+++ b/snowwick/lab/standing.py
@@ -154,8 +154,12 @@
     return data
 
 
-def start(folder: Path, connections: int, nodes: int = 1,
-          words: Callable[[str], list[str]] = lambda node: ["snowwick", "serve"]) -> Standing:
+def start(
+    folder: Path,
+    connections: int,
+    nodes: int = 1,
+    words: Callable[[str], list[str]] = lambda node: ["snowwick", "serve"],
+) -> Standing:
     """Start ``python -m WORDS`` with room for so many connections before so many nodes; none is open yet.
 
     ``words`` is given the first node's address.  The files are written to ``folder``, a program each.
@@ -164,21 +168,35 @@
     doors = [listen() for _ in range(nodes + 1)]
     path, log = folder / "config.json", folder / "log"
     folder.mkdir(exist_ok=True)
-    servers = [{"id": f"s-{n}", "addr": where(door), "state": "in_service"}
-               for n, door in enumerate(doors[:-1])]
+    servers = [
+        {"id": f"s-{n}", "addr": where(door), "state": "in_service"} for n, door in enumerate(doors[:-1])
+    ]
     setup = settings(["n"], 600.0)
     setup["familyInfo"]["messageAim"] = [60_000.0]  # what is held must not count as slow
-    path.write_text(json.dumps({
-        "listen": "127.0.0.1:0", "discovery": where(doors[-1]), "seed": "bench",
-        "limits": {"sockets": 2 * connections + SPARE},
-        "known": {"version": 0, "full": True, "servers": servers}, "settings": setup}))
+    path.write_text(
+        json.dumps(
+            {
+                "listen": "127.0.0.1:0",
+                "discovery": where(doors[-1]),
+                "seed": "bench",
+                "limits": {"sockets": 2 * connections + SPARE},
+                "known": {"version": 0, "full": True, "servers": servers},
+                "settings": setup,
+            }
+        )
+    )
     blocked = signal.pthread_sigmask(signal.SIG_BLOCK, ENDING)
     try:
         with log.open("w") as sink:
             process = subprocess.Popen(
-                [sys.executable, "-m", *words(where(doors[0]))], cwd=ROOT, text=True,
-                stdin=subprocess.DEVNULL, stderr=sink, env={**os.environ, "GW_CONFIG": str(path)},
-                preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_SETMASK, blocked))
+                [sys.executable, "-m", *words(where(doors[0]))],
+                cwd=ROOT,
+                text=True,
+                stdin=subprocess.DEVNULL,
+                stderr=sink,
+                env={**os.environ, "GW_CONFIG": str(path)},
+                preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_SETMASK, blocked),
+            )
         standing = Standing(process, ("", 0), doors)
     except BaseException:
         signal.pthread_sigmask(signal.SIG_SETMASK, blocked)
--- a/snowwick/lab/standins.py
+++ b/snowwick/lab/standins.py
@@ -228,8 +228,10 @@
         yield Wait(sock, write=True, until=asked + 1.0)
         ClientSide.number += 1
         group = f"{crowd.tenant}-{int(self.name.rpartition('-')[2]) // crowd.group}"
-        sock.send(b"OPEN %d %s c=feed,t=%s,d=1200,g=%s\r\n" % (
-            ClientSide.number, self.name.encode(), crowd.tenant.encode(), group.encode()))
+        sock.send(
+            b"OPEN %d %s c=feed,t=%s,d=1200,g=%s\r\n"
+            % (ClientSide.number, self.name.encode(), crowd.tenant.encode(), group.encode())
+        )
         answer = yield from peer.line(asked + 1.3)
         tally = crowd.tally
         tally.told += honoured
@@ -298,20 +300,36 @@
 
 def python(*words: str, root: Path = ROOT, **environment: str) -> subprocess.Popen[str]:
     # Standard error goes to standard output, which is read up to the first line and then to a file's end.
-    return subprocess.Popen([sys.executable, *words], cwd=root, text=True, stdout=subprocess.PIPE,
-                            stderr=subprocess.STDOUT, env={**os.environ, **environment})
+    return subprocess.Popen(
+        [sys.executable, *words],
+        cwd=root,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        env={**os.environ, **environment},
+    )
 
 
 def settings(tenants: list[str], longest_ms: float) -> dict[str, Any]:
-    return {"classes": [{"name": "feed", "aim": 300.0, "deadline": 1200.0, "effect": "read_like"}],
-            "familyInfo": {"groups": True, "messageAim": [50.0]}, "tenants": [{"name": n} for n in tenants],
-            "limits": {"mostTries": 3, "connectTimeout": 250.0, "retryAfter": True,
-                       "maxRetryAfter": longest_ms},
-            "registryMode": "on_request", "nInstances": 1, "selfIndex": 0}
-
-
-def start(tenants: list[str], contracts: str, nodes: int = 4, message_ms: float = 4.0,
-          setup_ms: float = 8.0, longest_ms: float = 600.0) -> Stack:
+    return {
+        "classes": [{"name": "feed", "aim": 300.0, "deadline": 1200.0, "effect": "read_like"}],
+        "familyInfo": {"groups": True, "messageAim": [50.0]},
+        "tenants": [{"name": n} for n in tenants],
+        "limits": {"mostTries": 3, "connectTimeout": 250.0, "retryAfter": True, "maxRetryAfter": longest_ms},
+        "registryMode": "on_request",
+        "nInstances": 1,
+        "selfIndex": 0,
+    }
+
+
+def start(
+    tenants: list[str],
+    contracts: str,
+    nodes: int = 4,
+    message_ms: float = 4.0,
+    setup_ms: float = 8.0,
+    longest_ms: float = 600.0,
+) -> Stack:
     """The program in front of so many nodes; ``contracts`` is a file's text, or empty for none."""
     stand_ins = python("-m", "snowwick.lab.standins", str(nodes), str(message_ms), str(setup_ms), "k")
     assert stand_ins.stdout is not None
@@ -319,16 +337,28 @@
     folder = tempfile.TemporaryDirectory()
     path, file = Path(folder.name) / "config.json", Path(folder.name) / "contracts.toml"
     file.write_text(contracts)
-    path.write_text(json.dumps({
-        "listen": "127.0.0.1:0", "discovery": listed["discovery"], "seed": "bench",
-        "limits": {"sockets": 4096},
-        "known": {"version": 0, "full": True, "servers": listed["servers"]},
-        "settings": settings(tenants, longest_ms)}))
+    path.write_text(
+        json.dumps(
+            {
+                "listen": "127.0.0.1:0",
+                "discovery": listed["discovery"],
+                "seed": "bench",
+                "limits": {"sockets": 4096},
+                "known": {"version": 0, "full": True, "servers": listed["servers"]},
+                "settings": settings(tenants, longest_ms),
+            }
+        )
+    )
     more = ["--contracts", str(file)] if contracts else []
     with (Path(folder.name) / "log").open("w") as log:
-        program = subprocess.Popen([sys.executable, "-m", "snowwick", "serve", *more], cwd=ROOT, text=True,
-                                   stdout=subprocess.PIPE, stderr=log,
-                                   env={**os.environ, "GW_CONFIG": str(path)})
+        program = subprocess.Popen(
+            [sys.executable, "-m", "snowwick", "serve", *more],
+            cwd=ROOT,
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=log,
+            env={**os.environ, "GW_CONFIG": str(path)},
+        )
     deadline = 200
     while "serving on" not in (Path(folder.name) / "log").read_text():
         deadline -= 1
@@ -341,5 +371,6 @@
 
 
 if __name__ == "__main__":
-    serve_nodes(int(sys.argv[1]), float(sys.argv[2]) / 1000.0, float(sys.argv[3]) / 1000.0,
-                (sys.argv[4:] or ["k"])[0])
+    serve_nodes(
+        int(sys.argv[1]), float(sys.argv[2]) / 1000.0, float(sys.argv[3]) / 1000.0, (sys.argv[4:] or ["k"])[0]
+    )
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -81,47 +81,62 @@
     seconds: float = field(default=60.0, metadata=says("s of the ordinary day's part"))
     seed: int = 1
     period: float = field(default=0.2, metadata=says("s of the protocol's period, as shipped"))
-    faults: Faults = field(default="all", metadata=says(
-        "restarts: with failures and restarts, all: with the zone and the cut as well"))
+    faults: Faults = field(
+        default="all",
+        metadata=says("restarts: with failures and restarts, all: with the zone and the cut as well"),
+    )
     regions: int = field(default=2, metadata=says("target"))
-    zones: int = field(default=5, metadata=says(
-        "target; zone z is in region z % regions, member n in zone n % zones"))
+    zones: int = field(
+        default=5, metadata=says("target; zone z is in region z % regions, member n in zone n % zones")
+    )
     idle_s: float = field(default=5.0, metadata=says("s at the start without any writing"))
-    changes_per_day: float = field(default=26_000.0, metadata=says(
-        "target, of the whole fleet at any size: 0.30 a second"))
-    change_bytes: int = field(default=200, metadata=says(
-        "assumed: bytes of a change's value, of at most 900"))
-    change_keys: int = field(default=16, metadata=says(
-        "assumed: registers of a member that changes take in turn"))
+    changes_per_day: float = field(
+        default=26_000.0, metadata=says("target, of the whole fleet at any size: 0.30 a second")
+    )
+    change_bytes: int = field(
+        default=200, metadata=says("assumed: bytes of a change's value, of at most 900")
+    )
+    change_keys: int = field(
+        default=16, metadata=says("assumed: registers of a member that changes take in turn")
+    )
     burst_factor: float = field(default=10.0, metadata=says("target: times the ordinary rate of changes"))
     burst_s: float = field(default=10.0, metadata=says("assumed: s that the burst lasts"))
     failures_per_day: float = field(default=36.0, metadata=says("target, of TARGET members"))
     failure_s: float = field(default=20.0, metadata=says("assumed: s until a failed machine is back"))
-    restarts_per_day: float = field(default=2_800.0, metadata=says(
-        "target, of TARGET members: one each 31 s"))
+    restarts_per_day: float = field(
+        default=2_800.0, metadata=says("target, of TARGET members: one each 31 s")
+    )
     restart_s: float = field(default=2.0, metadata=says("assumed: s between leaving and starting anew"))
-    load_writes: float = field(default=1.0, metadata=says(
-        "assumed: load registers that each member writes a second, in turn"))
-    load_destinations: int = field(default=48, metadata=says(
-        "assumed: destinations a member has, over facts.CHUNKS registers"))
+    load_writes: float = field(
+        default=1.0, metadata=says("assumed: load registers that each member writes a second, in turn")
+    )
+    load_destinations: int = field(
+        default=48, metadata=says("assumed: destinations a member has, over facts.CHUNKS registers")
+    )
     load_count: int = field(default=100, metadata=says("assumed: connections of a member to one destination"))
-    load_wave: float = field(default=0.3, metadata=says(
-        "assumed: part by which all loads rise and fall together, once in wave_s"))
+    load_wave: float = field(
+        default=0.3, metadata=says("assumed: part by which all loads rise and fall together, once in wave_s")
+    )
     wave_s: float = field(default=60.0, metadata=says("assumed"))
-    verdicts: float = field(default=0.1, metadata=says(
-        "assumed: verdicts a second of the whole fleet at any size"))
-    rights: float = field(default=0.1, metadata=says(
-        "assumed: moves of rights a second of the whole fleet at any size"))
+    verdicts: float = field(
+        default=0.1, metadata=says("assumed: verdicts a second of the whole fleet at any size")
+    )
+    rights: float = field(
+        default=0.1, metadata=says("assumed: moves of rights a second of the whole fleet at any size")
+    )
     zone_lost_s: float = field(default=20.0, metadata=says("assumed: s that the lost zone is away"))
     zone_back_s: float = field(default=20.0, metadata=says("assumed: s watched after it is back"))
     region_cut_s: float = field(default=60.0, metadata=says("target"))
-    heal_s: float = field(default=20.0, metadata=says(
-        "assumed: s watched after the regions hear each other again"))
-    drain_s: float = field(default=15.0, metadata=says(
-        "s at most in which the last changes may still get everywhere"))
+    heal_s: float = field(
+        default=20.0, metadata=says("assumed: s watched after the regions hear each other again")
+    )
+    drain_s: float = field(
+        default=15.0, metadata=says("s at most in which the last changes may still get everywhere")
+    )
     loss: float = field(default=0.01, metadata=says("assumed: part of the datagrams that is lost"))
-    delay_s: float = field(default=0.005, metadata=says(
-        "assumed: s of the longest delay within a region; the least is a tenth"))
+    delay_s: float = field(
+        default=0.005, metadata=says("assumed: s of the longest delay within a region; the least is a tenth")
+    )
     region_delay_s: float = field(default=0.03, metadata=says("assumed: s beside that between regions"))
 
     def zone_of(self, member: int) -> int:
@@ -142,8 +157,10 @@
         """One after the other, from 0."""
         lengths = [("idle", self.idle_s), ("steady", self.seconds), ("burst", self.burst_s)]
         if self.faults == "all":
-            lengths += [("zone_lost", self.zone_lost_s + self.zone_back_s),
-                        ("region_cut", self.region_cut_s + self.heal_s)]
+            lengths += [
+                ("zone_lost", self.zone_lost_s + self.zone_back_s),
+                ("region_cut", self.region_cut_s + self.heal_s),
+            ]
         found, at = list[Phase](), 0.0
         for name, length in lengths:
             found.append(Phase(name, at, at + length))
@@ -212,9 +229,12 @@
     if w.faults == "all":
         zone, cut = phases["zone_lost"], phases["region_cut"]
         lost = rng.randrange(w.zones)
-        events += [Event(zone.start, Kind.ZONE_LOST, 0, lost),
-                   Event(zone.start + w.zone_lost_s, Kind.ZONE_BACK, 0, lost),
-                   Event(cut.start, Kind.CUT), Event(cut.start + w.region_cut_s, Kind.HEAL)]
+        events += [
+            Event(zone.start, Kind.ZONE_LOST, 0, lost),
+            Event(zone.start + w.zone_lost_s, Kind.ZONE_BACK, 0, lost),
+            Event(cut.start, Kind.CUT),
+            Event(cut.start + w.region_cut_s, Kind.HEAL),
+        ]
     return sorted((one for one in events if one.at < end), key=lambda one: one.at)
 
 
@@ -222,10 +242,15 @@
     """Failures and restarts, of different members, at most a third of them."""
     half = steady.start + 0.5 * (steady.end - steady.start)
     events, free = list[Event](), rng.sample(range(w.members), max(2, w.members // 3))
-    for kind, rate, away in ((Kind.FAIL, w.by_members(w.failures_per_day), w.failure_s),
-                             (Kind.LEAVE, w.by_members(w.restarts_per_day), w.restart_s)):
-        times = list(_times(rng, rate * (steady.end - steady.start) / max(half - steady.start, 1e-9),
-                            steady.start, half)) or [rng.uniform(steady.start, half)]
+    for kind, rate, away in (
+        (Kind.FAIL, w.by_members(w.failures_per_day), w.failure_s),
+        (Kind.LEAVE, w.by_members(w.restarts_per_day), w.restart_s),
+    ):
+        times = list(
+            _times(
+                rng, rate * (steady.end - steady.start) / max(half - steady.start, 1e-9), steady.start, half
+            )
+        ) or [rng.uniform(steady.start, half)]
         for at in times:
             if free:
                 one = free.pop()
@@ -241,8 +266,11 @@
     of noise.
     """
     level = w.load_count * (1.0 + w.load_wave * math.sin(2.0 * math.pi * at / w.wave_s))
-    noise = {one: mix(w.seed, member, one, int(at * 1000)) % 1000 / 1000.0
-             for one in range(w.load_destinations) if facts.chunk_of(one) == chunk}
+    noise = {
+        one: mix(w.seed, member, one, int(at * 1000)) % 1000 / 1000.0
+        for one in range(w.load_destinations)
+        if facts.chunk_of(one) == chunk
+    }
     return {one: max(0, round(level * (0.9 + 0.2 * part))) for one, part in noise.items()}
 
 
@@ -281,8 +309,15 @@
     frame = wire.Frame("m1", "10.0.0.1:7000", 1, 7, seq, "m2", 9, wire.News())
     for n in range(1000):
         value = facts.pack(load_value(w, n, n % facts.CHUNKS, 0.0))
-        entry = wire.Entry(f"m{n}", 1_700_000_000_000, 100 + n, facts.LOAD, str(n % facts.CHUNKS), value,
-                           1_700_000_000_000 << 16)
+        entry = wire.Entry(
+            f"m{n}",
+            1_700_000_000_000,
+            100 + n,
+            facts.LOAD,
+            str(n % facts.CHUNKS),
+            value,
+            1_700_000_000_000 << 16,
+        )
         frame.entries.append(entry)
         if 1 + wire.DIGEST + wire.size(frame) > wire.MOST:
             frame.entries.pop()
--- a/snowwick/log.py
+++ b/snowwick/log.py
@@ -39,8 +39,9 @@
     formatter = JsonFormatter(json_default=str)
 
     def style(event: str, text: str, fields: dict[str, Any]) -> str:
-        record = logging.makeLogRecord({"msg": {
-            "time": round(now(), 3), "balancer": balancer, "event": event, **fields}})
+        record = logging.makeLogRecord(
+            {"msg": {"time": round(now(), 3), "balancer": balancer, "event": event, **fields}}
+        )
         # The formatter adds the record's own message, which is empty where a mapping was logged.
         record.message = ""
         return str(formatter.format(record))
@@ -61,8 +62,9 @@
 class Log:
     """Prints events while the budget lasts, then counts what it left out and says so."""
 
-    def __init__(self, clock: Callable[[], float] = time.monotonic, sink: IO[str] | None = None,
-                 style: Style = as_text) -> None:
+    def __init__(
+        self, clock: Callable[[], float] = time.monotonic, sink: IO[str] | None = None, style: Style = as_text
+    ) -> None:
         self.clock, self.sink, self.style = clock, sink if sink is not None else sys.stderr, style
         self.budget, self.at, self.left_out = BURST, clock(), 0
         self.pipe, self.room = pipe_of(self.sink), select.poll()
@@ -92,8 +94,10 @@
             self.left_out = 0
 
     def _count(self) -> str:
-        return self.style("log-left-out", f"log: {self.left_out} lines left out",
-                          {"count": self.left_out}) + "\n"
+        return (
+            self.style("log-left-out", f"log: {self.left_out} lines left out", {"count": self.left_out})
+            + "\n"
+        )
 
     def _write(self, text: str) -> bool:
         """Write without waiting; False where that cannot be done.
@@ -107,8 +111,9 @@
             return False
         data = text.encode(errors="replace")
         if len(data) > select.PIPE_BUF:
-            data = data[:select.PIPE_BUF - 1] + b"\n"
+            data = data[: select.PIPE_BUF - 1] + b"\n"
         with contextlib.suppress(OSError):
-            return any(events == select.POLLOUT for _, events in self.room.poll(0)) \
-                and os.write(self.pipe, data) == len(data)
+            return any(events == select.POLLOUT for _, events in self.room.poll(0)) and os.write(
+                self.pipe, data
+            ) == len(data)
         return False
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -51,8 +51,17 @@
 class ContractStage(Stage):
     """Finds the team and its pool, asks the ledger, and gives back once whatever was held."""
 
-    def __init__(self, loop: Loop, contracts: Contracts, desks: Desks, balancers: int, index: int, seed: int,
-                 longest_ms: float, come_again_ms: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        contracts: Contracts,
+        desks: Desks,
+        balancers: int,
+        index: int,
+        seed: int,
+        longest_ms: float,
+        come_again_ms: Callable[[], float],
+    ) -> None:
         self.loop, self.contracts, self.desks = loop, contracts, desks
         self.balancers, self.index = balancers, index
         self.longest_ms, self.come_again_ms = longest_ms, come_again_ms
@@ -100,9 +109,10 @@
         for name in self.contracts.teams:
             team = self.ledger.teams.get(name)
             held = team.seats.held if team is not None else 0.0
-            for key, now, refused in (("connections", held, float(self.refused[name, "connections"])),
-                                      ("setups", self.let_in[name] / seconds,
-                                       self.refused[name, "rate"] / seconds)):
+            for key, now, refused in (
+                ("connections", held, float(self.refused[name, "connections"])),
+                ("setups", self.let_in[name] / seconds, self.refused[name, "rate"] / seconds),
+            ):
                 wish = now + min(refused, max(now, 1.0))
                 used[f"{name}.{key}"], wanted[f"{name}.{key}"] = now, wish
                 used[f"fleet.{key}"] += now
@@ -112,8 +122,15 @@
         return used, wanted
 
     def _pools(self, running: bool) -> None:
-        tenants = {pool: frozenset(tenant for team in self.contracts.teams.values() if team.pool == pool
-                                   for tenant in team.tenants) for pool in self.contracts.pools}
+        tenants = {
+            pool: frozenset(
+                tenant
+                for team in self.contracts.teams.values()
+                if team.pool == pool
+                for tenant in team.tenants
+            )
+            for pool in self.contracts.pools
+        }
         self.desks.set(self.contracts.pools, tenants, running)
         self.tenants = {tenant: self.ledger.teams[name] for tenant, name in self.contracts.tenants.items()}
 
--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -151,8 +151,15 @@
 
     lasting = True
 
-    def __init__(self, loop: Loop, settings: i.Settings, seed: int, now_ms: Callable[[], float],
-                 watch_pool: Callable[[], None], probe: Callable[[int, Decider], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        settings: i.Settings,
+        seed: int,
+        now_ms: Callable[[], float],
+        watch_pool: Callable[[], None],
+        probe: Callable[[int, Decider], None],
+    ) -> None:
         super().__init__(loop)
         self.balancer = Balancer(settings, seed)
         self.now_ms, self.watch_pool, self.probe = now_ms, watch_pool, probe
@@ -252,13 +259,17 @@
             actions = self.balancer.handle(self.now_ms(), event)
         except Exception as error:
             # The module must not take all standing connections with it.
-            self.loop.log.event("fault", "fault: {where}: {error}",
-                                where=f"decision on {type(event).__name__}",
-                                error=f"{type(error).__name__}: {error}")
+            self.loop.log.event(
+                "fault",
+                "fault: {where}: {error}",
+                where=f"decision on {type(event).__name__}",
+                error=f"{type(error).__name__}: {error}",
+            )
             # What was decided before it holds: without its timer the monitor would never look again.
             actions = list(self.balancer.out)
             if isinstance(event, i.Request) and not any(
-                    getattr(action, "request", None) == event.request for action in actions):
+                getattr(action, "request", None) == event.request for action in actions
+            ):
                 self._handle(i.Gone(event.request))
                 actions.append(i.Fail(event.request))  # given up, so answered at once
         for action in actions:
--- a/snowwick/net/desks.py
+++ b/snowwick/net/desks.py
@@ -21,9 +21,12 @@
     stand there, and ends with the last of them.
     """
 
-    def __init__(self, make: Callable[[str, frozenset[str] | None], Decider],
-                 settings: Callable[[frozenset[str]], Settings],
-                 labels: Callable[[], Mapping[int, Labels]]) -> None:
+    def __init__(
+        self,
+        make: Callable[[str, frozenset[str] | None], Decider],
+        settings: Callable[[frozenset[str]], Settings],
+        labels: Callable[[], Mapping[int, Labels]],
+    ) -> None:
         self.make, self.settings, self.labels = make, settings, labels
         self.deciders: dict[str, Decider] = {}
         self.split: Split | None = None
@@ -65,8 +68,10 @@
     def of_destination(self, destination: int) -> Decider:
         """The decider of the pool that a destination is in, or any where it is in none."""
         members = self.split.members if self.split is not None else {}
-        return next((self.deciders[name] for name, held in members.items() if destination in held),
-                    next(iter(self.deciders.values())))
+        return next(
+            (self.deciders[name] for name, held in members.items() if destination in held),
+            next(iter(self.deciders.values())),
+        )
 
     def news(self, news: PoolNews) -> None:
         """Discovery's list has changed, or could not be had."""
@@ -75,8 +80,9 @@
             return
         for name, part in self.split.news(news, self.labels()).items():
             self.deciders[name].post(part)
-        for name in [name for name, one in self.deciders.items()
-                     if name not in self.current and not one.clients]:
+        for name in [
+            name for name, one in self.deciders.items() if name not in self.current and not one.clients
+        ]:
             self.deciders.pop(name).post(Retire())
             self.split.rematch_without(name)
 
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -39,8 +39,17 @@
 class Destination(LinePeer):
     """The destination's side of one client's connection."""
 
-    def __init__(self, loop: Loop, front: LinePeer, number: int, address: tuple[str, int], opening: bytes,
-                 wait: float, connect_wait: float, gauge: Gauge) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        front: LinePeer,
+        number: int,
+        address: tuple[str, int],
+        opening: bytes,
+        wait: float,
+        connect_wait: float,
+        gauge: Gauge,
+    ) -> None:
         super().__init__(loop, prepare(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
         self.front, self.number, self.address, self.opening = front, number, address, opening
         self.gauge, self.meter = gauge, Meter(front, number, Answers())  # the gauge's own once it stands
@@ -129,7 +138,7 @@
     def _write(self) -> None:
         """Unlike later, a write that fails here says that the opening never got there: raises OSError."""
         with contextlib.suppress(BlockingIOError):
-            del self.out[:self.sock.send(self.out)]
+            del self.out[: self.sock.send(self.out)]
 
     def _stands(self, line: bytes) -> None:
         self.front.post(Up(line, self._elapsed()))
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -1,7 +1,7 @@
 """The actor that carries a fleet node: its socket, its clock, what this balancer tells and what it heeds.
 
 Loaded only where a fleet file is given.  Frames are datagrams, so that a slow or stopped member holds up
-nobody: what the socket does not take at once is lost, and comparison brings it later. """
+nobody: what the socket does not take at once is lost, and comparison brings it later."""
 
 from __future__ import annotations
 
@@ -53,8 +53,15 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
         self.sock.bind(parse_address(file.links.listen))
         host, port = self.sock.getsockname()
-        self.node = Node(name, file.links.address or f"{host}:{port}", file.keys, file.links.seeds, rng,
-                         self.wall_ms, file.links.period_ms / 1000.0)
+        self.node = Node(
+            name,
+            file.links.address or f"{host}:{port}",
+            file.keys,
+            file.links.seeds,
+            rng,
+            self.wall_ms,
+            file.links.period_ms / 1000.0,
+        )
         self.node.status = self.status
         self.view, self.health = View(self.node.store, self.node.members), Health(name)
         self.said: dict[int, tuple[int, float]] = {}  # own words on destinations, and when they were written
@@ -76,8 +83,13 @@
     # -- the loop ----------------------------------------------------------------------------------------
 
     def run(self) -> Steps:
-        self.log.event("fleet", "fleet: {name} at {address}, epoch {epoch}", name=self.node.name,
-                       address=self.node.members.me.address, epoch=self.node.members.me.incarnation)
+        self.log.event(
+            "fleet",
+            "fleet: {name} at {address}, epoch {epoch}",
+            name=self.node.name,
+            address=self.node.members.me.address,
+            epoch=self.node.members.me.incarnation,
+        )
         rest = 0.0
         try:
             while not self.gone:
@@ -123,22 +135,36 @@
         for news in self.node.take_news():
             if isinstance(news, Change):
                 one = news.member
-                self.log.event("fleet-member", "fleet: {member} is {state} (incarnation {incarnation})",
-                               member=one.name, state=STATES[one.state], incarnation=one.incarnation)
+                self.log.event(
+                    "fleet-member",
+                    "fleet: {member} is {state} (incarnation {incarnation})",
+                    member=one.name,
+                    state=STATES[one.state],
+                    incarnation=one.incarnation,
+                )
             elif isinstance(news, CaughtUp):
-                self.log.event("fleet-caught-up", "fleet: caught up after {seconds} s",
-                               seconds=round(news.after, 2))
+                self.log.event(
+                    "fleet-caught-up", "fleet: caught up after {seconds} s", seconds=round(news.after, 2)
+                )
             elif isinstance(news, DuplicateName):
-                self.log.event("fleet-twin", "fleet: {name} is at {address} already and started before; "
-                               "leaving the fleet, serving alone", name=self.node.name,
-                               address=news.address)
+                self.log.event(
+                    "fleet-twin",
+                    "fleet: {name} is at {address} already and started before; "
+                    "leaving the fleet, serving alone",
+                    name=self.node.name,
+                    address=news.address,
+                )
                 self.end()
         dropped = sum(self.node.counts.dropped.values())
         if dropped > self.counted and self.loop.clock() >= self.next_count:
             self.next_count = self.loop.clock() + COUNTED
             reasons = [f"{reason} {count}" for reason, count in sorted(self.node.counts.dropped.items())]
-            self.log.event("fleet-dropped", "fleet: {count} frames dropped: {reasons}",
-                           count=dropped - self.counted, reasons=", ".join(reasons))
+            self.log.event(
+                "fleet-dropped",
+                "fleet: {count} frames dropped: {reasons}",
+                count=dropped - self.counted,
+                reasons=", ".join(reasons),
+            )
             self.counted = dropped
 
     def leave(self) -> None:
@@ -156,8 +182,9 @@
     def apply(self, file: FleetFile) -> None:
         """Another file: keys and what is shared change at once, the links at the next start."""
         if file.links != self.file.links:
-            self.log.event("reload-waits", "reload: {keys} changed, but only at the next start",
-                           keys="fleet links")
+            self.log.event(
+                "reload-waits", "reload: {keys} changed, but only at the next start", keys="fleet links"
+            )
         self.file, self.node.keys = file, list(file.keys)
 
     # -- what is told ------------------------------------------------------------------------------------
@@ -203,18 +230,26 @@
     def _list(self, now: float) -> None:
         pool, source = self.host.pool_config, self.file.share.discovery
         leaving = [one for one, entry in pool.entries.items() if entry.state is not i.State.READY]
-        self._write(facts.LIST, "", Listed(source, pool.version, leaving[-facts.LEAVING:]), now)
+        self._write(facts.LIST, "", Listed(source, pool.version, leaving[-facts.LEAVING :]), now)
         told = self.view.leaving(source, pool.version, now)
         # Only what this balancer's own list has named is of interest, and nothing is sent on others' word.
         heed = {one for one in told if one in pool.entries and pool.entries[one].state is i.State.READY}
         fresh = heed - self.left
         if fresh:
-            self.log.event("fleet-leaving", "fleet: {count} destinations leave by a newer list than ours, "
-                           "{version}", count=len(fresh), version=pool.version)
-            self.host.news(PoolNews(i.ListKind.CHANGES, [
-                _leaving(pool.entries[one]) for one in sorted(fresh)]))
-        back = [one for one in sorted(self.left - heed) if one in pool.entries
-                and pool.entries[one].state is i.State.READY]
+            self.log.event(
+                "fleet-leaving",
+                "fleet: {count} destinations leave by a newer list than ours, {version}",
+                count=len(fresh),
+                version=pool.version,
+            )
+            self.host.news(
+                PoolNews(i.ListKind.CHANGES, [_leaving(pool.entries[one]) for one in sorted(fresh)])
+            )
+        back = [
+            one
+            for one in sorted(self.left - heed)
+            if one in pool.entries and pool.entries[one].state is i.State.READY
+        ]
         if back:  # the newer list was taken back, as after a restore
             self.host.news(PoolNews(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
         self.left = frozenset(heed)
@@ -239,8 +274,11 @@
             self.next_rights = now + RENEW
             for key, amount in wanted.items():
                 leases.budgets[key].demand(amount, now)
-        boots = {one.name: self.node.store.owners[one.name].epoch for one in self.node.members.alive()
-                 if one.name in self.node.store.owners}
+        boots = {
+            one.name: self.node.store.owners[one.name].epoch
+            for one in self.node.members.alive()
+            if one.name in self.node.store.owners
+        }
         asks, grants = self.view.rights(now)
         for lender, start, key, grant in grants:
             if key in leases.budgets:
@@ -263,24 +301,34 @@
             self.revision = Revision(self.file.digest, digest_of(stage.contracts), limits_of(stage.contracts))
         mine = self.revision = Revision(self.file.digest, self.revision.contracts, self.revision.limits)
         rows = sorted(mine.limits.items())
-        parts = [dict(rows[at:at + facts.LIMITS]) for at in range(0, len(rows), facts.LIMITS)] or [{}]
+        parts = [dict(rows[at : at + facts.LIMITS]) for at in range(0, len(rows), facts.LIMITS)] or [{}]
         for n in range(max(len(parts), self.parts)):
-            self._write(facts.REVISION, f"{n:04}", Revision(mine.fleet, mine.contracts, parts[n])
-                        if n < len(parts) else None, now)
+            self._write(
+                facts.REVISION,
+                f"{n:04}",
+                Revision(mine.fleet, mine.contracts, parts[n]) if n < len(parts) else None,
+                now,
+            )
         self.parts = len(parts)
         others = self.view.revisions(now)
-        differ = frozenset(name for name, one in others.items()
-                           if (one.fleet, one.contracts) != (mine.fleet, mine.contracts))
+        differ = frozenset(
+            name for name, one in others.items() if (one.fleet, one.contracts) != (mine.fleet, mine.contracts)
+        )
         if differ - self.differ:
-            self.log.event("fleet-revisions", "fleet: {names} go by another fleet file or other contracts "
-                           "than ours, {digest} {contracts}; of two limits the stricter holds",
-                           names=", ".join(sorted(differ)), digest=mine.fleet,
-                           contracts=mine.contracts or "-")
+            self.log.event(
+                "fleet-revisions",
+                "fleet: {names} go by another fleet file or other contracts "
+                "than ours, {digest} {contracts}; of two limits the stricter holds",
+                names=", ".join(sorted(differ)),
+                digest=mine.fleet,
+                contracts=mine.contracts or "-",
+            )
         self.differ = differ
         if stage is not None:
             least = facts.stricter(mine, others)
-            stage.stricter = {key: limit / mine.limits[key] for key, limit in least.items()
-                              if mine.limits[key] > 0.0}
+            stage.stricter = {
+                key: limit / mine.limits[key] for key, limit in least.items() if mine.limits[key] > 0.0
+            }
             if not self.file.share.rights:
                 stage.has({key: part for key, (part, _) in stage.budgets().items()})
 
@@ -301,20 +349,30 @@
 
     def status(self) -> dict[str, Any]:
         now = self.loop.clock()
-        return {"revision": self.file.digest, "kinds_by_name": {
-            facts.KINDS[kind]: sum(1 for _ in self.node.store.standing(kind)) for kind in facts.KINDS},
+        return {
+            "revision": self.file.digest,
+            "kinds_by_name": {
+                facts.KINDS[kind]: sum(1 for _ in self.node.store.standing(kind)) for kind in facts.KINDS
+            },
             "contracts": self.revision.contracts,
-            "revisions": {name: " ".join(filter(None, (one.fleet, one.contracts)))
-                          for name, one in self.view.revisions(now).items()},
+            "revisions": {
+                name: " ".join(filter(None, (one.fleet, one.contracts)))
+                for name, one in self.view.revisions(now).items()
+            },
             "kept_away_from": [str(one) for one in self.health.believed],
-            "rights": {key: round(amount, 2) for key, amount in (
-                self.leases.targets(now) if self.leases is not None else {}).items()},
-            "list_version": self.host.pool_config.version, "held_elsewhere": self.view.held(now).total()}
+            "rights": {
+                key: round(amount, 2)
+                for key, amount in (self.leases.targets(now) if self.leases is not None else {}).items()
+            },
+            "list_version": self.host.pool_config.version,
+            "held_elsewhere": self.view.held(now).total(),
+        }
 
 
 def _leaving(entry: i.BackendEntry) -> i.BackendEntry:
-    return i.BackendEntry(entry.backend, i.State.DRAINING, entry.zone, entry.cell, entry.weight,
-    entry.started)
+    return i.BackendEntry(
+        entry.backend, i.State.DRAINING, entry.zone, entry.cell, entry.weight, entry.started
+    )
 
 
 def observing(tell: Callable[[Any], None], also: Callable[[Any], None]) -> Callable[[Any], None]:
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -226,9 +226,16 @@
             self.post(Over(Outcome.CONNECT_FAILED if address is None else Outcome.UNSENT, 0.0))
             return
         try:
-            self.step = Destination(self.loop, self, destination, address,
-                                    lines.with_wait(self.ask.opening.line, wait_ms), wait_ms / 1000.0,
-                                    self.house.connect_wait, self.house.gauge)
+            self.step = Destination(
+                self.loop,
+                self,
+                destination,
+                address,
+                lines.with_wait(self.ask.opening.line, wait_ms),
+                wait_ms / 1000.0,
+                self.house.connect_wait,
+                self.house.gauge,
+            )
         except OSError as error:
             # No descriptor for it: the client is still owed its one answer.
             self.loop.log.event("route-step-failed", "route step: {error}", error=str(error))
--- a/snowwick/net/gauge.py
+++ b/snowwick/net/gauge.py
@@ -62,9 +62,12 @@
     for meter in list(takewhile(lambda meter: now - meter.heard >= PERIOD, answers.recent)):
         del answers.recent[meter]
     took = sorted((meter.took, n, meter) for n, meter in enumerate(answers.recent))
-    stuck = [(now - meter.asked[0], -n, meter) for n, meter in enumerate(answers.since)
-             if meter.asked and meter.asked[0] >= answers.heard]
-    found = [*took[len(took) // 2:][:1], *stuck]
+    stuck = [
+        (now - meter.asked[0], -n, meter)
+        for n, meter in enumerate(answers.since)
+        if meter.asked and meter.asked[0] >= answers.heard
+    ]
+    found = [*took[len(took) // 2 :][:1], *stuck]
     if not found:
         return None
     delay, _, meter = max(found, key=lambda row: row[0])
--- a/snowwick/net/loop.py
+++ b/snowwick/net/loop.py
@@ -103,8 +103,11 @@
             actor = self.owners.get(fd)
             if actor is not None:
                 broken = events & (select.EPOLLHUP | select.EPOLLERR)
-                self.wake(actor, (READ if events & select.EPOLLIN or broken else 0)
-                          | (WRITE if events & select.EPOLLOUT or broken else 0))
+                self.wake(
+                    actor,
+                    (READ if events & select.EPOLLIN or broken else 0)
+                    | (WRITE if events & select.EPOLLOUT or broken else 0),
+                )
         self.timers.run()
         for _ in range(ROUNDS):
             for _ in range(len(self.ready)):
@@ -137,8 +140,12 @@
             return
         except Exception:
             # One peer's fault must not end the connections of all the others.
-            self.log.event("fault", "fault: {where}: {error}", where=type(actor).__name__,
-                           error=traceback.format_exc(limit=-4))
+            self.log.event(
+                "fault",
+                "fault: {where}: {error}",
+                where=type(actor).__name__,
+                error=traceback.format_exc(limit=-4),
+            )
             self._forget(actor)
             if actor.lasting:
                 actor.start()
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -45,8 +45,15 @@
 def ask_of(client: Client, opening: lines.Opening, groups: bool) -> Ask:
     """What an opening line asks for; ``groups`` says whether the settings give ``g`` a meaning."""
     values = opening.values
-    return Ask(client, opening, values.get("c", ""), values.get("t", ""),
-               values.get("g", "") if groups else "", float(opening.wait_ms or 0), values.get("at", ""))
+    return Ask(
+        client,
+        opening,
+        values.get("c", ""),
+        values.get("t", ""),
+        values.get("g", "") if groups else "",
+        float(opening.wait_ms or 0),
+        values.get("at", ""),
+    )
 
 
 @dataclass(slots=True)
@@ -91,11 +98,11 @@
         return None
 
     def stands(self, ask: Ask) -> None:
-        for stage in self.stages[:ask.entered]:
+        for stage in self.stages[: ask.entered]:
             stage.stands(ask)
 
     def load(self, ask: Ask, figure: float) -> None:
-        for stage in self.stages[:ask.entered]:
+        for stage in self.stages[: ask.entered]:
             stage.load(ask, figure)
 
     def over(self, ask: Ask) -> None:
@@ -146,6 +153,14 @@
         if ask.decider is None:
             ask.decider = self.choose(ask)
         if not ask.at:
-            ask.post(Arrived(ask.client, ask.class_name, max(0.0, ask.wait - MARGIN), ask.opening.key,
-                             ask.group, ask.tenant))
+            ask.post(
+                Arrived(
+                    ask.client,
+                    ask.class_name,
+                    max(0.0, ask.wait - MARGIN),
+                    ask.opening.key,
+                    ask.group,
+                    ask.tenant,
+                )
+            )
         return None
--- a/snowwick/net/peer.py
+++ b/snowwick/net/peer.py
@@ -71,7 +71,7 @@
         try:
             if self.out:
                 with contextlib.suppress(BlockingIOError):
-                    del self.out[:self.sock.send(self.out)]
+                    del self.out[: self.sock.send(self.out)]
             if self.closing and not self.out and not self.write_done:
                 self.sock.shutdown(socket.SHUT_WR)
                 self.write_done = True
@@ -202,8 +202,9 @@
     return sock
 
 
-def connect(actor: Actor, sock: socket.socket, address: tuple[str, int],
-            until: float) -> Generator[Wait, int, bool]:
+def connect(
+    actor: Actor, sock: socket.socket, address: tuple[str, int], until: float
+) -> Generator[Wait, int, bool]:
     """Connect without blocking; False where mail came or the time ran out first, OSError where it failed."""
     with contextlib.suppress(BlockingIOError):
         sock.connect(address)
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -123,8 +123,11 @@
             raise CallFailed(f"{len(spoilt)} entries cannot be read: {spoilt[0]}")
         for error_text in spoilt:
             self.left_out(error_text)
-        rows += [(self.addresses[one], self.entries[one], self.labels[one])
-                 for one in kept if full and one in self.entries]
+        rows += [
+            (self.addresses[one], self.entries[one], self.labels[one])
+            for one in kept
+            if full and one in self.entries
+        ]
         self.version, self.spoilt = version, []
         if full:
             self.addresses, self.labels, self.entries = {}, {}, {}
@@ -144,9 +147,14 @@
 
     @staticmethod
     def _entry(one: dict[str, Any]) -> i.BackendEntry:
-        return i.BackendEntry(number_of(one["id"]), STATES[one["state"]], str(one.get("zone", "")),
-                              int(one.get("cell", 0)), finite(one.get("weight", 1.0)),
-                              finite(one.get("started_ms", 0.0)))
+        return i.BackendEntry(
+            number_of(one["id"]),
+            STATES[one["state"]],
+            str(one.get("zone", "")),
+            int(one.get("cell", 0)),
+            finite(one.get("weight", 1.0)),
+            finite(one.get("started_ms", 0.0)),
+        )
 
 
 class Pool(Actor):
@@ -154,8 +162,14 @@
 
     lasting = True
 
-    def __init__(self, loop: Loop, address: tuple[str, int], tell: Callable[[i.ListUpdate], None],
-                 chance: Callable[[], float], grace: float | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        tell: Callable[[i.ListUpdate], None],
+        chance: Callable[[], float],
+        grace: float | None = None,
+    ) -> None:
         """``grace`` is given where lists are pushed, to an agent that answers at once with what it holds.
 
         What the agent holds counts as told, and nothing is sent to a destination later than ``grace``
@@ -217,8 +231,12 @@
                 self._read_mail()
                 before = self.config.version
                 if not self.full and version_of(answer) < before:
-                    self.loop.log.event("list-older", "pool config: version {version} after {before}, asking "
-                                        "for the whole list", version=version_of(answer), before=before)
+                    self.loop.log.event(
+                        "list-older",
+                        "pool config: version {version} after {before}, asking for the whole list",
+                        version=version_of(answer),
+                        before=before,
+                    )
                     self.full = True
                     self._hang_up()  # else a late second answer of changes might be taken for all
                     continue
@@ -228,8 +246,11 @@
                 continue  # nothing of the old discovery is applied, its failure is no news either
             except (CallFailed, OSError, ValueError, RecursionError, h11.ProtocolError) as error:
                 if not self.failing:  # a pushed list is called for several times a second
-                    self.loop.log.event("discovery-failed", "pool config: call failed: {error}",
-                                        error=f"{type(error).__name__} {error}")
+                    self.loop.log.event(
+                        "discovery-failed",
+                        "pool config: call failed: {error}",
+                        error=f"{type(error).__name__} {error}",
+                    )
                 self.failing = self.pushed
                 self._hang_up()
                 if self.pushed:  # nobody has asked
@@ -274,8 +295,11 @@
                 break
             elif isinstance(event, h11.ConnectionClosed):
                 raise CallFailed("closed without an answer")
-        if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE \
-                and not self.http.trailing_data[0]:
+        if (
+            self.http.our_state is h11.DONE
+            and self.http.their_state is h11.DONE
+            and not self.http.trailing_data[0]
+        ):
             self.http.start_next_cycle()
         else:
             self._hang_up()  # more than one answer came: the rest must not be taken for the next call's
--- a/snowwick/net/probe.py
+++ b/snowwick/net/probe.py
@@ -18,8 +18,15 @@
     Raises OSError where there is no descriptor for it.
     """
 
-    def __init__(self, loop: Loop, number: int, address: tuple[str, int], wait: float, decider: Decider,
-                 field: str = "") -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        number: int,
+        address: tuple[str, int],
+        wait: float,
+        decider: Decider,
+        field: str = "",
+    ) -> None:
         super().__init__(loop, prepare(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
         self.number, self.address, self.wait, self.decider = number, address, wait, decider
         self.field, self.elapsed, self.load = field, -1.0, -1.0
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -101,10 +101,14 @@
 class Service:
     """One balancer."""
 
-    def __init__(self, config: Config, loop: Loop | None = None,
-                 read_again: Callable[[], Config] = reload,
-                 contracts: Callable[[], Contracts] | None = None,
-                 fleet: Callable[[], FleetFile] | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        loop: Loop | None = None,
+        read_again: Callable[[], Config] = reload,
+        contracts: Callable[[], Contracts] | None = None,
+        fleet: Callable[[], FleetFile] | None = None,
+    ) -> None:
         """``contracts`` and ``fleet`` read the operators' files, now and at each reload; they may raise
         ValueError with the faults, and ``fleet`` OSError where its address cannot be listened on.
         """
@@ -119,15 +123,24 @@
         self.offset_ms = 1000.0 * (time.time() - self.loop.clock())
         self.desks = Desks(self.make_decider, self.settings_for, lambda: self.pool.config.labels)
         settings = config.settings
-        self.pool = Pool(self.loop, config.discovery, self.desks.news, self.random.random,
-                         None if settings.must_ask else settings.drain_grace / 1000.0)
+        self.pool = Pool(
+            self.loop,
+            config.discovery,
+            self.desks.news,
+            self.random.random,
+            None if settings.must_ask else settings.drain_grace / 1000.0,
+        )
         self.gauge = Gauge(self.loop, self.desks.hear, config.message_aim_ms)
         self.read_fleet = fleet
         self.fleet = self.make_fleet(fleet()) if fleet is not None else None
         self.read_contracts = contracts
         self.contract_stage = self.make_contract_stage(contracts()) if contracts is not None else None
-        stages = [Openings(config.deadlines, config.tenants), Room(self.full, self.come_again_ms),
-                  self.contract_stage, Decisions(self.choose_decider)]
+        stages = [
+            Openings(config.deadlines, config.tenants),
+            Room(self.full, self.come_again_ms),
+            self.contract_stage,
+            Decisions(self.choose_decider),
+        ]
         self.path = Path([stage for stage in stages if stage is not None])
 
     def settings_for(self, tenants: frozenset[str]) -> Settings:
@@ -141,8 +154,9 @@
         if tenants is not None:
             settings = self.settings_for(tenants)
             seed ^= crc32(pool.encode())
-        decider = Decider(self.loop, settings, seed, self.now_ms, lambda: self.pool.post(WatchPool()),
-                          self.probe)
+        decider = Decider(
+            self.loop, settings, seed, self.now_ms, lambda: self.pool.post(WatchPool()), self.probe
+        )
         if self.fleet is not None:
             decider.observe = self.fleet.observe
         return decider
@@ -179,15 +193,24 @@
         address = self.address(destination)
         if address is not None and not self.short_of_sockets():
             with contextlib.suppress(OSError):  # no descriptor after all: one probe fewer
-                Probe(self.loop, destination, address, self.connect_wait, decider,
-                      self.config.load_field).start()
+                Probe(
+                    self.loop, destination, address, self.connect_wait, decider, self.config.load_field
+                ).start()
 
     def make_contract_stage(self, contracts: Contracts) -> ContractStage:
         from snowwick.net.contracts import ContractStage  # msgspec comes with it: only where it is wanted
 
         settings = self.config.settings
-        return ContractStage(self.loop, contracts, self.desks, settings.balancers, settings.index,
-                             self.config.seed, settings.max_retry_after, self.come_again_ms)
+        return ContractStage(
+            self.loop,
+            contracts,
+            self.desks,
+            settings.balancers,
+            settings.index,
+            self.config.seed,
+            settings.max_retry_after,
+            self.come_again_ms,
+        )
 
     def choose_decider(self, ask: Ask) -> Decider:
         """For an ask that no contract has given a pool."""
@@ -240,8 +263,9 @@
         Signals(self, caught.inner).start()
         self.start()
         host, port = self.listener.getsockname()
-        self.log.event("serving", "{name}: serving on {address}", name=self.config.name,
-                       address=f"{host}:{port}")
+        self.log.event(
+            "serving", "{name}: serving on {address}", name=self.config.name, address=f"{host}:{port}"
+        )
         try:
             self.loop.run()
         finally:
@@ -260,13 +284,18 @@
         except (BadConfig, ValueError) as error:
             self.log.event("reload-refused", "reload: {error}; the old configuration stays", error=str(error))
             return
-        waiting = [one.name for one in fields(Config)
-                   if one.name not in LIVE and getattr(new, one.name) != getattr(self.config, one.name)]
+        waiting = [
+            one.name
+            for one in fields(Config)
+            if one.name not in LIVE and getattr(new, one.name) != getattr(self.config, one.name)
+        ]
         if waiting:
-            self.log.event("reload-waits", "reload: {keys} changed, but only at the next start",
-                           keys=", ".join(waiting))
-        self.log.event("reload", "reload: discovery at {discovery}",
-                       discovery=f"{new.discovery[0]}:{new.discovery[1]}")
+            self.log.event(
+                "reload-waits", "reload: {keys} changed, but only at the next start", keys=", ".join(waiting)
+            )
+        self.log.event(
+            "reload", "reload: discovery at {discovery}", discovery=f"{new.discovery[0]}:{new.discovery[1]}"
+        )
         if new.discovery != self.config.discovery:
             self.config = replace(self.config, discovery=new.discovery)
             self.pool.post(NewAddress(new.discovery))
@@ -291,8 +320,12 @@
         self.draining = True
         if self.fleet is not None:
             self.fleet.leave()
-        self.log.event("ending", "{name}: ending, {connections} connections", name=self.config.name,
-                       connections=len(self.fronts))
+        self.log.event(
+            "ending",
+            "{name}: ending, {connections} connections",
+            name=self.config.name,
+            connections=len(self.fronts),
+        )
         while self.loop.clock() < last:
             passed = self.loop.clock() - began - STILL_COMING
             if passed > 0.0:
@@ -334,11 +367,17 @@
         self.idle.pop(front, None)
         ask = front.ask
         self.log.event(
-            "connection-ended", "{id} {reason} {seconds:.3f}s to={destination}" + " team={team}" * bool(
-                ask and ask.team) + " {detail}",
-            id=ask.opening.id if ask else "-", reason=front.reason, destination=front.number,
-            seconds=round(self.loop.clock() - front.began, 3), team=ask.team if ask else "",
-            detail=front.detail)
+            "connection-ended",
+            "{id} {reason} {seconds:.3f}s to={destination}"
+            + " team={team}" * bool(ask and ask.team)
+            + " {detail}",
+            id=ask.opening.id if ask else "-",
+            reason=front.reason,
+            destination=front.number,
+            seconds=round(self.loop.clock() - front.began, 3),
+            team=ask.team if ask else "",
+            detail=front.detail,
+        )
 
     def full(self) -> str:
         """The reason code if nothing more may be begun."""
--- a/snowwick/rebalance/plan.py
+++ b/snowwick/rebalance/plan.py
@@ -199,8 +199,9 @@
             found[place.number] = _Fill(place, self.capacity(place, now), load, groups)
         return found
 
-    def _emptiest(self, now: float, fills: Mapping[int, _Fill], targets: list[tuple[float, int]],
-                  mean: float) -> _Fill | None:
+    def _emptiest(
+        self, now: float, fills: Mapping[int, _Fill], targets: list[tuple[float, int]], mean: float
+    ) -> _Fill | None:
         """The emptiest that receives now; entries that no longer hold are dropped."""
         while targets:
             ratio, number = targets[0]
@@ -209,9 +210,16 @@
             heapq.heappop(targets)
         return None
 
-    def _best(self, now: float, source: _Fill, fills: Mapping[int, _Fill],
-              targets: list[tuple[float, int]], book: Book, unit: float,
-              mean: float) -> tuple[str, _Fill, float] | None:
+    def _best(
+        self,
+        now: float,
+        source: _Fill,
+        fills: Mapping[int, _Fill],
+        targets: list[tuple[float, int]],
+        book: Book,
+        unit: float,
+        mean: float,
+    ) -> tuple[str, _Fill, float] | None:
         """The group that leaves the source, whole, for the target where that gains most."""
         best: tuple[float, str, _Fill] | None = None
         emptiest = self._emptiest(now, fills, targets, mean)
@@ -222,9 +230,15 @@
                 continue
             load = part.load
             # Where a part of it is already costs nothing more; else the emptiest is as good as any.
-            joined = [one for number in book.homes[name] if (one := fills.get(number)) is not None
-                      and one is not source and one.holds(name) and one.ratio < mean
-                      and self._receives(now, number)]
+            joined = [
+                one
+                for number in book.homes[name]
+                if (one := fills.get(number)) is not None
+                and one is not source
+                and one.holds(name)
+                and one.ratio < mean
+                and self._receives(now, number)
+            ]
             for target in (*joined, emptiest):
                 more = load + (0.0 if target.holds(name) else unit)
                 filled = (target.load + more) / target.capacity
@@ -242,8 +256,9 @@
         rate = self.terms.reception
         return self.reception.setdefault(number, Gcra(rate, max(1.0, rate))).conforms(now)
 
-    def _move(self, now: float, source: _Fill, target: _Fill, group: str, unit: float,
-              gain: float) -> list[Move]:
+    def _move(
+        self, now: float, source: _Fill, target: _Fill, group: str, unit: float, gain: float
+    ) -> list[Move]:
         """A group that has begun to leave leaves whole: half of it would cost both destinations."""
         part, joins = source.groups[group], target.holds(group)
         members, load = list(part.members.values()), part.load
@@ -256,12 +271,15 @@
             self.reception[target.place.number].take(now)
             self.moved.pop(one.client, None)
             self.moved[one.client] = now
-        return [Move(one.number, one.client, source.place.number, target.place.number, gain, reason)
-                for one in members]
+        return [
+            Move(one.number, one.client, source.place.number, target.place.number, gain, reason)
+            for one in members
+        ]
 
 
-def fills(places: Collection[Place], standing: Iterable[Standing],
-          group_cost: float) -> tuple[dict[int, float], int]:
+def fills(
+    places: Collection[Place], standing: Iterable[Standing], group_cost: float
+) -> tuple[dict[int, float], int]:
     """Each destination's fill over the mean, and how many groups stand on more than one of them."""
     loads: dict[int, float] = defaultdict(float)
     groups: dict[str, set[int]] = defaultdict(set)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -13,8 +13,15 @@
 from crowgap.policy import Balancer
 
 SAFE = i.RequestClass("feed", aim=300.0, deadline=1200.0, worth=5.0, message_aim=100.0)
-BASE = i.Settings(classes=(SAFE,), balancers=1, max_attempts=5, max_retry_after=1000.0, cold_time=20000.0,
-                  cold_from=0.2, fall_multiple=2.5)
+BASE = i.Settings(
+    classes=(SAFE,),
+    balancers=1,
+    max_attempts=5,
+    max_retry_after=1000.0,
+    cold_time=20000.0,
+    cold_from=0.2,
+    fall_multiple=2.5,
+)
 FINAL = (i.Refuse, i.Fail)
 
 
@@ -62,8 +69,11 @@
         return self.put(i.Established(send.request, self.attempts[send.request], send.backend, 5.0))
 
     def all(self, kind: type[Any], request: int | None = None) -> list[Any]:
-        return [a for _, a in self.actions if isinstance(a, kind)
-                and (request is None or getattr(a, "request", None) == request)]
+        return [
+            a
+            for _, a in self.actions
+            if isinstance(a, kind) and (request is None or getattr(a, "request", None) == request)
+        ]
 
     def overload(self, first: int = 100000) -> None:
         """Time-outs spread over the backends until the throttle is on."""
@@ -80,8 +90,9 @@
 
     def __init__(self, balancers: int, entries: list[i.BackendEntry], seed: int = 1, **changes: Any) -> None:
         self.random, self.now, self.last = random.Random(seed), 1000.0, 0
-        self.benches = [Bench(seed * 1000 + n, 0, self.now, **changes, balancers=balancers)
-                        for n in range(balancers)]
+        self.benches = [
+            Bench(seed * 1000 + n, 0, self.now, **changes, balancers=balancers) for n in range(balancers)
+        ]
         for bench in self.benches:
             bench.put(i.ListUpdate(i.ListKind.REMEMBERED, entries))
         # Uneven traffic: some see several times what others do.
@@ -102,7 +113,7 @@
             if isinstance(action, i.Probe):
                 asked = bench.balancer.backends[action.backend]
                 busy = self.loads[asked.id] / bench.balancer._warm(asked)
-                actions += bench.put(i.Probed(asked.id, 2.0 + 0.01 * busy ** 2, load(asked.id)))
+                actions += bench.put(i.Probed(asked.id, 2.0 + 0.01 * busy**2, load(asked.id)))
             elif isinstance(action, i.Send):
                 bench.stand(action)
                 self.standing[group, client] = bench, action
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -48,8 +48,9 @@
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
         if report.nodeid in self.outcomes and (report.when == "call" or report.failed):
-            self.outcomes[report.nodeid] = "still fails" if report.outcome != "passed" else \
-                "passes now: take it out of the list"
+            self.outcomes[report.nodeid] = (
+                "still fails" if report.outcome != "passed" else "passes now: take it out of the list"
+            )
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
         for name, outcome in self.outcomes.items():
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -18,24 +18,48 @@
 SETUP: dict[str, Any] = {
     "classes": [{"name": "feed", "aim": 300.0, "deadline": 1200.0, "effect": "read_like", "points": 5.0}],
     "familyInfo": {"groups": True, "messageAim": [100.0], "tenantQuotaConnections": [9.0]},
-    "invariants": {"askEvery": 10000.0, "cold": 24000.0, "coldFrom": 0.14, "fallMultiple": 2.5,
-                   "overloadFor": 1000.0},
+    "invariants": {
+        "askEvery": 10000.0,
+        "cold": 24000.0,
+        "coldFrom": 0.14,
+        "fallMultiple": 2.5,
+        "overloadFor": 1000.0,
+    },
     "limits": {"connectTimeout": 250.0, "maxRetryAfter": 1500.0, "retryAfter": True, "mostTries": 5},
-    "nInstances": 3, "selfIndex": 0, "registryMode": "on_request", "tenants": [{"name": "t"}],
-    "weights": "rough", "zone": "a", "tick": 2.0, "a key of tomorrow": {"x": 1},
+    "nInstances": 3,
+    "selfIndex": 0,
+    "registryMode": "on_request",
+    "tenants": [{"name": "t"}],
+    "weights": "rough",
+    "zone": "a",
+    "tick": 2.0,
+    "a key of tomorrow": {"x": 1},
 }
-MEMBERS = [{"backend": b, "rackZone": "a", "unitGroup": 0, "status": "active", "powerHint": 1.0}
-           for b in range(11, 19)]
+MEMBERS = [
+    {"backend": b, "rackZone": "a", "unitGroup": 0, "status": "active", "powerHint": 1.0}
+    for b in range(11, 19)
+]
 
 
 def attach(i: int, **changes: Any) -> list[dict[str, Any]]:
-    return [{"verb": "ATTACH", "i": i, "salt": 5 + i, "setup": {**SETUP, **changes}},
-            {"verb": "MEMBERSHIP", "i": i, "rev": 1, "form": "restored", "members": MEMBERS}]
+    return [
+        {"verb": "ATTACH", "i": i, "salt": 5 + i, "setup": {**SETUP, **changes}},
+        {"verb": "MEMBERSHIP", "i": i, "rev": 1, "form": "restored", "members": MEMBERS},
+    ]
 
 
 def order(i: int, n: int, **more: Any) -> dict[str, Any]:
-    return {"verb": "ORDER", "i": i, "msgId": n, "nameKey": f"c{n}", "teamId": f"g{n % 7}",
-            "patienceLeft": 1000.0, "type": "feed", "party": "t", **more}
+    return {
+        "verb": "ORDER",
+        "i": i,
+        "msgId": n,
+        "nameKey": f"c{n}",
+        "teamId": f"g{n % 7}",
+        "patienceLeft": 1000.0,
+        "type": "feed",
+        "party": "t",
+        **more,
+    }
 
 
 def batch(moment: float, *events: dict[str, Any]) -> str:
@@ -52,42 +76,66 @@
     first, *_ = play([batch(1.0, *attach(0), order(0, 1))])
     assert [a["verb"] for a in first] == ["DEFER", "DEFER", "HAND_OFF"]
     backend = first[-1]["backend"]
-    out = play([
-        batch(1.0), batch(1.0, *attach(0), order(0, 1)),
-        batch(2.0, {"verb": "CARRIED", "i": 0, "msgId": 2, "type": "feed", "backend": 11, "bitmap": 0}),
-        batch(9.0, {"verb": "HEAD_RECEIVED", "i": 0, "msgId": 1, "attempt": 0, "backend": backend}),
-        batch(9.5, {"verb": "UPDATE_OF", "i": 0, "msgId": 1, "backend": backend, "what": 1, "amount": 9.0},
-              {"verb": "UPDATE_OF", "i": 0, "msgId": 1, "backend": backend, "what": 2, "amount": 90.0}),
-        batch(20.0, {"verb": "COMPLETED", "i": 0, "msgId": 1, "attempt": 0, "backend": backend, "code": 1,
-                     "doneFlag": True}, {"verb": "GONE", "i": 0, "msgId": 2},
-              {"verb": "PROBE_RESULT", "i": 0, "backend": 18, "code": 1, "delaySeen": 2.0},
-              {"verb": "MEMO", "i": 0, "src": 1, "raw": "x"}),
-        batch(5000.0, {"verb": "TICK_DUE", "i": 0, "cookie": 2}),
-        batch(5001.0, {"verb": "MEMBERSHIP", "i": 0, "rev": 2, "form": "unavailable"}),
-        batch(5002.0, {"verb": "MEMBERSHIP", "i": 0, "rev": 2, "form": "replace", "members": []},
-              order(0, 3)),
-        batch(5900.0, {"verb": "TICK_DUE", "i": 0, "cookie": 0}),
-        batch(5950.0, {"verb": "CRASH_NOW", "i": 0}, *attach(0)),
-    ])
+    out = play(
+        [
+            batch(1.0),
+            batch(1.0, *attach(0), order(0, 1)),
+            batch(2.0, {"verb": "CARRIED", "i": 0, "msgId": 2, "type": "feed", "backend": 11, "bitmap": 0}),
+            batch(9.0, {"verb": "HEAD_RECEIVED", "i": 0, "msgId": 1, "attempt": 0, "backend": backend}),
+            batch(
+                9.5,
+                {"verb": "UPDATE_OF", "i": 0, "msgId": 1, "backend": backend, "what": 1, "amount": 9.0},
+                {"verb": "UPDATE_OF", "i": 0, "msgId": 1, "backend": backend, "what": 2, "amount": 90.0},
+            ),
+            batch(
+                20.0,
+                {
+                    "verb": "COMPLETED",
+                    "i": 0,
+                    "msgId": 1,
+                    "attempt": 0,
+                    "backend": backend,
+                    "code": 1,
+                    "doneFlag": True,
+                },
+                {"verb": "GONE", "i": 0, "msgId": 2},
+                {"verb": "PROBE_RESULT", "i": 0, "backend": 18, "code": 1, "delaySeen": 2.0},
+                {"verb": "MEMO", "i": 0, "src": 1, "raw": "x"},
+            ),
+            batch(5000.0, {"verb": "TICK_DUE", "i": 0, "cookie": 2}),
+            batch(5001.0, {"verb": "MEMBERSHIP", "i": 0, "rev": 2, "form": "unavailable"}),
+            batch(
+                5002.0,
+                {"verb": "MEMBERSHIP", "i": 0, "rev": 2, "form": "replace", "members": []},
+                order(0, 3),
+            ),
+            batch(5900.0, {"verb": "TICK_DUE", "i": 0, "cookie": 0}),
+            batch(5950.0, {"verb": "CRASH_NOW", "i": 0}, *attach(0)),
+        ]
+    )
     assert [a["verb"] for a in out[6]] == ["TRACK"]
     assert [a["verb"] for a in out[7]] == ["DEFER"]
     assert not [a for a in out[8] if a["verb"] == "HAND_OFF"]
     assert len(out) == 11
 
 
-@pytest.mark.parametrize("line,told", [
-    ("{", "not JSON"),
-    ("[1]", "must be an object"),
-    ('{"input": []}', "moment"),
-    (batch(1.0, {"verb": "NEWS", "i": 0}), "never attached"),
-    (batch(1.0, *attach(0), {"verb": "NEWS", "i": 0}), "unknown event"),
-    (batch(1.0, *attach(0), {"verb": "ORDER", "i": 0, "msgId": 1, "type": "feed"}), "patienceLeft"),
-    (batch(1.0, *attach(0), {"verb": "COMPLETED", "i": 0, "msgId": 1, "backend": 1, "code": 44}), "44"),
-    (batch(1.0, {"verb": "ATTACH", "i": 0, "salt": 1}), "setup"),
-    ('{"moment": 1, "input": [7]}', "unusable"),
-])
-def test_malformed_input_ends_with_one_plain_message(line: str, told: str,
-                                                     capsys: pytest.CaptureFixture[str]) -> None:
+@pytest.mark.parametrize(
+    "line,told",
+    [
+        ("{", "not JSON"),
+        ("[1]", "must be an object"),
+        ('{"input": []}', "moment"),
+        (batch(1.0, {"verb": "NEWS", "i": 0}), "never attached"),
+        (batch(1.0, *attach(0), {"verb": "NEWS", "i": 0}), "unknown event"),
+        (batch(1.0, *attach(0), {"verb": "ORDER", "i": 0, "msgId": 1, "type": "feed"}), "patienceLeft"),
+        (batch(1.0, *attach(0), {"verb": "COMPLETED", "i": 0, "msgId": 1, "backend": 1, "code": 44}), "44"),
+        (batch(1.0, {"verb": "ATTACH", "i": 0, "salt": 1}), "setup"),
+        ('{"moment": 1, "input": [7]}', "unusable"),
+    ],
+)
+def test_malformed_input_ends_with_one_plain_message(
+    line: str, told: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert benchlink.main(io.StringIO(line + "\n"), io.StringIO()) != 0
     (message,) = capsys.readouterr().err.splitlines()
     assert told in message and "Traceback" not in message
@@ -96,6 +144,7 @@
 def test_exception_in_the_module_becomes_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> None:
         raise RuntimeError("broken on purpose")
+
     monkeypatch.setattr(Balancer, "handle", fail)
     (out,) = play([batch(1.0, *attach(4)[:1], {"verb": "GONE", "i": 4, "msgId": 1})])
     assert out == [{"verb": "CRASH", "i": 4, "bodyText": "RuntimeError: broken on purpose"}]
@@ -110,8 +159,18 @@
     lines = [batch(1.0, *[e for i in instances for e in attach(i, selfIndex=i)])]
     for step in range(60):
         events = [order(i, step * 100 + i * 10 + n) for i in instances for n in range(4)]
-        events += [{"verb": "COMPLETED", "i": i, "msgId": (step - 1) * 100 + i * 10, "attempt": 0,
-                    "backend": 11 + step % 8, "code": step % 6} for i in instances if step]
+        events += [
+            {
+                "verb": "COMPLETED",
+                "i": i,
+                "msgId": (step - 1) * 100 + i * 10,
+                "attempt": 0,
+                "backend": 11 + step % 8,
+                "code": step % 6,
+            }
+            for i in instances
+            if step
+        ]
         events += [{"verb": "TICK_DUE", "i": i, "cookie": step % 2} for i in instances]
         lines.append(batch(10.0 + 40.0 * step, *events))
     return lines
@@ -119,8 +178,15 @@
 
 def run(lines: list[str], hash_seed: str) -> list[list[dict[str, Any]]]:
     command = [sys.executable, "-m", "crowgap.benchlink"]
-    done = subprocess.run(command, input="\n".join(lines) + "\n", cwd=ROOT, text=True,
-                          capture_output=True, check=True, env={"PYTHONHASHSEED": hash_seed})
+    done = subprocess.run(
+        command,
+        input="\n".join(lines) + "\n",
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        check=True,
+        env={"PYTHONHASHSEED": hash_seed},
+    )
     return [json.loads(line)["out"] for line in done.stdout.splitlines()]
 
 
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -72,10 +72,17 @@
 
 @pytest.mark.parametrize("balancers", [1, 2, 3])
 def test_an_owner_has_its_guarantee_in_the_stated_time_and_the_newest_are_moved(balancers: int) -> None:
-    parted = Book(300.0 / balancers, 1e6, {
-        name: replace(terms, connections=(terms.connections[0] // balancers,
-                                          terms.connections[1] // balancers))
-        for name, terms in TWO.teams.items()}, within=TWO.within)
+    parted = Book(
+        300.0 / balancers,
+        1e6,
+        {
+            name: replace(
+                terms, connections=(terms.connections[0] // balancers, terms.connections[1] // balancers)
+            )
+            for name, terms in TWO.teams.items()
+        },
+        within=TWO.within,
+    )
     ledger = Ledger(parted, longest=0.6)
     held = fill(ledger, 0.0, LOUD)
     mine, back, now, moved, gone = 0, 0, 0.0, list[Lease](), list[tuple[float, Lease]]()
@@ -90,7 +97,7 @@
             # A client that was moved off borrowed room comes back and must not get it again.
             back += isinstance(ask(ledger, now, LOUD, "returned"), Lease)
         assert now <= TWO.within + 0.7, (mine, len(moved))
-    assert moved == list(reversed(held))[:len(moved)]
+    assert moved == list(reversed(held))[: len(moved)]
     assert len(moved) <= parted.teams[QUIET].connections[0] + 1 and back <= 2
     assert len(moved) <= 200 / balancers / TWO.within * now + 2  # at the bounded rate
 
@@ -109,9 +116,16 @@
 
 
 def test_borrowers_end_with_room_by_weight_whoever_came_first() -> None:
-    book = Book(400.0, 1e6, {"a": Terms((0.0, 400.0), FREE, weight=1.0),
-                             "b": Terms((0.0, 400.0), FREE, weight=3.0),
-                             "c": Terms((0.0, 30.0), FREE)}, within=5.0)
+    book = Book(
+        400.0,
+        1e6,
+        {
+            "a": Terms((0.0, 400.0), FREE, weight=1.0),
+            "b": Terms((0.0, 400.0), FREE, weight=3.0),
+            "c": Terms((0.0, 30.0), FREE),
+        },
+        within=5.0,
+    )
     ledger = Ledger(book, longest=0.6)
     fill(ledger, 0.0, "a")
     moves = 0
@@ -128,8 +142,7 @@
 
 
 def test_a_team_at_ten_times_its_rate_leaves_the_other_its_own() -> None:
-    book = Book(1e6, 100.0, {QUIET: Terms((0.0, 1e6), (30.0, 60.0)),
-                             LOUD: Terms((0.0, 1e6), (30.0, 100.0))})
+    book = Book(1e6, 100.0, {QUIET: Terms((0.0, 1e6), (30.0, 60.0)), LOUD: Terms((0.0, 1e6), (30.0, 100.0))})
     ledger, let_in, now = Ledger(book, longest=0.6), Counter[str](), 0.0
     rng = random.Random(3)
     for n in range(40000):
@@ -149,14 +162,18 @@
 def test_a_burst_of_all_teams_at_once_passes_the_fleet_s_burst_and_their_own() -> None:
     book = Book(1e6, 100.0, {name: Terms((0.0, 1e6), (5.0, 100.0)) for name in "abcdef"})
     ledger = Ledger(book, longest=0.6)
-    let_in = sum(isinstance(ledger.ask(0.0005 * n, n, "abcdef"[n % 6], "c", str(n)), Lease)
-                 for n in range(2000))
+    let_in = sum(
+        isinstance(ledger.ask(0.0005 * n, n, "abcdef"[n % 6], "c", str(n)), Lease) for n in range(2000)
+    )
     assert 150 <= let_in <= 100.0 * 1.0 + 100.0 + 6 * 5.0
 
 
 def test_borrowed_rate_is_shared_by_weight_whoever_asks_more() -> None:
-    book = Book(1e6, 100.0, {"a": Terms((0.0, 1e6), (0.0, 100.0), weight=1.0),
-                             "b": Terms((0.0, 1e6), (0.0, 100.0), weight=3.0)})
+    book = Book(
+        1e6,
+        100.0,
+        {"a": Terms((0.0, 1e6), (0.0, 100.0), weight=1.0), "b": Terms((0.0, 1e6), (0.0, 100.0), weight=3.0)},
+    )
     ledger, let_in = Ledger(book, longest=0.6), Counter[str]()
     for n in range(60000):
         team = "b" if n % 6 == 0 else "a"  # a asks five times as often
@@ -166,8 +183,11 @@
 
 
 def test_a_class_used_up_inside_a_team_with_budget_left() -> None:
-    book = Book(100.0, 1e6, {QUIET: Terms((50.0, 100.0), FREE, classes={
-        "c": ClassTerms(0.2), "d": ClassTerms(1.0, 900.0)})})
+    book = Book(
+        100.0,
+        1e6,
+        {QUIET: Terms((50.0, 100.0), FREE, classes={"c": ClassTerms(0.2), "d": ClassTerms(1.0, 900.0)})},
+    )
     ledger = Ledger(book)
     assert len(fill(ledger, 0.0, QUIET)) == 20
     refused = ask(ledger, 0.0, QUIET, "more")
@@ -177,15 +197,17 @@
     assert refused.reason == "no-contract"
 
 
-def crowd(book: Book, clients: int, life: float, longest: float, until: float,
-          deaf: int = 0) -> tuple[float, Counter[str]]:
+def crowd(
+    book: Book, clients: int, life: float, longest: float, until: float, deaf: int = 0
+) -> tuple[float, Counter[str]]:
     """A closed crowd in steady overload: the part of the honest let in when told, connections by kind.
 
     The first ``deaf`` clients ignore what they are told and ask again every 50 ms.
     """
     rng, ledger, seq = random.Random(5), Ledger(book, 5, longest), clients
     events: list[tuple[float, int, int, Lease | None, bool]] = [
-        (2.0 * rng.random(), n, n, None, False) for n in range(clients)]
+        (2.0 * rng.random(), n, n, None, False) for n in range(clients)
+    ]
     heapq.heapify(events)
     told = right = 0
     served: Counter[str] = Counter()
@@ -209,8 +231,9 @@
     return right / max(1, told), served
 
 
-@pytest.mark.parametrize("seats,rate,clients,life", [(1e4, 30.0, 300, 2.0), (100.0, 1e4, 300, 3.0),
-                                                     (60.0, 1e4, 100, 4.0)])
+@pytest.mark.parametrize(
+    "seats,rate,clients,life", [(1e4, 30.0, 300, 2.0), (100.0, 1e4, 300, 3.0), (60.0, 1e4, 100, 4.0)]
+)
 def test_who_honours_a_come_back_time_is_let_in(seats: float, rate: float, clients: int, life: float) -> None:
     book = Book(1e4, 1e4, {QUIET: Terms((0.0, seats), (0.0, rate))})
     right, served = crowd(book, clients, life, 20.0, 90.0)
@@ -229,7 +252,7 @@
     marks = [1 + 16 * n for n in range(8)]  # all of one row
     for n, mark in enumerate(marks):
         table.set(mark, 10.0 + n)
-    assert [table.find(mark, 0.0) for mark in marks[-WAYS + 1:]] == [15.0, 16.0, 17.0]
+    assert [table.find(mark, 0.0) for mark in marks[-WAYS + 1 :]] == [15.0, 16.0, 17.0]
     assert sum(table.find(mark, 0.0) is not None for mark in marks) == WAYS
     table.drop(marks[-1])
     assert table.find(marks[-1], 0.0) is None and len(table.prints) == 64
@@ -268,8 +291,13 @@
 
 
 def test_load_over_a_ceiling_is_brought_down_and_stops_new_ones() -> None:
-    book = Book(100.0, 1e6, {QUIET: Terms((10.0, 90.0), FREE, (20.0, 50.0)),
-                             LOUD: Terms((10.0, 90.0), FREE, (20.0, 100.0))}, load=100.0, within=1.0)
+    book = Book(
+        100.0,
+        1e6,
+        {QUIET: Terms((10.0, 90.0), FREE, (20.0, 50.0)), LOUD: Terms((10.0, 90.0), FREE, (20.0, 100.0))},
+        load=100.0,
+        within=1.0,
+    )
     ledger = Ledger(book)
     held = fill(ledger, 0.0, QUIET, 10)
     for lease in held:
@@ -289,9 +317,16 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.key = 0.0, 0
-        self.book = Book(30.0, 1e6, {
-            "a": Terms((10.0, 20.0), FREE, weight=2.0, classes={"c": ClassTerms(), "d": ClassTerms(0.1)}),
-            "b": Terms((5.0, 30.0), FREE), "z": Terms((0.0, 30.0), FREE)}, within=2.0)
+        self.book = Book(
+            30.0,
+            1e6,
+            {
+                "a": Terms((10.0, 20.0), FREE, weight=2.0, classes={"c": ClassTerms(), "d": ClassTerms(0.1)}),
+                "b": Terms((5.0, 30.0), FREE),
+                "z": Terms((0.0, 30.0), FREE),
+            },
+            within=2.0,
+        )
         self.ledger, self.forced = Ledger(self.book, longest=0.6), False
         self.leases: list[Lease] = []
 
@@ -353,9 +388,11 @@
 
     @rule(left=st.sampled_from(["ab", "abz", "b"]), most=st.sampled_from([20.0, 30.0]))
     def change(self, left: str, most: float) -> None:
-        terms = {"a": Terms((10.0, 20.0), FREE, weight=2.0,
-                            classes={"c": ClassTerms(), "d": ClassTerms(0.1)}),
-                 "b": Terms((5.0, most), FREE), "z": Terms((0.0, most), FREE)}
+        terms = {
+            "a": Terms((10.0, 20.0), FREE, weight=2.0, classes={"c": ClassTerms(), "d": ClassTerms(0.1)}),
+            "b": Terms((5.0, most), FREE),
+            "z": Terms((0.0, most), FREE),
+        }
         self.book = replace(self.book, connections=most, teams={name: terms[name] for name in left})
         self.ledger.apply(self.book, self.now)
 
@@ -376,8 +413,11 @@
         for name, team in self.ledger.teams.items():
             assert team.seats.held == by_team[name]
             assert sum(cls.held for cls in team.classes.values()) <= by_team[name]
-            assert math.isclose(team.load.held, sum(
-                one.load for one in self.leases if one.held and one.team is team), abs_tol=1e-6)
+            assert math.isclose(
+                team.load.held,
+                sum(one.load for one in self.leases if one.held and one.team is team),
+                abs_tol=1e-6,
+            )
         assert self.ledger.seats.total == sum(by_team.values())
         assert set(by_team) <= set(self.ledger.teams)
         unused = sum(team.seats.unused for team in self.ledger.teams.values())
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -45,22 +45,48 @@
 
 def row(n: int, **other: Any) -> dict[str, Any]:
     """A row as the simulated network's run writes them; what it has not is not measured."""
-    return {"members": n, "bytes_out": grown("bytes_out", n, 900.0, 2.0, 0.5), "bytes_in": 900.0 + 2.0 * n,
-            "datagrams_out": 30.0, "core": grown("core", n, 0.01, 1e-5, 0.0),
-            "heed_core": 1e-4 * n,
-            "memory": grown("memory", n, 2e6, 0.0, 3000.0), "everywhere_p99_s": 0.2 * math.log2(n),
-            "false_deaths": 0, **other}
+    return {
+        "members": n,
+        "bytes_out": grown("bytes_out", n, 900.0, 2.0, 0.5),
+        "bytes_in": 900.0 + 2.0 * n,
+        "datagrams_out": 30.0,
+        "core": grown("core", n, 0.01, 1e-5, 0.0),
+        "heed_core": 1e-4 * n,
+        "memory": grown("memory", n, 2e6, 0.0, 3000.0),
+        "everywhere_p99_s": 0.2 * math.log2(n),
+        "false_deaths": 0,
+        **other,
+    }
 
 
 def simulated(rows: list[dict[str, Any]], **other: Any) -> dict[str, Any]:
-    return {"form": "simulated", "command": "python -m snowwick.lab.scale_simulated", "date": "2026-12-02",
-            "machine": {"cores": 8, "memory_bytes": 23e9, "python": "3.11"}, "workload": {}, "rows": rows,
-            "complete": True, "ended": "done", **other}
+    return {
+        "form": "simulated",
+        "command": "python -m snowwick.lab.scale_simulated",
+        "date": "2026-12-02",
+        "machine": {"cores": 8, "memory_bytes": 23e9, "python": "3.11"},
+        "workload": {},
+        "rows": rows,
+        "complete": True,
+        "ended": "done",
+        **other,
+    }
 
 
 def path_rows() -> list[dict[str, Any]]:
-    return [{"connections": n, "memory": 2e7 + 5000.0 * n, "pss": 2e7, "line_s": 1e-4 + 1e-5 * math.log2(n),
-             "line_reference": 40.0, "setup_s": 1e-3, "lines": 1000, "lines_a_second": 1000.0} for n in SIZES]
+    return [
+        {
+            "connections": n,
+            "memory": 2e7 + 5000.0 * n,
+            "pss": 2e7,
+            "line_s": 1e-4 + 1e-5 * math.log2(n),
+            "line_reference": 40.0,
+            "setup_s": 1e-3,
+            "lines": 1000,
+            "lines_a_second": 1000.0,
+        }
+        for n in SIZES
+    ]
 
 
 def put(folder: Path, **files: dict[str, Any]) -> Path:
@@ -129,7 +155,7 @@
 
 
 def test_superlinear_series_misses_and_the_page_says_so(tmp_path: Path) -> None:
-    rows = [row(n, memory=10.0 * n ** 2) for n in SIZES]
+    rows = [row(n, memory=10.0 * n**2) for n in SIZES]
     one = left_out(FORMS["memory"], rows)
     assert one is not None and one.error < -0.15
     page = render(EMPTY, merge([("simulated.json", simulated(rows))]))
@@ -186,12 +212,17 @@
 
 def test_series_are_merged_by_size_and_never_mixed() -> None:
     slow = {"load_writes": 0.125}
-    found = merge([("simulated.json", simulated([row(8, core=1.0), row(16, core=2.0)])),
-                   ("simulated-slow.json", simulated([row(8, core=3.0), row(32, core=4.0)], workload=slow)),
-                   ("simulated-slow-2.json", simulated([row(8, core=5.0)], workload=slow)),
-                   ("simulated-same.json", simulated([row(16, core=6.0)], workload={"load_writes": 1.0}))])
-    assert {writes: [(one["members"], one["core"]) for one in rows] for writes, rows in found.series.items()
-            } == {0.125: [(8, 5.0), (32, 4.0)], 1.0: [(8, 1.0), (16, 6.0)]}
+    found = merge(
+        [
+            ("simulated.json", simulated([row(8, core=1.0), row(16, core=2.0)])),
+            ("simulated-slow.json", simulated([row(8, core=3.0), row(32, core=4.0)], workload=slow)),
+            ("simulated-slow-2.json", simulated([row(8, core=5.0)], workload=slow)),
+            ("simulated-same.json", simulated([row(16, core=6.0)], workload={"load_writes": 1.0})),
+        ]
+    )
+    assert {
+        writes: [(one["members"], one["core"]) for one in rows] for writes, rows in found.series.items()
+    } == {0.125: [(8, 5.0), (32, 4.0)], 1.0: [(8, 1.0), (16, 6.0)]}
     assert found.simulated == found.series[1.0]
 
 
@@ -213,7 +244,9 @@
     rows.append({"members": 512, "memory": 2000.0})
     found = capacity_model.tests(LINEAR, rows)
     assert [(one.size, one.fit.sizes, one.held) for one in found] == [
-        (256, SIZES[:-1], True), (512, SIZES, False)]
+        (256, SIZES[:-1], True),
+        (512, SIZES, False),
+    ]
 
 
 def test_all_sizes_from_the_first_full_one_are_in_that_regime() -> None:
@@ -283,19 +316,40 @@
 
 def two_series(heed: float | None = 1e-4) -> Model:
     """The rare series by the law, and the target's rate with 8 times what goes with the rate."""
-    rare = [row(n, bytes_out=grown("bytes_out", n, 900.0, 50.0, 3.0), heed_core=None,
-                core=grown("core", n, 0.001, 1e-5, 1e-6)) for n in SIZES]
-    often = [row(n, bytes_out=grown("bytes_out", n, 900.0, 50.0, 24.0),
-                 core=grown("core", n, 0.001, 1e-5, 8e-6), heed_core=heed and heed * n) for n in SIZES]
-    return Model(merge([("simulated.json", simulated(often)),
-                        ("simulated-slow.json", simulated(rare, workload={"load_writes": 0.125}))]))
+    rare = [
+        row(
+            n,
+            bytes_out=grown("bytes_out", n, 900.0, 50.0, 3.0),
+            heed_core=None,
+            core=grown("core", n, 0.001, 1e-5, 1e-6),
+        )
+        for n in SIZES
+    ]
+    often = [
+        row(
+            n,
+            bytes_out=grown("bytes_out", n, 900.0, 50.0, 24.0),
+            core=grown("core", n, 0.001, 1e-5, 8e-6),
+            heed_core=heed and heed * n,
+        )
+        for n in SIZES
+    ]
+    return Model(
+        merge(
+            [
+                ("simulated.json", simulated(often)),
+                ("simulated-slow.json", simulated(rare, workload={"load_writes": 0.125})),
+            ]
+        )
+    )
 
 
 def test_largest_fleet_within_a_budget() -> None:
     one = fit(SIZES, [100.0 + n for n in SIZES], ("1", "N"))
     assert capacity_model.largest(one, 1100.0) in (999, 1000) and capacity_model.largest(one, 101.0) == 0
-    by = capacity_model.at_rate(fit(SIZES, [1.0 + n + 3.0 * n * math.log2(n) for n in SIZES],
-                                    ("1", "N", "N log2 N")), 8.0)
+    by = capacity_model.at_rate(
+        fit(SIZES, [1.0 + n + 3.0 * n * math.log2(n) for n in SIZES], ("1", "N", "N log2 N")), 8.0
+    )
     assert by.at(64) == pytest.approx(1.0 + 64.0 + 24.0 * 64.0 * 6.0)
 
 
@@ -307,8 +361,11 @@
     assert law is not None
     for writes, times in ((1.0, 8.0), (0.125, 1.0)):
         fleet = capacity_model.largest(capacity_model.at_rate(law, times), 21e3)
-        assert grown("bytes_out", fleet, 900.0, 50.0, 3.0 * times) <= 21e3 < grown(
-            "bytes_out", fleet + 1, 900.0, 50.0, 3.0 * times), writes
+        assert (
+            grown("bytes_out", fleet, 900.0, 50.0, 3.0 * times)
+            <= 21e3
+            < grown("bytes_out", fleet + 1, 900.0, 50.0, 3.0 * times)
+        ), writes
         assert f"| {number(fleet)} members" in line
     over = min(n for n in SIZES if grown("bytes_out", n, 900.0, 50.0, 24.0) > 21e3)
     assert f"| within to {over // 2}, over at {over} |" in line
@@ -321,15 +378,18 @@
     for writes, slope in ((1.0, 24.0), (0.125, 3.0)):
         ends = model.ends(writes)
         assert ends is not None and grown("bytes_out", ends, 900.0, 50.0, slope) <= 30.0 * wire.MOST < grown(
-            "bytes_out", ends + 1, 900.0, 50.0, slope)
+            "bytes_out", ends + 1, 900.0, 50.0, slope
+        )
     one = model.of("everywhere_p99_s", 0.125)
     assert one.ends == model.ends(0.125) and "past its regime" in one.stands
     assert model.of("memory", 0.125).ends is None and model.of("idle_bytes_out", 0.125).ends is None
     page = render(EMPTY, model.measured)
     (line,) = [line for line in lines_of(page, "allowed") if line.startswith("| a change everywhere")]
     assert f"| {number(model.ends(0.125) or 0)} members, where frames are full and the law ends |" in line
-    full = [{**one, "burst": {**one, "everywhere_p99_s": 0.1 * math.log2(one["members"])}}
-            for one in model.measured.series[0.125]]
+    full = [
+        {**one, "burst": {**one, "everywhere_p99_s": 0.1 * math.log2(one["members"])}}
+        for one in model.measured.series[0.125]
+    ]
     full.append(row(512, bytes_out=30.0 * wire.MOST, burst=row(512, everywhere_p99_s=0.9)))
     both = Model(merge([("simulated.json", simulated(full, workload={"load_writes": 0.125}))]))
     assert both.of("everywhere_p99_s", 0.125).ends is None
@@ -344,10 +404,19 @@
     assert found and all("| held |" in line for line in found)
     rows = [row(n, bytes_out=grown("bytes_out", n, 900.0, 50.0, 36.0)) for n in SIZES]
     rare = [row(n, bytes_out=grown("bytes_out", n, 900.0, 50.0, 3.0)) for n in SIZES]
-    model = Model(merge([("simulated.json", simulated(rows)),
-                         ("simulated-slow.json", simulated(rare, workload={"load_writes": 0.125}))]))
-    found = [line for line in lines_of(render(EMPTY, model.measured), "by-rate")
-             if line.startswith("| control bytes out")]
+    model = Model(
+        merge(
+            [
+                ("simulated.json", simulated(rows)),
+                ("simulated-slow.json", simulated(rare, workload={"load_writes": 0.125})),
+            ]
+        )
+    )
+    found = [
+        line
+        for line in lines_of(render(EMPTY, model.measured), "by-rate")
+        if line.startswith("| control bytes out")
+    ]
     assert any("MISSED" in line for line in found)
 
 
@@ -360,8 +429,11 @@
 def test_an_ask_for_rights_outgrows_a_value() -> None:
     for letters in (3, 13):
         bound = capacity_model.rights_bound(letters)
-        assert capacity_model.ask_bytes(bound - 2, letters) <= store.VALUE < capacity_model.ask_bytes(
-            bound - 1, letters)
+        assert (
+            capacity_model.ask_bytes(bound - 2, letters)
+            <= store.VALUE
+            < capacity_model.ask_bytes(bound - 1, letters)
+        )
     assert (capacity_model.rights_bound(), capacity_model.rights_bound(3)) == (27, 38)
 
 
@@ -369,11 +441,17 @@
 
 
 def test_files_of_one_form_are_merged_and_the_later_name_holds() -> None:
-    found = merge([("simulated-b.json", simulated([{"members": 8, "core": 2.0}])),
-                   ("simulated.json", simulated([{"members": 4, "core": 9.0}, {"members": 16, "core": 5.0}])),
-                   ("simulated-a.json", simulated([{"members": n, "core": core}
-                                                   for n, core in ((8, 1.0), (4, 3.0))])),
-                   ("real.json", {"form": "real", "rows": [{"members": 8, "core": 7.0}]})])
+    found = merge(
+        [
+            ("simulated-b.json", simulated([{"members": 8, "core": 2.0}])),
+            ("simulated.json", simulated([{"members": 4, "core": 9.0}, {"members": 16, "core": 5.0}])),
+            (
+                "simulated-a.json",
+                simulated([{"members": n, "core": core} for n, core in ((8, 1.0), (4, 3.0))]),
+            ),
+            ("real.json", {"form": "real", "rows": [{"members": 8, "core": 7.0}]}),
+        ]
+    )
     assert [(one["members"], one["core"]) for one in found.simulated] == [(4, 3.0), (8, 2.0), (16, 5.0)]
     assert [one["core"] for one in found.real] == [7.0]
 
@@ -412,8 +490,12 @@
     found = lines_of(page, "glance")[2:]
     assert all(line.endswith((" | not measured |", " | the same |")) for line in found)  # no second series
     assert "falsely taken for dead" in found[0] and "none is allowed" in found[0]
-    factors = [float(over or within) for over, within in
-               re.findall(r"(?:\*\*over ([\d.]+) times|(?:open:|within,) ([\d.]+) of it)", "\n".join(found))]
+    factors = [
+        float(over or within)
+        for over, within in re.findall(
+            r"(?:\*\*over ([\d.]+) times|(?:open:|within,) ([\d.]+) of it)", "\n".join(found)
+        )
+    ]
     assert factors == sorted(factors, reverse=True) and factors[0] > 1.0 > factors[-1]
     (memory,) = [line for line in found if line.startswith("| control memory |")]
     assert "5.71 MB | 32 MB | open: 0.178 of it, were there no bound | 22.3 times" in memory
@@ -497,11 +579,24 @@
     assert ranges_bytes(1024) <= wire.MOST < ranges_bytes(1025) and BOUND == 1025
 
 
-@pytest.mark.parametrize(("value", "unit", "text"), [
-    (21e3, "bytes/s", "21 KB/s"), (32e6, "bytes", "32 MB"), (0.39, "s", "390 ms"), (12.5e-6, "s", "12.5 us"),
-    (0.028, "core", "0.028 core"), (57.0, "core", "57 cores"), (5700.0, "", "5,700"),
-    (0.0, "bytes", "0 bytes"), (None, "s", "not measured"), (1234.5, "bytes/s", "1.23 KB/s"),
-    (26_000, "/day", "26,000/day"), (12_345_678.0, "", "12,300,000"), (math.inf, "s", "unbounded s")])
+@pytest.mark.parametrize(
+    ("value", "unit", "text"),
+    [
+        (21e3, "bytes/s", "21 KB/s"),
+        (32e6, "bytes", "32 MB"),
+        (0.39, "s", "390 ms"),
+        (12.5e-6, "s", "12.5 us"),
+        (0.028, "core", "0.028 core"),
+        (57.0, "core", "57 cores"),
+        (5700.0, "", "5,700"),
+        (0.0, "bytes", "0 bytes"),
+        (None, "s", "not measured"),
+        (1234.5, "bytes/s", "1.23 KB/s"),
+        (26_000, "/day", "26,000/day"),
+        (12_345_678.0, "", "12,300,000"),
+        (math.inf, "s", "unbounded s"),
+    ],
+)
 def test_figures_are_written_with_their_unit(value: float | None, unit: str, text: str) -> None:
     assert shown(value, unit) == text
 
@@ -510,8 +605,16 @@
 
 
 def test_benchmark_holds_the_fit_against_the_budgets() -> None:
-    rows = [row(n, bytes_out=grown("bytes_out", n, 1000.0, 0.0, 0.05), start_bytes=50.0 * n,
-                load_error=0.06, false_deaths=n == 8) for n in SIZES]
+    rows = [
+        row(
+            n,
+            bytes_out=grown("bytes_out", n, 1000.0, 0.0, 0.05),
+            start_bytes=50.0 * n,
+            load_error=0.06,
+            false_deaths=n == 8,
+        )
+        for n in SIZES
+    ]
     found, _ = scale.figures(merge([("simulated", simulated(rows))]).simulated)
     kept = {name: one.kept for name, one in found.items()}
     assert kept == {
@@ -519,17 +622,22 @@
         "control bytes in at 5,700, over its budget": True,
         "control processor at 5,700, over its budget": False,
         "control memory at 5,700, over its budget": True,
-        "everywhere, p99 over 8 s, 256 members": True, "size left out, worst relative error": True,
-        "bytes out, 256 members over 128": True, "error of the sums": False, "false deaths": False,
-        "bytes of a start, 256 over 128": False}
+        "everywhere, p99 over 8 s, 256 members": True,
+        "size left out, worst relative error": True,
+        "bytes out, 256 members over 128": True,
+        "error of the sums": False,
+        "false deaths": False,
+        "bytes of a start, 256 over 128": False,
+    }
     assert found["control bytes out at 5,700, over its budget"].value == pytest.approx(
-        (1000.0 + 0.05 * 5700 * math.log2(5700)) / 21e3)
+        (1000.0 + 0.05 * 5700 * math.log2(5700)) / 21e3
+    )
     assert found["bytes of a start, 256 over 128"].value == pytest.approx(2.0)
     assert found["false deaths"].value == 1.0
 
 
 def test_benchmark_predicts_the_second_series_and_keeps_its_bound() -> None:
-    rows = [row(n, bytes_out=100.0 * n ** 1.5) for n in SIZES]
+    rows = [row(n, bytes_out=100.0 * n**1.5) for n in SIZES]
     slow = [row(n, heed_core=None) for n in SIZES]
     name = "size left out, worst relative error"
     assert not scale.figures(rows)[0][name].kept
@@ -560,7 +668,8 @@
 
 
 def test_check_ends_with_one_where_the_page_says_otherwise_and_writes_nothing(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     page, slopes = tmp_path / "PAGE.md", tmp_path / "slopes"
     slopes.mkdir()
     page.write_text(EMPTY)
@@ -576,12 +685,18 @@
     assert page.read_text().count("text\n\n") == len(TABLES)  # what is not between markers stays
 
 
-@pytest.mark.parametrize(("text", "fault"), [
-    ("{", "simulated.json: "), ("[]", "simulated.json: no object"),
-    ('{"form": "other"}', "simulated.json: form: 'other' is none of simulated, real, data-path"),
-    ('{"form": "simulated", "rows": [{}]}', "simulated.json: a row without members")])
+@pytest.mark.parametrize(
+    ("text", "fault"),
+    [
+        ("{", "simulated.json: "),
+        ("[]", "simulated.json: no object"),
+        ('{"form": "other"}', "simulated.json: form: 'other' is none of simulated, real, data-path"),
+        ('{"form": "simulated", "rows": [{}]}', "simulated.json: a row without members"),
+    ],
+)
 def test_a_file_that_cannot_be_used_ends_with_two(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, fault: str) -> None:
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, fault: str
+) -> None:
     page, slopes = tmp_path / "PAGE.md", tmp_path / "slopes"
     slopes.mkdir()
     page.write_text(EMPTY)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,8 +11,12 @@
 from crowgap import interface as i
 
 WARM, COLD, CLIENTS = 20, 10, 900
-SETTINGS: dict[str, Any] = {"cold_time": 14000.0, "cold_from": 0.2, "fall_multiple": 3.0,
-                            "overload_for": 2000.0}
+SETTINGS: dict[str, Any] = {
+    "cold_time": 14000.0,
+    "cold_from": 0.2,
+    "fall_multiple": 3.0,
+    "overload_for": 2000.0,
+}
 
 
 def most_at_a_cold_server(balancers: int, age: float) -> int:
@@ -46,8 +50,12 @@
     throng+brink a server 7.6 s after its start was so sent 4.2 times what it could do in 1 s, one from nearly
     every balancer.  The budget is read as above, the fleet two fifths full.
     """
-    settings: dict[str, Any] = {"cold_time": 15000.0, "cold_from": 0.25, "fall_multiple": 2.0,
-                                "overload_for": 1000.0}
+    settings: dict[str, Any] = {
+        "cold_time": 15000.0,
+        "cold_from": 0.25,
+        "fall_multiple": 2.0,
+        "overload_for": 1000.0,
+    }
     warm, cold = range(1, 9), range(101, 104)
     fleet = Fleet(balancers, ready(*warm), probes=True, **settings)
     for n in range(240):
@@ -79,6 +87,7 @@
     """A bound by chance alone would leave a balancer that knows nothing without any server."""
     bench = Bench(backends=0, balancers=balancers, cold_time=15000.0)
     bench.put(i.ListUpdate(i.ListKind.REMEMBERED, ready(*range(1, 9), started=bench.now - 500.0)))
-    sent = [action.backend for n in range(20) for action in bench.ask(n, f"g{n}")
-            if isinstance(action, i.Send)]
+    sent = [
+        action.backend for n in range(20) for action in bench.ask(n, f"g{n}") if isinstance(action, i.Send)
+    ]
     assert len(sent) >= 8 and set(sent) == set(range(1, 9)), sent
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -41,33 +41,38 @@
 """
 
 
-@pytest.mark.parametrize("old,new,fault", [
-    ("version = 1", "version = 2", "version: must be 1"), ("version = 1", "", "version: is missing"),
-    ("version = 1", "version = ", "not TOML"),
-    ("connections = 100", "conections = 100", "fleet.conections: unknown key"),
-    ("connections = 100", "", "fleet.connections: is missing"),
-    ("connections = 40", "connections = -1", "teams.x.guarantee.connections: expected"),
-    ("connections = 40", "connections = 1.5", "teams.x.guarantee.connections: expected"),
-    ("setups_per_s = 10.0", "setups_per_s = nan", "teams.x.guarantee.setups_per_s: must be a finite"),
-    ("setups_per_s = 50.0", "setups_per_s = inf", "fleet.setups_per_s: must be a finite"),
-    ("share = 0.5", "share = 1.5", "teams.x.classes.feed.share: expected"),
-    ("share = 0.5", "shard = 0.5", "teams.x.classes.feed.shard: unknown key"),
-    ('["t3"]', '["t2"]', "teams.y.tenants: 't2' is in teams.x already"),
-    ('["t3"]', '["t9"]', "teams.y.tenants: the settings have no tenant 't9'"),
-    ('["t3"]', '[]', "teams.y.tenants: expected"), ('["t3"]', '["t3", 7]', "teams.y.tenants.*: expected"),
-    ("connections = 50", "connections = 61", "fleet.connections: the guarantees together, 101, exceed"),
-    ("connections = 80", "connections = 39", "teams.x.ceiling.connections: 39 is under the guarantee"),
-    ("connections = 80", "load = 5.0", "teams.x.ceiling.load: needs fleet.load"),
-    ('kind = "k2"', 'kind = ["k1", "k3"]', "pools.b.match: overlaps with pools.a"),
-    ('kind = "k2"', 'zone = ["z"]', "pools.b.match: overlaps with pools.a"),
-    ('kind = "k2"', 'colour = "k2"', "pools.b.match.colour: unknown key"),
-    ('kind = "k2"', 'kind = []', "pools.b.match.kind: must be a name"),
-    ('pool = "b"', 'pool = "c"', "teams.y.pool: no pool is named 'c'"),
-    ('pool = "b"', 'pool = "a"', "pools.b: no team uses it"),
-    ("classes.feed", "classes.food", "teams.x.classes.food: the settings have no such class"),
-    ("[teams.y]", "[groups.z]\n[teams.y]", "groups: unknown key"),
-    ("weight = 3", "weight = 0", "teams.y.weight: expected"),
-])
+@pytest.mark.parametrize(
+    "old,new,fault",
+    [
+        ("version = 1", "version = 2", "version: must be 1"),
+        ("version = 1", "", "version: is missing"),
+        ("version = 1", "version = ", "not TOML"),
+        ("connections = 100", "conections = 100", "fleet.conections: unknown key"),
+        ("connections = 100", "", "fleet.connections: is missing"),
+        ("connections = 40", "connections = -1", "teams.x.guarantee.connections: expected"),
+        ("connections = 40", "connections = 1.5", "teams.x.guarantee.connections: expected"),
+        ("setups_per_s = 10.0", "setups_per_s = nan", "teams.x.guarantee.setups_per_s: must be a finite"),
+        ("setups_per_s = 50.0", "setups_per_s = inf", "fleet.setups_per_s: must be a finite"),
+        ("share = 0.5", "share = 1.5", "teams.x.classes.feed.share: expected"),
+        ("share = 0.5", "shard = 0.5", "teams.x.classes.feed.shard: unknown key"),
+        ('["t3"]', '["t2"]', "teams.y.tenants: 't2' is in teams.x already"),
+        ('["t3"]', '["t9"]', "teams.y.tenants: the settings have no tenant 't9'"),
+        ('["t3"]', "[]", "teams.y.tenants: expected"),
+        ('["t3"]', '["t3", 7]', "teams.y.tenants.*: expected"),
+        ("connections = 50", "connections = 61", "fleet.connections: the guarantees together, 101, exceed"),
+        ("connections = 80", "connections = 39", "teams.x.ceiling.connections: 39 is under the guarantee"),
+        ("connections = 80", "load = 5.0", "teams.x.ceiling.load: needs fleet.load"),
+        ('kind = "k2"', 'kind = ["k1", "k3"]', "pools.b.match: overlaps with pools.a"),
+        ('kind = "k2"', 'zone = ["z"]', "pools.b.match: overlaps with pools.a"),
+        ('kind = "k2"', 'colour = "k2"', "pools.b.match.colour: unknown key"),
+        ('kind = "k2"', "kind = []", "pools.b.match.kind: must be a name"),
+        ('pool = "b"', 'pool = "c"', "teams.y.pool: no pool is named 'c'"),
+        ('pool = "b"', 'pool = "a"', "pools.b: no team uses it"),
+        ("classes.feed", "classes.food", "teams.x.classes.food: the settings have no such class"),
+        ("[teams.y]", "[groups.z]\n[teams.y]", "groups: unknown key"),
+        ("weight = 3", "weight = 0", "teams.y.weight: expected"),
+    ],
+)
 def test_every_fault_is_named_with_its_key_path(old: str, new: str, fault: str) -> None:
     assert parse(GOOD, ["feed"], ["t1", "t2", "t3"]).tenants == {"t1": "x", "t2": "x", "t3": "y"}
     assert old in GOOD
@@ -81,12 +86,15 @@
     with pytest.raises(BadContracts) as caught:
         parse(GOOD.replace("share = 0.5", "share = 7.0").replace("weight = 3", "weight = -3"))
     assert [one.split(":")[0] for one in caught.value.faults] == [
-        "teams.x.classes.feed.share", "teams.y.weight"]
+        "teams.x.classes.feed.share",
+        "teams.y.weight",
+    ]
 
 
 @given(st.lists(st.integers(0, 50), min_size=1, max_size=6), st.integers(1, 7), st.integers(0, 60))
 def test_units_dealt_out_sum_exactly_and_never_pass_the_fleet_s_part(
-        counts: list[int], balancers: int, more: int) -> None:
+    counts: list[int], balancers: int, more: int
+) -> None:
     whole = sum(counts) + more
     for index in range(balancers):
         first, held = 0, 0
@@ -100,10 +108,17 @@
         first += number
 
 
-@given(st.integers(0, 400), st.lists(st.tuples(st.integers(0, 40), st.integers(0, 80), st.integers(1, 5),
-                                               st.integers(0, 200)), min_size=1, max_size=6))
+@given(
+    st.integers(0, 400),
+    st.lists(
+        st.tuples(st.integers(0, 40), st.integers(0, 80), st.integers(1, 5), st.integers(0, 200)),
+        min_size=1,
+        max_size=6,
+    ),
+)
 def test_max_min_gives_guarantees_first_and_then_by_weight(
-        more: int, rows: list[tuple[int, int, int, int]]) -> None:
+    more: int, rows: list[tuple[int, int, int, int]]
+) -> None:
     claims = [Claim(low, low + up, weight, wants) for low, up, weight, wants in rows]
     total = sum(one.guarantee for one in claims) + more
     shares = max_min(total, claims)
@@ -157,8 +172,14 @@
 
 
 def command(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "snowwick", *words], text=True, capture_output=True,
-                          timeout=20, env={**os.environ, "GW_CONFIG": ""}, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "snowwick", *words],
+        text=True,
+        capture_output=True,
+        timeout=20,
+        env={**os.environ, "GW_CONFIG": ""},
+        check=False,
+    )
 
 
 def test_commands_check_and_explain_a_file(tmp_path: Path) -> None:
@@ -167,7 +188,11 @@
     assert command("contracts", "check", str(path)).returncode == 0
     said = command("contracts", "explain", str(path), "--balancers", "2").stdout
     assert "guarantee back within 10.0 s" in said and said.splitlines()[1].split()[:4] == [
-        "x", "a", "connections", "20"]
+        "x",
+        "a",
+        "connections",
+        "20",
+    ]
     path.write_text(GOOD.replace("connections = 40", "connections = -1"))
     bad = command("contracts", "check", str(path))
     assert bad.returncode == 2 and "teams.x.guarantee.connections: expected" in bad.stderr
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -15,8 +15,11 @@
 
 from snowwick.net.contracts import ContractStage
 
-TEAMS = {**SETTINGS, "tenants": [{"name": name} for name in ("n", "m", "free")],
-         "limits": {**SETTINGS["limits"], "maxRetryAfter": 2000.0}}  # type: ignore[dict-item]
+TEAMS = {
+    **SETTINGS,
+    "tenants": [{"name": name} for name in ("n", "m", "free")],
+    "limits": {**SETTINGS["limits"], "maxRetryAfter": 2000.0},
+}  # type: ignore[dict-item]
 CONTRACTS = """
 version = 1
 [fleet]
@@ -35,10 +38,13 @@
 pool = "all"
 guarantee = { connections = 4 }
 """
-POOLS = CONTRACTS.replace("[pools.all]", """[pools.all]
+POOLS = CONTRACTS.replace(
+    "[pools.all]",
+    """[pools.all]
 match = { kind = "k1" }
 [pools.b]
-match = { kind = "k2" }""").replace('["m"]\npool = "all"', '["m"]\npool = "b"')
+match = { kind = "k2" }""",
+).replace('["m"]\npool = "all"', '["m"]\npool = "b"')
 
 
 def asks(n: int, tenant: str = "n") -> str:
@@ -60,8 +66,13 @@
 
 
 def listed(world: World, **kinds: str) -> dict[str, Any]:
-    return {"version": 1, "full": True, "servers": [
-        World.server(name.replace("_", "-"), world.servers, kind=kind) for name, kind in kinds.items()]}
+    return {
+        "version": 1,
+        "full": True,
+        "servers": [
+            World.server(name.replace("_", "-"), world.servers, kind=kind) for name, kind in kinds.items()
+        ],
+    }
 
 
 @pytest.fixture
@@ -79,28 +90,51 @@
     one.close()
 
 
-@pytest.mark.parametrize("scenario,reason", [
-    pytest.param(asks(1) + "d1 expect *\nc1 close\nd1 end\nd1 close", "left", id="leaves while waiting"),
-    pytest.param(asks(1) + "d1 expect *\nc1 reset\nd1 end\nd1 close", "front-reset",
-                 id="resets while waiting"),
-    pytest.param(asks(1) + "d1 expect *\nd1 close\nd2 expect *\nd2 close\nwait 595\nc1 expect BUSY *\n"
-                 "c1 end\nc1 close", "busy", id="every route step fails"),
-    pytest.param(asks(1) + "d1 expect *\nc1 send M\nc1 expect ERR\nc1 end\nc1 close", "garbled",
-                 id="says too much"),
-    pytest.param(up(1) + "c1 close\nd1 end\nd1 close", "client-ended", id="client ends"),
-    pytest.param(up(1) + "c1 reset\nd1 end\nd1 close", "front-reset", id="client resets"),
-    pytest.param(up(1) + "d1 reset\nc1 end\nc1 close", "destination-reset", id="destination resets"),
-    pytest.param(up(1) + "d1 send BYE\nd1 close\nc1 expect BYE\nc1 end\nc1 close", "destination-ok",
-                 id="bye"),
-    pytest.param(up(1) + "d1 send MOVE\nd1 close\nc1 expect MOVE\nc1 end\nc1 close", "destination-cancelled",
-                 id="moved by its destination"),
-    pytest.param(up(1) + "d1 raw 'x' * 9000\nc1 expect MOVE\nc1 end\nd1 end\nc1 close",
-                 "garbled-destination", id="destination talks nonsense"),
-    pytest.param("c1 send OPEN 1 k d=1200,c=feed,t=n,at=s-1\nd1 expect *\nd1 send UP r\nc1 expect UP r\n"
-                 "d1 reset\nc1 end\nc1 close", "destination-reset", id="kept connection"),
-    pytest.param("c1 send OPEN 1 k d=1200,c=feed,t=n,at=s-9\nc1 expect ERR\nc1 end\nc1 close",
-                 "kept-connect_failed", id="kept connection that is lost"),
-])
+@pytest.mark.parametrize(
+    "scenario,reason",
+    [
+        pytest.param(asks(1) + "d1 expect *\nc1 close\nd1 end\nd1 close", "left", id="leaves while waiting"),
+        pytest.param(
+            asks(1) + "d1 expect *\nc1 reset\nd1 end\nd1 close", "front-reset", id="resets while waiting"
+        ),
+        pytest.param(
+            asks(1) + "d1 expect *\nd1 close\nd2 expect *\nd2 close\nwait 595\nc1 expect BUSY *\n"
+            "c1 end\nc1 close",
+            "busy",
+            id="every route step fails",
+        ),
+        pytest.param(
+            asks(1) + "d1 expect *\nc1 send M\nc1 expect ERR\nc1 end\nc1 close", "garbled", id="says too much"
+        ),
+        pytest.param(up(1) + "c1 close\nd1 end\nd1 close", "client-ended", id="client ends"),
+        pytest.param(up(1) + "c1 reset\nd1 end\nd1 close", "front-reset", id="client resets"),
+        pytest.param(up(1) + "d1 reset\nc1 end\nc1 close", "destination-reset", id="destination resets"),
+        pytest.param(
+            up(1) + "d1 send BYE\nd1 close\nc1 expect BYE\nc1 end\nc1 close", "destination-ok", id="bye"
+        ),
+        pytest.param(
+            up(1) + "d1 send MOVE\nd1 close\nc1 expect MOVE\nc1 end\nc1 close",
+            "destination-cancelled",
+            id="moved by its destination",
+        ),
+        pytest.param(
+            up(1) + "d1 raw 'x' * 9000\nc1 expect MOVE\nc1 end\nd1 end\nc1 close",
+            "garbled-destination",
+            id="destination talks nonsense",
+        ),
+        pytest.param(
+            "c1 send OPEN 1 k d=1200,c=feed,t=n,at=s-1\nd1 expect *\nd1 send UP r\nc1 expect UP r\n"
+            "d1 reset\nc1 end\nc1 close",
+            "destination-reset",
+            id="kept connection",
+        ),
+        pytest.param(
+            "c1 send OPEN 1 k d=1200,c=feed,t=n,at=s-9\nc1 expect ERR\nc1 end\nc1 close",
+            "kept-connect_failed",
+            id="kept connection that is lost",
+        ),
+    ],
+)
 def test_what_is_held_is_given_back_once_however_it_ends(world: World, scenario: str, reason: str) -> None:
     world.play(scenario)
     world.until(lambda: not world.service.fronts)
@@ -124,6 +158,7 @@
 
     def fault(_: object) -> None:
         raise RuntimeError("on purpose")
+
     monkeypatch.setattr(front, "on_mail", fault)
     world.play("d1 send M\nc1 end\nd1 end")
     assert held(world) == {"x": 0, "y": 0} and "on purpose" in world.sink.getvalue()
@@ -158,8 +193,14 @@
 
 def test_a_destination_that_changes_its_kind_changes_pools(pools: World) -> None:
     pools.play(up(1, "m") + up(2, "n"))
-    rows = {"version": 2, "full": False, "servers": [World.server("s-2", pools.servers, kind="k1"),
-                                                     World.server("s-3", pools.servers, kind="k2")]}
+    rows = {
+        "version": 2,
+        "full": False,
+        "servers": [
+            World.server("s-2", pools.servers, kind="k1"),
+            World.server("s-3", pools.servers, kind="k2"),
+        ],
+    }
     pools.service.desks.news(pools.service.pool.config.take(rows))
     for _ in range(6):
         pools.wait(500)
@@ -176,16 +217,20 @@
     world.service.reload()
     assert "teams.x.guarantee.connections: expected" in world.sink.getvalue()
     assert stage(world).contracts is before and world.service.config.discovery != ("127.0.0.1", 9)
-    world.contracts = CONTRACTS.replace("guarantee = { connections = 4 }",
-                                        "guarantee = { connections = 1 }\nceiling = { connections = 2 }", 1)
+    world.contracts = CONTRACTS.replace(
+        "guarantee = { connections = 4 }", "guarantee = { connections = 1 }\nceiling = { connections = 2 }", 1
+    )
     world.service.reload()
     world.service.reload()
     for _ in range(20):
         world.wait(60)
-    world.play("c4 expect MOVE\nc3 expect MOVE\nc2 quiet\nc1 quiet\nc5 quiet\nc3 close\nc4 close\n"
-               + asks(6) + "c6 expect BUSY *\nc6 end")
+    world.play(
+        "c4 expect MOVE\nc3 expect MOVE\nc2 quiet\nc1 quiet\nc5 quiet\nc3 close\nc4 close\n"
+        + asks(6)
+        + "c6 expect BUSY *\nc6 end"
+    )
     assert held(world) == {"x": 2, "y": 1}
-    world.contracts = world.contracts[:world.contracts.index("[teams.y]")]
+    world.contracts = world.contracts[: world.contracts.index("[teams.y]")]
     world.service.reload()
     for _ in range(20):
         world.wait(60)
@@ -199,8 +244,9 @@
     pools.service.reload()
     for _ in range(30):
         pools.wait(60)
-    pools.play("c2 expect MOVE\nc2 end\nc2 close\n" + up(3, "m") + "c1 quiet\n" + asks(4)
-               + "d4 expect OPEN 4 *")
+    pools.play(
+        "c2 expect MOVE\nc2 end\nc2 close\n" + up(3, "m") + "c1 quiet\n" + asks(4) + "d4 expect OPEN 4 *"
+    )
     pools.service.desks.news(pools.service.pool.config.take(listed(pools, s_1="k1", s_2="k2")))
     pools.settle()
     assert set(pools.service.desks.deciders) == {"all", "c"} and held(pools) == {"x": 2, "y": 1}
@@ -253,7 +299,8 @@
             file.write_text(text)
             process.send_signal(signal.SIGHUP)
             return next(line for line in iter(log.readline, "") if "contracts of" in line or "stays" in line)
-        assert "contracts of 1 teams" in hang_up(CONTRACTS[:CONTRACTS.index("[teams.y]")])
+
+        assert "contracts of 1 teams" in hang_up(CONTRACTS[: CONTRACTS.index("[teams.y]")])
         assert "fleet.connections: is missing" in hang_up(CONTRACTS.replace("connections = 10", ""))
         with socket.create_connection((host, int(port)), 5.0) as client:
             client.sendall(b"OPEN 1 k1 d=1200,c=feed,t=m\r\n")
--- a/tests/test_data_path.py
+++ b/tests/test_data_path.py
@@ -22,9 +22,14 @@
 
 
 def begin(*words: str, folder: Path) -> subprocess.Popen[str]:
-    return subprocess.Popen([sys.executable, "-m", "snowwick.lab.data_path", *words], cwd=ROOT, text=True,
-                            stdout=subprocess.PIPE, stderr=subprocess.PIPE,
-                            env={**os.environ, "TMPDIR": str(folder)})
+    return subprocess.Popen(
+        [sys.executable, "-m", "snowwick.lab.data_path", *words],
+        cwd=ROOT,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        env={**os.environ, "TMPDIR": str(folder)},
+    )
 
 
 def until(condition: Callable[[], bool], patience: float = 20.0) -> None:
@@ -100,8 +105,9 @@
     assert not list(folder.iterdir())
 
 
-def test_program_that_dies_is_a_failure_and_no_row(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                  capsys: pytest.CaptureFixture[str]) -> None:
+def test_program_that_dies_is_a_failure_and_no_row(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     def die(standing: Standing, size: int) -> tuple[float, float]:
         standing.open(size)
         standing.process.kill()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -121,7 +121,8 @@
     world.called("pool")
     older = listing(world, 3, "s-1")
     world.socks["pool"].sendall(
-        f"HTTP/1.1 200 OK\r\nContent-Length: {len(older)}\r\n\r\n{older}".encode() * 2)
+        f"HTTP/1.1 200 OK\r\nContent-Length: {len(older)}\r\n\r\n{older}".encode() * 2
+    )
     world.play("pool " + listing(world, 3, "s-1", "s-2", full=True))
     assert world.calls[-1] == "pool /v1/endpoints"
     assert set(world.service.pool.config.addresses) == {number_of("s-1"), number_of("s-2")}
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -67,9 +67,11 @@
 
 # --- a front socket without a request
 
+
 @pytest.mark.parametrize("why", ["time", "room"])
 def test_request_in_the_socket_in_the_turn_that_ends_a_resting_connection_is_served(
-        world: World, why: str) -> None:
+    world: World, why: str
+) -> None:
     front = rests(world)
     world.put("c1", OPEN)
     if why == "time":
@@ -120,6 +122,7 @@
 
 # --- a request that waits for its answer
 
+
 def test_request_whose_client_has_gone_with_its_last_byte_is_not_sent_on(world: World) -> None:
     with socket.create_connection(world.service.listener.getsockname()) as client:
         client.sendall(OPEN.encode() + b"\r\n")
@@ -149,7 +152,8 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "close after the look"])
 def test_client_gone_and_its_step_in_one_turn_is_not_sent_on(
-        world: World, monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+    world: World, monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
     front = waits(world, monkeypatch)
     if how == "close after the look":
         world.after_look(lambda: world.leave("c1"))
@@ -161,7 +165,8 @@
 
 
 def test_client_gone_in_the_turn_in_which_the_module_lets_it_out_leaves_nothing_behind(
-        world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The step was asked for at a front that had ended: the module waited for its end for good."""
     front, balancer = waits(world, monkeypatch), world.service.decider.balancer
     monkeypatch.undo()
@@ -217,6 +222,7 @@
 
 # --- an attempt
 
+
 @pytest.mark.parametrize("when", ["before the look", "after the look"])
 def test_up_in_the_turn_of_its_time_out_counts(world: World, when: str) -> None:
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
@@ -239,6 +245,7 @@
     def front_first() -> None:
         ready.remove(front)
         ready.appendleft(front)
+
     world.after_look(front_first)
     world.clock.now += 1.21
     world.play("c1 expect UP r1")
@@ -258,13 +265,17 @@
 
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_half_an_up_at_the_end_is_none(world: World, end: str) -> None:
-    world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *\nd1 part UP r1\nd1 {end}\n"
-               "d2 expect OPEN 1 *\nc1 quiet\nd2 send UP r2\nc1 expect UP r2")
+    world.play(
+        f"c1 send {OPEN}\nd1 expect OPEN 1 *\nd1 part UP r1\nd1 {end}\n"
+        "d2 expect OPEN 1 *\nc1 quiet\nd2 send UP r2\nc1 expect UP r2"
+    )
 
 
 def test_line_that_never_ends_ends_the_attempt(world: World) -> None:
-    world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *\nd1 raw 'x' * 9000\nd1 end\n"
-               "d2 expect OPEN 1 *\nc1 quiet\nd2 send UP r2\nc1 expect UP r2")
+    world.play(
+        f"c1 send {OPEN}\nd1 expect OPEN 1 *\nd1 raw 'x' * 9000\nd1 end\n"
+        "d2 expect OPEN 1 *\nc1 quiet\nd2 send UP r2\nc1 expect UP r2"
+    )
 
 
 def test_lines_without_end_before_the_answer_are_given_up_with_the_attempts_time(world: World) -> None:
@@ -276,7 +287,8 @@
 
 @pytest.mark.parametrize("said", ["", "M 1", "M 1\r\nM"], ids=["before a line", "after one", "in one"])
 def test_server_that_hangs_after_its_up_loses_its_client_within_seven_seconds(
-        world: World, said: str) -> None:
+    world: World, said: str
+) -> None:
     world.service.gauge.tell = lambda _: None
     world.play(UP + "c1 send M 1\nd1 expect M 1\nc1 send M 2\nd1 expect M 2")
     if said:
@@ -290,6 +302,7 @@
 
 # --- a connection that stands
 
+
 def test_client_that_ends_and_server_that_resets_in_one_turn_leave_nothing(world: World) -> None:
     world.play(UP)
     world.leave("c1")
@@ -305,6 +318,7 @@
     def leaves() -> None:
         world.put("d1", "BYE")
         world.leave("d1", reset=True)
+
     world.after_look(leaves)
     world.play("c1 expect BYE")
     world.until(lambda: "c1" in world.ended)
@@ -318,8 +332,11 @@
     front.post(MoveAway("test"))
     world.settle()
     closed: list[int] = []
-    world.before(front, "close", lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK))
-                                                       if front.stirred() else 0))
+    world.before(
+        front,
+        "close",
+        lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK)) if front.stirred() else 0),
+    )
     client.sendall(b"M 1\r\n")
     world.clock.now += 0.6
     nothing_is_left(world)
@@ -335,7 +352,7 @@
     line, sent = b"M " + b"x" * 4000 + b"\r\n", 0
     while len(front.out) < 16384:
         with contextlib.suppress(BlockingIOError):
-            sent += server.send(line[sent % len(line):])
+            sent += server.send(line[sent % len(line) :])
         world.loop.turn(0.0)
     front.post(MoveAway("test"))
     world.wait(600)
@@ -347,6 +364,7 @@
                 got.extend(data)
             return True
         return False
+
     world.until(read)
     assert got.endswith(b"\r\nMOVE\r\n") and {len(one) for one in got.split(b"\r\n")[:-2]} == {4002}
     client.close()
@@ -375,6 +393,7 @@
 
 # --- the end of the program
 
+
 class Ending(Actor):
     """The planned end, as SIGTERM begins it."""
 
@@ -389,7 +408,8 @@
 
 
 def test_connection_that_only_the_system_has_accepted_is_answered_before_the_end(
-        world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The end came as soon as no front was left: what waited to be accepted was reset."""
     monkeypatch.setattr(world.service, "make_room", lambda: False)
     ending = Ending(world.service)
@@ -426,7 +446,8 @@
 
 @pytest.mark.parametrize("ran,answer", [(False, "BUSY *"), (True, "ERR")])
 def test_request_that_still_waits_at_the_end_is_answered(
-        monkeypatch: pytest.MonkeyPatch, ran: bool, answer: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, ran: bool, answer: str
+) -> None:
     """Where a class waits longer than the time until SIGKILL, who waited in the buffer got nothing."""
     classes = [{"name": "feed", "aim": 300.0, "deadline": 9000.0, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
@@ -447,8 +468,10 @@
     classes = [{"name": "feed", "aim": 50.0, "deadline": deadline, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     for n in range(1, 9):
-        world.play(f"c{n} send OPEN {n} k{n} d={deadline:.0f},c=feed,t=n\nd{n} expect OPEN *\n"
-                   f"d{n} send UP r\nc{n} expect UP r")
+        world.play(
+            f"c{n} send OPEN {n} k{n} d={deadline:.0f},c=feed,t=n\nd{n} expect OPEN *\n"
+            f"d{n} send UP r\nc{n} expect UP r"
+        )
     ending = Ending(world.service)
     passes(world, lambda: ending.over, 2.0)
     for n in range(1, 9):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,8 +13,9 @@
 
 def played(balancers: int, probes: bool) -> Fleet:
     """Twice as many come as stand, in groups as large as they usually are: by Zipf."""
-    fleet = Fleet(balancers, ready(*range(1, BACKENDS + 1)), tenants=(i.Tenant("t", 2.0 * CLIENTS),),
-                  probes=probes)
+    fleet = Fleet(
+        balancers, ready(*range(1, BACKENDS + 1)), tenants=(i.Tenant("t", 2.0 * CLIENTS),), probes=probes
+    )
     names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.2 * CLIENTS / rank))]
     for _ in range(2):
         for group, client in fleet.random.sample(names, len(names)):
@@ -49,9 +50,16 @@
     The budget of the rule is read as a multiple of what fills a server over its warm-up.
     """
     warm, clients, cold = 26, 700, 99
-    fleet = Fleet(balancers, ready(*range(1, warm + 1)) + ready(cold, started=1000.0), probes=True,
-                  tenants=(i.Tenant("t", 1.8 * clients),), cold_time=8800.0, cold_from=0.3, fall_multiple=3.0,
-                  overload_for=3000.0)
+    fleet = Fleet(
+        balancers,
+        ready(*range(1, warm + 1)) + ready(cold, started=1000.0),
+        probes=True,
+        tenants=(i.Tenant("t", 1.8 * clients),),
+        cold_time=8800.0,
+        cold_from=0.3,
+        fall_multiple=3.0,
+        overload_for=3000.0,
+    )
     names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.23 * clients / rank))]
     for group, client in fleet.random.sample(names, len(names)):
         fleet.now += 1500.0 / len(names)
@@ -81,8 +89,16 @@
 def test_cold_backend_whose_report_is_old_is_not_pushed_over_by_all_who_see_it_empty(balancers: int) -> None:
     """Each sees the same late report of an empty server: 200 balancers sent it 6.8 times what it could do."""
     warm, clients, cold = 26, 700, 99
-    fleet = Fleet(balancers, ready(*range(1, warm + 1)) + ready(cold, started=1000.0), probes=True,
-                  loads=True, cold_time=24000.0, cold_from=0.14, fall_multiple=3.0, overload_for=3000.0)
+    fleet = Fleet(
+        balancers,
+        ready(*range(1, warm + 1)) + ready(cold, started=1000.0),
+        probes=True,
+        loads=True,
+        cold_time=24000.0,
+        cold_from=0.14,
+        fall_multiple=3.0,
+        overload_for=3000.0,
+    )
     for bench in fleet.benches:
         for backend in (*range(1, warm + 1), cold):
             bench.put(i.Probed(backend, 2.0, 0.0 if backend == cold else 0.5))
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -22,8 +22,9 @@
 from snowwick.lab.search import course
 
 
-def frame(seq: int = 1, boot: int = 7, incarnation: int = 1, to_boot: int = 9,
-          body: wire.Body | None = None) -> Frame:
+def frame(
+    seq: int = 1, boot: int = 7, incarnation: int = 1, to_boot: int = 9, body: wire.Body | None = None
+) -> Frame:
     return Frame("a", "1.2.3.4:5", incarnation, boot, seq, "b", to_boot, body or wire.News())
 
 
@@ -37,8 +38,13 @@
     assert sum(node.counts.dropped.values()) == 1
 
 
-@given(st.recursive(st.none() | st.integers() | st.binary(max_size=20) | st.text(max_size=20),
-                    lambda inner: st.lists(inner, max_size=12), max_leaves=40))
+@given(
+    st.recursive(
+        st.none() | st.integers() | st.binary(max_size=20) | st.text(max_size=20),
+        lambda inner: st.lists(inner, max_size=12),
+        max_leaves=40,
+    )
+)
 def test_no_message_under_the_right_key_raises(message: object) -> None:
     node = Node("b", "b", [KEY], [], random.Random(1), lambda: 1e12)
     try:
@@ -49,7 +55,7 @@
     assert not node.members.records
 
 
-@given(st.integers(0, 10 ** 6), st.data())
+@given(st.integers(0, 10**6), st.data())
 def test_one_changed_bit_drops_the_frame(seed: int, data: st.DataObject) -> None:
     sealed = wire.seal(frame(seq=seed), KEY)
     at = data.draw(st.integers(8, 8 * len(sealed) - 1))
@@ -107,8 +113,16 @@
 
 # -- registers -------------------------------------------------------------------------------------------
 
-ENTRY = st.builds(Entry, st.sampled_from("xyz"), st.integers(1, 2), st.integers(1, 6), st.just(1),
-                  st.sampled_from("kl"), st.sampled_from([None, b"1", b"2"]), st.just(0))
+ENTRY = st.builds(
+    Entry,
+    st.sampled_from("xyz"),
+    st.integers(1, 2),
+    st.integers(1, 6),
+    st.just(1),
+    st.sampled_from("kl"),
+    st.sampled_from([None, b"1", b"2"]),
+    st.just(0),
+)
 
 
 def consistent(entries: list[Entry]) -> list[Entry]:
@@ -117,8 +131,12 @@
 
 
 def view(store: Store) -> object:
-    return {(name, key, held.entry.seq, held.entry.epoch) for name, owner in store.owners.items()
-            for key, held in owner.entries.items() if held.entry.value is not None}
+    return {
+        (name, key, held.entry.seq, held.entry.epoch)
+        for name, owner in store.owners.items()
+        for key, held in owner.entries.items()
+        if held.entry.value is not None
+    }
 
 
 @given(st.lists(ENTRY, max_size=5))
@@ -135,8 +153,9 @@
 
 
 @given(st.lists(ENTRY, max_size=6), st.lists(ENTRY, max_size=6))
-def test_two_copies_that_pull_from_each_other_become_the_same(first: list[Entry],
-                                                              second: list[Entry]) -> None:
+def test_two_copies_that_pull_from_each_other_become_the_same(
+    first: list[Entry], second: list[Entry]
+) -> None:
     rows = consistent([*first, *second])
     one, other = Store("me", 1), Store("you", 1)
     for entry in rows:
@@ -231,8 +250,11 @@
     net.write("m0", 1, "k", b"0")
     net.run(net.now + 12.0)
     assert net.agree()
-    assert all(machine.node.clock.last >> LOGICAL < 1_700_000_000_000 + 60_000 for machine in net.live()
-               if machine.name != "m1")
+    assert all(
+        machine.node.clock.last >> LOGICAL < 1_700_000_000_000 + 60_000
+        for machine in net.live()
+        if machine.name != "m1"
+    )
 
 
 def test_a_start_by_a_clock_gone_back_counts_on_from_the_earlier_one() -> None:
@@ -257,8 +279,12 @@
     while net.now < end:
         net.stop(f"m{net.random.randrange(20)}", 0.6)
         net.run(net.now + 5.0)
-    assert not [news for machine in net.live() for _, news in machine.news
-                if getattr(getattr(news, "member", None), "state", 0) >= 2]
+    assert not [
+        news
+        for machine in net.live()
+        for _, news in machine.news
+        if getattr(getattr(news, "member", None), "state", 0) >= 2
+    ]
 
 
 # -- what follows from the registers ---------------------------------------------------------------------
@@ -387,13 +413,23 @@
 hear = Budget.hear
 
 
-@pytest.mark.parametrize("what, broken_by", [
-    ("hear", heard_from_now),
-    ("_settle", lambda budget, name, boot, ask: budget.out.pop((name, boot), None)),
-    ("gone", lambda budget, now: sum(max(one.amount for one in outs) for outs in budget.out.values() if outs)
-     if now < 3.0 else 0.0),
-])
-def test_the_search_finds_a_core_that_is_broken_on_purpose(monkeypatch: pytest.MonkeyPatch, what: str,
-                                                           broken_by: object) -> None:
+@pytest.mark.parametrize(
+    "what, broken_by",
+    [
+        ("hear", heard_from_now),
+        ("_settle", lambda budget, name, boot, ask: budget.out.pop((name, boot), None)),
+        (
+            "gone",
+            lambda budget, now: (
+                sum(max(one.amount for one in outs) for outs in budget.out.values() if outs)
+                if now < 3.0
+                else 0.0
+            ),
+        ),
+    ],
+)
+def test_the_search_finds_a_core_that_is_broken_on_purpose(
+    monkeypatch: pytest.MonkeyPatch, what: str, broken_by: object
+) -> None:
     monkeypatch.setattr(Budget, what, broken_by)
     assert search(2, 8, 150_000)[2]
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -20,17 +20,20 @@
     return path
 
 
-@pytest.mark.parametrize("change, fault", [
-    (("version = 1", "version = 2"), "version: must be 1, not 2"),
-    (('listen = "127.0.0.1:7946"\n', ""), "links.listen: is missing"),
-    (("7946", "79460"), "links.listen: '127.0.0.1:79460' has no such port"),
-    (('["127.0.0.1:7947"]', '["nowhere"]'), "links.seeds.0: "),
-    (('["127.0.0.1:7947"]', "[]\nperiod_ms = 5"), "links.period_ms: "),
-    (('"key"', '"none"'), "links.key_file: cannot read"),
-    (('"key"', '"key"\nold_key_file = "key"'), "links.old_key_file: holds the same key"),
-    (("[links]", "[more]\n[links]"), "more: unknown key"),
-    (("[links]", "[share]\nhealthy = true\n[links]"), "share.healthy: unknown key"),
-])
+@pytest.mark.parametrize(
+    "change, fault",
+    [
+        (("version = 1", "version = 2"), "version: must be 1, not 2"),
+        (('listen = "127.0.0.1:7946"\n', ""), "links.listen: is missing"),
+        (("7946", "79460"), "links.listen: '127.0.0.1:79460' has no such port"),
+        (('["127.0.0.1:7947"]', '["nowhere"]'), "links.seeds.0: "),
+        (('["127.0.0.1:7947"]', "[]\nperiod_ms = 5"), "links.period_ms: "),
+        (('"key"', '"none"'), "links.key_file: cannot read"),
+        (('"key"', '"key"\nold_key_file = "key"'), "links.old_key_file: holds the same key"),
+        (("[links]", "[more]\n[links]"), "more: unknown key"),
+        (("[links]", "[share]\nhealthy = true\n[links]"), "share.healthy: unknown key"),
+    ],
+)
 def test_faults_name_their_key(tmp_path: Path, change: tuple[str, str], fault: str) -> None:
     with pytest.raises(BadFleet) as caught:
         parse(GOOD.replace(*change), folder(tmp_path))
@@ -49,14 +52,23 @@
     file = tmp_path / "fleet.toml"
     file.write_text((ROOT / "deploy" / "fleet.toml").read_text())
     assert load(file).links.period_ms == 200
-    good, bad = [subprocess.run([sys.executable, "-m", "snowwick", "fleet", "check", str(one)], cwd=ROOT,
-                                capture_output=True, text=True) for one in (file, tmp_path / "none")]
+    good, bad = [
+        subprocess.run(
+            [sys.executable, "-m", "snowwick", "fleet", "check", str(one)],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+        )
+        for one in (file, tmp_path / "none")
+    ]
     assert good.returncode == 0 and "2 seeds, 1 keys" in good.stdout
     assert bad.returncode == 2 and "cannot read" in bad.stderr
 
 
 def test_without_a_file_nothing_of_the_fleet_is_loaded() -> None:
-    words = "import sys, snowwick.__main__, snowwick.net.service; " \
-            "print([m for m in sys.modules if 'fleet' in m or 'msgspec' in m or 'snowwick.lab' in m])"
+    words = (
+        "import sys, snowwick.__main__, snowwick.net.service; "
+        "print([m for m in sys.modules if 'fleet' in m or 'msgspec' in m or 'snowwick.lab' in m])"
+    )
     said = subprocess.run([sys.executable, "-c", words], cwd=ROOT, capture_output=True, text=True)
     assert said.stdout.strip() == "[]", said.stderr
--- a/tests/test_fleet_net.py
+++ b/tests/test_fleet_net.py
@@ -169,6 +169,7 @@
         assert fleet.joined()
         assert not any(fleet.status(n)["dropped"].get("digest") for n in range(2))
 
+
 CONTRACTS = """
 version = 1
 [fleet]
@@ -213,11 +214,13 @@
 def test_of_two_contracts_the_stricter_limit_holds_at_both(tmp_path: Path) -> None:
     with Fleet(tmp_path, 2, nodes=1, contracts=CONTRACTS) as fleet:
         (fleet.balancers[1].folder / "contracts.toml").write_text(
-            CONTRACTS.replace("connections = 20", "connections = 8"))
+            CONTRACTS.replace("connections = 20", "connections = 8")
+        )
         fleet.start()
         fleet.until(lambda: fleet.joined() and all("other contracts" in one.log for one in fleet.balancers))
-        fleet.until(lambda: sum(fleet.status(n)["rights"].get("fleet.connections", 99.0)
-                                for n in range(2)) <= 8.0)
+        fleet.until(
+            lambda: sum(fleet.status(n)["rights"].get("fleet.connections", 99.0) for n in range(2)) <= 8.0
+        )
         for n in range(30):
             fleet.ask(n % 2)
             fleet.turn(0.05)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -32,8 +32,14 @@
     (folder / "KNOWN-RED.txt").write_text(listed)
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     environment = {**os.environ, "PYTHONPATH": str(Path(__file__).parent)}
-    return subprocess.run([sys.executable, "-m", "pytest", "-p", "known_red", "-p", "no:cacheprovider",
-                           *words], cwd=folder, env=environment, text=True, capture_output=True, timeout=60.0)
+    return subprocess.run(
+        [sys.executable, "-m", "pytest", "-p", "known_red", "-p", "no:cacheprovider", *words],
+        cwd=folder,
+        env=environment,
+        text=True,
+        capture_output=True,
+        timeout=60.0,
+    )
 
 
 BAD = "tests/test_some.py::test_bad" + CAUSE
@@ -47,15 +53,23 @@
     assert "2 passed, 2 xfailed" in done.stdout
 
 
-@pytest.mark.parametrize("listed,words,said", [
-    (BAD, (), "1 failed"),  # what is not listed fails as ever
-    (BAD + EACH + "tests/test_some.py::test_gone" + CAUSE, (), "no such test: tests/test_some.py::test_gone"),
-    (BAD + EACH + "tests/test_other.py::test_gone" + CAUSE, (), "no such test"),
-    (BAD + EACH + "tests/test_some.py::test_each" + CAUSE, ("tests/test_some.py",), "no such test"),
-    (BAD + EACH + EACH.replace("2", "1") + EACH.replace("2", "3"), (), "names 4 tests"),
-    (BAD + EACH + BAD, (), "twice"),
-    ("tests/test_some.py::test_bad\n", (), "not TEST | CAUSE | ISSUE"),
-], ids=["not listed", "no test", "no file", "no such parameter", "a fourth", "twice", "without a cause"])
+@pytest.mark.parametrize(
+    "listed,words,said",
+    [
+        (BAD, (), "1 failed"),  # what is not listed fails as ever
+        (
+            BAD + EACH + "tests/test_some.py::test_gone" + CAUSE,
+            (),
+            "no such test: tests/test_some.py::test_gone",
+        ),
+        (BAD + EACH + "tests/test_other.py::test_gone" + CAUSE, (), "no such test"),
+        (BAD + EACH + "tests/test_some.py::test_each" + CAUSE, ("tests/test_some.py",), "no such test"),
+        (BAD + EACH + EACH.replace("2", "1") + EACH.replace("2", "3"), (), "names 4 tests"),
+        (BAD + EACH + BAD, (), "twice"),
+        ("tests/test_some.py::test_bad\n", (), "not TEST | CAUSE | ISSUE"),
+    ],
+    ids=["not listed", "no test", "no file", "no such parameter", "a fourth", "twice", "without a cause"],
+)
 def test_nothing_else_is_passed_over(tmp_path: Path, listed: str, words: tuple[str, ...], said: str) -> None:
     done = play(tmp_path, listed, *words)
     assert done.returncode != 0 and said in done.stdout + done.stderr
