--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -25,10 +25,13 @@
     c1 send OPEN 1 k1 d=1200,c=feed,t=n,g=g1
     d1 expect OPEN 1 k1 d=*,c=feed,t=n,g=g1
 """
-UP = OPEN + """
+UP = (
+    OPEN
+    + """
     d1 send UP r1
     c1 expect UP r1
 """
+)
 
 
 @pytest.fixture
@@ -38,62 +41,102 @@
     one.close()
 
 
-@pytest.mark.parametrize("scenario", [
-    pytest.param("c1 send PING\nc1 expect PONG\nc1 send PING\nc1 expect PONG", id="ping"),
-    pytest.param("c1 send STATS\nc1 expect NO", id="stats are not for clients"),
-    pytest.param("c1 send OPEN x\nc1 expect ERR\nc1 end", id="too few words"),
-    pytest.param("c1 send OPEN 1 k d=abc\nc1 expect ERR\nc1 end", id="wait that is no number"),
-    pytest.param("c1 send \xff\xfe\nc1 expect ERR\nc1 end", id="not ASCII"),
-    pytest.param("c1 raw 'x' * 9000\nc1 expect ERR\nc1 end", id="line without an end in sight"),
-    pytest.param("c1 send OPEN 1 k1 d=9,c=feed,t=n,at=s-9\nc1 expect ERR\nc1 end", id="kept at nobody's"),
-    pytest.param("c1 send OPEN 1 k1 d=1200,c=feed,t=n,at=s-1\nd1 expect OPEN 1 k1 d=*,c=feed,t=n,at=s-1\n"
-                 "d1 send UP r\nc1 expect UP r\nd1 send LOAD 5\nc1 expect LOAD 5", id="kept connection"),
-    pytest.param(UP + "c1 send M 1\nd1 expect M 1\nd1 send M 1\nc1 expect M 1", id="lines pass both ways"),
-    pytest.param(UP + "d1 send BYE\nd1 close\nc1 expect BYE\nc1 end", id="served to its end"),
-    pytest.param(UP + "c1 close\nd1 end", id="client ends"),
-    pytest.param(UP + "c1 reset\nd1 end", id="client resets"),
-    pytest.param(UP + "d1 reset\nc1 end", id="destination resets"),
-    pytest.param(OPEN + "c1 close\nd1 end", id="client leaves before its answer"),
-    pytest.param(OPEN + "d1 send LOAD 7\nd1 send UP r\nc1 expect UP r", id="load before up"),
-    pytest.param(OPEN + "d1 reset\nd2 expect OPEN 1 k1 d=*,c=feed,t=n,g=g1\nd2 send UP r2\nc1 expect UP r2",
-                 id="reset is tried again"),
-    pytest.param(OPEN + "wait 610\nd1 end\nd2 expect OPEN 1 k1 d=*\nc1 quiet\nwait 575\n"
-                 "c1 expect BUSY *\nc1 end\nd2 end",
-                 id="hung destination: attempt given up, one answer in time"),
-    pytest.param(UP + "c1 raw 'x' * 9000\nc1 expect ERR\nc1 end\nd1 end", id="line too long from a client"),
-    pytest.param(UP + "d1 raw 'x' * 9000\nc1 expect MOVE\nc1 end\nd1 end",
-                 id="line too long from a destination"),
-])
+@pytest.mark.parametrize(
+    "scenario",
+    [
+        pytest.param("c1 send PING\nc1 expect PONG\nc1 send PING\nc1 expect PONG", id="ping"),
+        pytest.param("c1 send STATS\nc1 expect NO", id="stats are not for clients"),
+        pytest.param("c1 send OPEN x\nc1 expect ERR\nc1 end", id="too few words"),
+        pytest.param("c1 send OPEN 1 k d=abc\nc1 expect ERR\nc1 end", id="wait that is no number"),
+        pytest.param("c1 send \xff\xfe\nc1 expect ERR\nc1 end", id="not ASCII"),
+        pytest.param("c1 raw 'x' * 9000\nc1 expect ERR\nc1 end", id="line without an end in sight"),
+        pytest.param("c1 send OPEN 1 k1 d=9,c=feed,t=n,at=s-9\nc1 expect ERR\nc1 end", id="kept at nobody's"),
+        pytest.param(
+            "c1 send OPEN 1 k1 d=1200,c=feed,t=n,at=s-1\nd1 expect OPEN 1 k1 d=*,c=feed,t=n,at=s-1\n"
+            "d1 send UP r\nc1 expect UP r\nd1 send LOAD 5\nc1 expect LOAD 5",
+            id="kept connection",
+        ),
+        pytest.param(
+            UP + "c1 send M 1\nd1 expect M 1\nd1 send M 1\nc1 expect M 1", id="lines pass both ways"
+        ),
+        pytest.param(UP + "d1 send BYE\nd1 close\nc1 expect BYE\nc1 end", id="served to its end"),
+        pytest.param(UP + "c1 close\nd1 end", id="client ends"),
+        pytest.param(UP + "c1 reset\nd1 end", id="client resets"),
+        pytest.param(UP + "d1 reset\nc1 end", id="destination resets"),
+        pytest.param(OPEN + "c1 close\nd1 end", id="client leaves before its answer"),
+        pytest.param(OPEN + "d1 send LOAD 7\nd1 send UP r\nc1 expect UP r", id="load before up"),
+        pytest.param(
+            OPEN + "d1 reset\nd2 expect OPEN 1 k1 d=*,c=feed,t=n,g=g1\nd2 send UP r2\nc1 expect UP r2",
+            id="reset is tried again",
+        ),
+        pytest.param(
+            OPEN + "wait 610\nd1 end\nd2 expect OPEN 1 k1 d=*\nc1 quiet\nwait 575\n"
+            "c1 expect BUSY *\nc1 end\nd2 end",
+            id="hung destination: attempt given up, one answer in time",
+        ),
+        pytest.param(
+            UP + "c1 raw 'x' * 9000\nc1 expect ERR\nc1 end\nd1 end", id="line too long from a client"
+        ),
+        pytest.param(
+            UP + "d1 raw 'x' * 9000\nc1 expect MOVE\nc1 end\nd1 end", id="line too long from a destination"
+        ),
+    ],
+)
 def test_scenario(world: World, scenario: str) -> None:
     world.play(scenario)
 
 
-@pytest.mark.parametrize("line", [
-    "OPEN 1 k1", "OPEN  k1 d=1200,c=feed,t=n", "OPEN 1 k1 d=1200,c=feed2,t=n", "OPEN 1 k1 d=1200,t=n",
-    "OPEN 1 k1 d=1200,c=feed,t=west", "OPEN 1 k1 d=1200,c=feed", "OPEN 1 k1 c=feed,t=n",
-    "OPEN 1 k1 d=-5,c=feed,t=n", "OPEN 1 k1 d=999999999,c=feed,t=n", "OPEN 1 k1 d=,c=feed,t=n",
-    "OPEN 1 k1 d=1200,c=feed,t=n,h=-1", "OPEN 1 k1 d=1200,c=feed,t=n,r=yes",
-    "OPEN 1 k1 d=1200,d=1200,c=feed,t=n", "OPEN 1 k1 d=1200,c=feed,t=n,=4",
-    f"OPEN {'9' * 200} k1 d=1200,c=feed,t=n", f"OPEN 1 k1 d=1200,c=feed,t=n,g={'9' * 200}",
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "OPEN 1 k1",
+        "OPEN  k1 d=1200,c=feed,t=n",
+        "OPEN 1 k1 d=1200,c=feed2,t=n",
+        "OPEN 1 k1 d=1200,t=n",
+        "OPEN 1 k1 d=1200,c=feed,t=west",
+        "OPEN 1 k1 d=1200,c=feed",
+        "OPEN 1 k1 c=feed,t=n",
+        "OPEN 1 k1 d=-5,c=feed,t=n",
+        "OPEN 1 k1 d=999999999,c=feed,t=n",
+        "OPEN 1 k1 d=,c=feed,t=n",
+        "OPEN 1 k1 d=1200,c=feed,t=n,h=-1",
+        "OPEN 1 k1 d=1200,c=feed,t=n,r=yes",
+        "OPEN 1 k1 d=1200,d=1200,c=feed,t=n",
+        "OPEN 1 k1 d=1200,c=feed,t=n,=4",
+        f"OPEN {'9' * 200} k1 d=1200,c=feed,t=n",
+        f"OPEN 1 k1 d=1200,c=feed,t=n,g={'9' * 200}",
+    ],
+)
 def test_what_no_usual_client_sends_ends_at_the_balancer(world: World, line: str) -> None:
     """Destinations turned such openings away, were tried one after another and seemed to be in trouble."""
     world.play(f"c1 send {line}\nc1 expect ERR\nc1 end")
     assert not world.arrived
 
 
-@pytest.mark.parametrize("scenario", [
-    pytest.param(UP + "c2 send OPEN 1 k2 d=1200,c=feed,t=n\nc2 expect ERR\nc2 end\nc1 quiet\nc1 close\n"
-                      "d1 end\nd1 close\nc3 send OPEN 1 k2 d=1200,c=feed,t=n\nd2 expect OPEN 1 k2 *",
-                 id="an id is one client's as long as it is open"),
-    pytest.param(OPEN + "c1 send M 1\nc1 expect ERR\nc1 end\nd1 end", id="sent before its answer"),
-    pytest.param("c1 raw 'OPEN 1 k1 d=1200,c=feed,t=n\\r\\n' * 300\nc1 expect ERR\nc1 end",
-                 id="hundreds at once"),
-    pytest.param("c1 raw 'x' * 5_000_000\nc1 expect ERR\nc1 end", id="five million bytes, then the answer"),
-    pytest.param("c1 send PING\nc1 expect PONG\nwait 1500\nc1 send PING\nc1 expect PONG\nwait 600\nc1 end",
-                 id="asking does not keep a front socket"),
-    pytest.param("c1 part OPEN 1 k1\nwait 1990\nc1 quiet\nwait 20\nc1 expect ERR\nc1 end", id="half a line"),
-])
+@pytest.mark.parametrize(
+    "scenario",
+    [
+        pytest.param(
+            UP + "c2 send OPEN 1 k2 d=1200,c=feed,t=n\nc2 expect ERR\nc2 end\nc1 quiet\nc1 close\n"
+            "d1 end\nd1 close\nc3 send OPEN 1 k2 d=1200,c=feed,t=n\nd2 expect OPEN 1 k2 *",
+            id="an id is one client's as long as it is open",
+        ),
+        pytest.param(OPEN + "c1 send M 1\nc1 expect ERR\nc1 end\nd1 end", id="sent before its answer"),
+        pytest.param(
+            "c1 raw 'OPEN 1 k1 d=1200,c=feed,t=n\\r\\n' * 300\nc1 expect ERR\nc1 end", id="hundreds at once"
+        ),
+        pytest.param(
+            "c1 raw 'x' * 5_000_000\nc1 expect ERR\nc1 end", id="five million bytes, then the answer"
+        ),
+        pytest.param(
+            "c1 send PING\nc1 expect PONG\nwait 1500\nc1 send PING\nc1 expect PONG\nwait 600\nc1 end",
+            id="asking does not keep a front socket",
+        ),
+        pytest.param(
+            "c1 part OPEN 1 k1\nwait 1990\nc1 quiet\nwait 20\nc1 expect ERR\nc1 end", id="half a line"
+        ),
+    ],
+)
 def test_bad_client_has_its_answer_in_time(world: World, scenario: str) -> None:
     """Three seconds from connecting are owed, and an answer that a reset overtakes is none."""
     world.play(scenario)
@@ -124,14 +167,17 @@
 def test_silent_destination_loses_its_client_within_seven_seconds(world: World) -> None:
     """A machine that vanished leaves its connections open: they must end even if no decision ends them."""
     world.service.gauge.tell = lambda _: None
-    world.play(UP + "c1 send M 1\nd1 expect M 1\nwait 5400\nc1 quiet\nwait 200\n"
-                    "c1 expect MOVE\nc1 end\nd1 end")
+    world.play(
+        UP + "c1 send M 1\nd1 expect M 1\nwait 5400\nc1 quiet\nwait 200\nc1 expect MOVE\nc1 end\nd1 end"
+    )
 
 
 def test_opening_line_passes_on_but_for_its_wait(world: World) -> None:
     """Destinations answer SYNTAX to a line in a form that no client sent, and that voids a run."""
-    world.play("c1 send OPEN 9b k=d=7 y=d,d=1200,r=1,c=feed,t=n,x=d=5,h=0.5\n"
-               "d1 expect OPEN 9b k=d=7 y=d,d=[0-9]*,r=1,c=feed,t=n,x=d=5,h=0.5")
+    world.play(
+        "c1 send OPEN 9b k=d=7 y=d,d=1200,r=1,c=feed,t=n,x=d=5,h=0.5\n"
+        "d1 expect OPEN 9b k=d=7 y=d,d=[0-9]*,r=1,c=feed,t=n,x=d=5,h=0.5"
+    )
 
 
 def test_end_waits_for_no_client_and_leaves_none_without_move(world: World) -> None:
@@ -167,11 +213,18 @@
 def test_descriptors_run_short_and_come_back() -> None:
     """Beyond the limit accept fails: who comes then is told to come again, and the loop does not spin."""
     world = World(limits={"sockets": 64})
-    world.play("".join(f"c{n} send OPEN {n} k{n} d=1200,c=feed,t=n\nd{n} expect OPEN *\nd{n} send UP r\n"
-                       f"c{n} expect UP r\n" for n in range(1, 23)))
-    world.play("c23 send OPEN 23 k d=1200,c=feed,t=n\nc23 expect BUSY *\nc23 end\nc23 close\n"
-               "c1 close\nd1 end\nd1 close\nwait 600\nc24 send OPEN 24 k d=1200,c=feed,t=n\n"
-               "d23 expect OPEN *")
+    world.play(
+        "".join(
+            f"c{n} send OPEN {n} k{n} d=1200,c=feed,t=n\nd{n} expect OPEN *\nd{n} send UP r\n"
+            f"c{n} expect UP r\n"
+            for n in range(1, 23)
+        )
+    )
+    world.play(
+        "c23 send OPEN 23 k d=1200,c=feed,t=n\nc23 expect BUSY *\nc23 end\nc23 close\n"
+        "c1 close\nd1 end\nd1 close\nwait 600\nc24 send OPEN 24 k d=1200,c=feed,t=n\n"
+        "d23 expect OPEN *"
+    )
     world.close()
 
 
@@ -188,8 +241,10 @@
 
 def test_step_without_a_descriptor_is_a_failed_connect(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """The failing socket() once took the client's answer with it."""
+
     def none_left(*_: object) -> None:
         raise OSError(errno.EMFILE, "too many open files")
+
     world.play("c1 send PING\nc1 expect PONG")
     monkeypatch.setattr("snowwick.net.destination.prepare", none_left)
     world.play("c1 send OPEN 1 k1 d=1200,c=feed,t=n\nwait 1130\nc1 expect BUSY *\nc1 end")
@@ -223,7 +278,8 @@
 
 
 def test_fault_of_the_module_answers_its_client_at_once_and_keeps_its_timers(
-        world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     balancer = world.service.decider.balancer
     with monkeypatch.context() as patched:
         patched.setattr(balancer, "_choose", lambda flow: 1 / 0)
@@ -236,8 +292,9 @@
     assert next(looks) == 1 and not balancer.flows, "the monitor looks on, and nothing is left of the request"
 
 
-@pytest.mark.parametrize("answer,elapsed", [("d1 send PONG", 7.0), ("d1 send ERR", -1.0), ("d1 close", -1.0),
-                                            ("wait 300", -1.0)])
+@pytest.mark.parametrize(
+    "answer,elapsed", [("d1 send PONG", 7.0), ("d1 send ERR", -1.0), ("d1 close", -1.0), ("wait 300", -1.0)]
+)
 def test_probe_is_timed_and_closed_whatever_comes_back(world: World, answer: str, elapsed: float) -> None:
     heard: list[object] = []
     decider = world.service.decider
@@ -264,7 +321,7 @@
     def push() -> None:
         nonlocal left
         with contextlib.suppress(BlockingIOError):
-            left = left[destination.send(left):]
+            left = left[destination.send(left) :]
         world.loop.turn(0)
 
     for _ in range(400):
@@ -276,6 +333,7 @@
         with contextlib.suppress(BlockingIOError):
             read.extend(client.recv(1 << 20))
         return len(read) >= len(stream)
+
     world.until(drained)
     assert bytes(read) == stream
 
@@ -302,8 +360,12 @@
 def test_entry_that_cannot_be_read_does_not_hide_the_others(world: World) -> None:
     """One server in a state unknown here would have failed every call from then on."""
     told = news(world)
-    rows = [{**world.server("s-3", world.servers), "state": "warming"}, {"id": "s-4"}, 5,
-            world.server("s-5", world.servers)]
+    rows = [
+        {**world.server("s-3", world.servers), "state": "warming"},
+        {"id": "s-4"},
+        5,
+        world.server("s-5", world.servers),
+    ]
     spoilt = json.dumps({"version": 2, "full": False, "servers": rows})
     world.play(f"pool {spoilt}")
     assert [one.kind.value for one in told] == ["failed"] and world.service.pool.config.version == 1
@@ -402,9 +464,16 @@
     return text
 
 
-@pytest.mark.parametrize("body", [
-    '{"version":9,"full":true,"servers":[', "[" * 100_000, '{"version":1e999,"servers":[]}',
-    '{"version":9,"full":true,"servers":[]}' * 2, "\x00" * 50])
+@pytest.mark.parametrize(
+    "body",
+    [
+        '{"version":9,"full":true,"servers":[',
+        "[" * 100_000,
+        '{"version":1e999,"servers":[]}',
+        '{"version":9,"full":true,"servers":[]}' * 2,
+        "\x00" * 50,
+    ],
+)
 def test_cut_or_spoilt_body_is_a_failed_call_and_the_next_one_counts(world: World, body: str) -> None:
     """A body nested without end ended the watch by a fault: nobody asked discovery again."""
     told = news(world)
@@ -421,10 +490,20 @@
     assert [one.kind.value for one in told] == ["failed"] and world.service.pool.config.version == 1
 
 
-@pytest.mark.parametrize("change", [{"weight": math.nan}, {"weight": math.inf}, {"started_ms": -math.inf},
-                                    {"cell": math.inf}, {"addr": "nowhere"}, {"id": None}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"weight": math.nan},
+        {"weight": math.inf},
+        {"started_ms": -math.inf},
+        {"cell": math.inf},
+        {"addr": "nowhere"},
+        {"id": None},
+    ],
+)
 def test_figure_that_cannot_be_reckoned_with_leaves_its_entry_out(
-        world: World, change: dict[str, Any]) -> None:
+    world: World, change: dict[str, Any]
+) -> None:
     """NaN as a weight made every ranking that held it arbitrary."""
     told = news(world)
     rows = [world.server("s-1", world.servers), {**world.server("s-2", world.servers), **change}]
@@ -477,10 +556,14 @@
     old = world.servers
     world.play(UP)
     world.servers = listener()
-    world.play("wait 800\npool " + listing(world, 2, "s-1", "s-2").replace(
-        '"id"', '"started_ms": 1000, "id"') + "\nc1 send M 1\nd1 expect M 1")
-    world.play("c2 send OPEN 2 k2 d=1200,c=feed,t=n\nd2 expect OPEN 2 *\nd2 send UP r\nc2 expect UP r\n"
-               "c1 quiet")
+    world.play(
+        "wait 800\npool "
+        + listing(world, 2, "s-1", "s-2").replace('"id"', '"started_ms": 1000, "id"')
+        + "\nc1 send M 1\nd1 expect M 1"
+    )
+    world.play(
+        "c2 send OPEN 2 k2 d=1200,c=feed,t=n\nd2 expect OPEN 2 *\nd2 send UP r\nc2 expect UP r\nc1 quiet"
+    )
     old.close()
 
 
@@ -521,7 +604,7 @@
     meters[0].answered(9.9)
     assert not is_silent(answers, 10.2)
     meters[0].sent(10.0, 1)
-    meters[0].sent(10.0, 10 ** 9)
+    meters[0].sent(10.0, 10**9)
     assert is_silent(answers, 11.6) and len(meters[0].asked) == MOST_KEPT
 
     told: list[object] = []
@@ -569,32 +652,48 @@
     world.play(UP)
     told: list[object] = []
     world.service.gauge.tell = told.append
-    world.play("wait 500\nc1 send M 1\nd1 expect M 1\nwait 600\nwait 1000\nd1 send M 1\nc1 expect M 1\n"
-               "wait 1000\nc1 send M 2\nd1 expect M 2\nd1 send M 2\nc1 expect M 2\nwait 950\nwait 1000")
+    world.play(
+        "wait 500\nc1 send M 1\nd1 expect M 1\nwait 600\nwait 1000\nd1 send M 1\nc1 expect M 1\n"
+        "wait 1000\nc1 send M 2\nd1 expect M 2\nd1 send M 2\nc1 expect M 2\nwait 950\nwait 1000"
+    )
     assert [round(m.delay) for m in told if isinstance(m, Slow)] == [600, 1600, 0] and len(told) == 3
 
 
-REPORTS: dict[str, Any] = {"report": {"how": "on_probe", "fields": ["q", "rate", "x0"]},
-           "familyInfo": {"reportX0": "load asked of the server over what it can do"}}
-
-
-@pytest.mark.parametrize("answer,elapsed,load", [
-    ("d1 send PONG queue=2,qps=1.5,x0=0.61", 7.0, 0.61),
-    ("d1 send PONG\nd1 send queue=2,x0=0.61", 7.0, 0.61),
-    ("d1 send PONG x0=1e-2,other=3", 7.0, 0.01), ("d1 send PONG queue=2", 7.0, -1.0),
-    ("d1 send PONG x0=-0.5", 7.0, -1.0), ("d1 send PONG x0=inf", 7.0, -1.0),
-    ("d1 send PONG x0=nan", 7.0, -1.0),
-    ("d1 send PONG x0=0.5,x0=0.1", 7.0, -1.0), ("d1 send PONG x0=0.5,", 7.0, -1.0),
-    ("d1 raw 'PONG x0=0.5,y=' + '1' * 600", 7.0, -1.0), ("d1 raw 'PONG ' + 'x' * 9000", -1.0, -1.0),
-    ("d1 send PONG\nd1 close", 7.0, -1.0), ("d1 send NO", -1.0, -1.0), ("d1 send ERR", -1.0, -1.0),
-    ("d1 close", -1.0, -1.0)])
+REPORTS: dict[str, Any] = {
+    "report": {"how": "on_probe", "fields": ["q", "rate", "x0"]},
+    "familyInfo": {"reportX0": "load asked of the server over what it can do"},
+}
+
+
+@pytest.mark.parametrize(
+    "answer,elapsed,load",
+    [
+        ("d1 send PONG queue=2,qps=1.5,x0=0.61", 7.0, 0.61),
+        ("d1 send PONG\nd1 send queue=2,x0=0.61", 7.0, 0.61),
+        ("d1 send PONG x0=1e-2,other=3", 7.0, 0.01),
+        ("d1 send PONG queue=2", 7.0, -1.0),
+        ("d1 send PONG x0=-0.5", 7.0, -1.0),
+        ("d1 send PONG x0=inf", 7.0, -1.0),
+        ("d1 send PONG x0=nan", 7.0, -1.0),
+        ("d1 send PONG x0=0.5,x0=0.1", 7.0, -1.0),
+        ("d1 send PONG x0=0.5,", 7.0, -1.0),
+        ("d1 raw 'PONG x0=0.5,y=' + '1' * 600", 7.0, -1.0),
+        ("d1 raw 'PONG ' + 'x' * 9000", -1.0, -1.0),
+        ("d1 send PONG\nd1 close", 7.0, -1.0),
+        ("d1 send NO", -1.0, -1.0),
+        ("d1 send ERR", -1.0, -1.0),
+        ("d1 close", -1.0, -1.0),
+    ],
+)
 def test_load_report_is_read_strictly_and_whatever_else_comes_tells_nothing(
-        answer: str, elapsed: float, load: float) -> None:
+    answer: str, elapsed: float, load: float
+) -> None:
     world = World(settings={**SETTINGS, **REPORTS})
     heard: list[Probed] = []
     post = world.service.decider.post
     world.service.decider.post = lambda message: (  # type: ignore[method-assign]
-        heard.append(message) if isinstance(message, Probed) else post(message))
+        heard.append(message) if isinstance(message, Probed) else post(message)
+    )
     world.service.probe(number_of("s-1"), world.service.decider)
     world.play("d1 expect STATS")
     world.clock.now += 0.007
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -46,8 +46,8 @@
     place(bench, 2, "g")
     fresh = Bench(backends=89)
     place(fresh, 1, "g")
-    cached, = bench.balancer.groups.values()
-    new, = fresh.balancer.groups.values()
+    (cached,) = bench.balancer.groups.values()
+    (new,) = fresh.balancer.groups.values()
     assert cached.head == new.head and len(new.head) == HEAD
 
 
@@ -288,9 +288,20 @@
 @pytest.mark.parametrize("balancers", [1, 2, 10, 40])
 def test_fleet_leaves_a_fresh_backend_neither_empty_nor_overrun(balancers: int) -> None:
     """Turns by balancer left it empty: whose turn it was often had nobody to send."""
-    fleet = [Bench(seed=n, backends=9, balancers=balancers, index=n, cold_time=8800.0, cold_from=0.3,
-                   fall_multiple=3.0, overload_for=3000.0, tenants=(i.Tenant("t", 450.0),))
-             for n in range(balancers)]
+    fleet = [
+        Bench(
+            seed=n,
+            backends=9,
+            balancers=balancers,
+            index=n,
+            cold_time=8800.0,
+            cold_from=0.3,
+            fall_multiple=3.0,
+            overload_for=3000.0,
+            tenants=(i.Tenant("t", 450.0),),
+        )
+        for n in range(balancers)
+    ]
     sent = {"old": 0, "early": 0, "late": 0}
     for n in range(1000):
         bench = fleet[n % balancers]
@@ -309,8 +320,9 @@
 
 def test_backend_that_started_since_gets_the_clients_that_the_hash_gives_it() -> None:
     """New backends stood empty beside full ones for half a minute: nobody was moved to them."""
-    bench = Bench(backends=9, cold_time=8800.0, cold_from=0.3, fall_multiple=3.0,
-                  tenants=(i.Tenant("t", 4500.0),))  # far from crowded: no other moves
+    bench = Bench(
+        backends=9, cold_time=8800.0, cold_from=0.3, fall_multiple=3.0, tenants=(i.Tenant("t", 4500.0),)
+    )  # far from crowded: no other moves
     for n in range(200):
         bench.stand(sends(bench.ask(n, f"g{n * 7 % 13}"))[0])
     bench.run(bench.now + 5000.0)
@@ -345,8 +357,14 @@
 
 def test_what_cold_backends_cannot_take_yet_is_poured_evenly_over_the_others() -> None:
     """It went to the next in each group's ranking, whoever else did: 1.21 of one's capacity beside 0.45."""
-    bench = Bench(backends=4, balancers=40, cold_time=8800.0, cold_from=0.3, fall_multiple=3.0,
-                  tenants=(i.Tenant("t", 450.0),))
+    bench = Bench(
+        backends=4,
+        balancers=40,
+        cold_time=8800.0,
+        cold_from=0.3,
+        fall_multiple=3.0,
+        tenants=(i.Tenant("t", 450.0),),
+    )
     bench.put(i.ListUpdate(i.ListKind.CHANGES, ready(*range(5, 10), started=bench.now)))
     for n in range(130):  # seen before, so that the plan knows them
         bench.balancer._make(i.Request(9000 + n, "feed", 1000.0, "", f"g{n % 13}"), 0.0)
@@ -459,10 +477,15 @@
 
 def test_another_zone_is_crossed_only_for_clearly_more_room() -> None:
     bench = Bench(backends=0, loads=True, probes=True, zone="east")
-    bench.put(i.ListUpdate(i.ListKind.FULL, [i.BackendEntry(1, i.State.READY, "east"),
-                                             i.BackendEntry(2, i.State.READY, "west")]))
+    bench.put(
+        i.ListUpdate(
+            i.ListKind.FULL,
+            [i.BackendEntry(1, i.State.READY, "east"), i.BackendEntry(2, i.State.READY, "west")],
+        )
+    )
     reported(bench, {1: 0.3, 2: 0.3 - SPLIT - ACROSS / 2 + 0.1})
     keys = [f"g{n}" for n in range(40)]
+
     def placed(first: int) -> list[int]:
         """Each alone: none of the others stands there."""
         sends = []
@@ -534,8 +557,12 @@
     asked = [a.backend for a in bench.ask(1) if isinstance(a, i.Probe)]
     rounds = 1
     while not bench.all(i.Send):
-        probes = [a.backend for n in asked for a in bench.put(i.Probed(n, 2.0, 0.9 if rounds < 3 else 0.2))
-                  if isinstance(a, i.Probe)]
+        probes = [
+            a.backend
+            for n in asked
+            for a in bench.put(i.Probed(n, 2.0, 0.9 if rounds < 3 else 0.2))
+            if isinstance(a, i.Probe)
+        ]
         assert not set(probes) & set(asked)
         asked, rounds = probes, rounds + 1
     assert rounds == 4 and bench.balancer.backends[bench.all(i.Send)[0].backend].load == 0.2
@@ -545,8 +572,9 @@
     bench = Bench(loads=True, probes=True, backends=40)
     asked = [a for a in bench.ask(1) if isinstance(a, i.Probe)]
     while not bench.all(i.Send):
-        asked = [a for one in asked for a in bench.put(i.Probed(one.backend, 2.0, 0.9))
-                 if isinstance(a, i.Probe)]
+        asked = [
+            a for one in asked for a in bench.put(i.Probed(one.backend, 2.0, 0.9)) if isinstance(a, i.Probe)
+        ]
     assert len(bench.all(i.Probe)) <= 17
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -29,16 +29,24 @@
 class Process(subprocess.Popen[str]):
     """Ends with a test that fails: waiting for it, as the library does, would hold the whole run up."""
 
-    def __exit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         if kind is not None:
             self.kill()
         super().__exit__(kind, error, trace)
 
 
 def python(*words: str, **environment: str) -> Process:
-    return Process([sys.executable, *words], cwd=ROOT, text=True, env={**os.environ, **environment},
-                   stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+    return Process(
+        [sys.executable, *words],
+        cwd=ROOT,
+        text=True,
+        env={**os.environ, **environment},
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+    )
 
 
 def program(path: Path, command: str = "serve", **environment: str) -> Process:
@@ -79,20 +87,33 @@
         assert time.monotonic() - told < 1.9
 
 
-@pytest.mark.parametrize("change,key", [
-    ({"listen": None}, "listen"), ({"listen": "nowhere"}, "listen"), ({"discovery": "a:b"}, "discovery"),
-    ({"settings": None}, "settings"), ({"settings": {}}, "settings"), ({"settings": []}, "settings"),
-    ({"settings": {"classes": [{"name": "x"}]}}, "settings.*deadline"),
-    ({"settings": {"classes": [{"name": "x", "deadline": "soon"}]}}, "settings"),
-    ({"settings": {**SETTINGS, "familyInfo": 3}}, "settings"), ({"limits": 5}, "limits"),
-    ({"limits": {"sockets": "many"}}, "limits.sockets"), ({"seed": 1.5}, "seed"),
-    ({"known": {"version": 1}}, "known.servers"),
-    *[({"settings": {**SETTINGS, "nInstances": bad}}, "settings.nInstances: ")
-      for bad in (0, -1, "40", 2.5, True)],
-    *[({"settings": {**SETTINGS, "nInstances": 2, "selfIndex": bad}}, "settings.selfIndex: ")
-      for bad in (2, -1, "0", None)],
-    ({"name": 7}, "name"),
-])
+@pytest.mark.parametrize(
+    "change,key",
+    [
+        ({"listen": None}, "listen"),
+        ({"listen": "nowhere"}, "listen"),
+        ({"discovery": "a:b"}, "discovery"),
+        ({"settings": None}, "settings"),
+        ({"settings": {}}, "settings"),
+        ({"settings": []}, "settings"),
+        ({"settings": {"classes": [{"name": "x"}]}}, "settings.*deadline"),
+        ({"settings": {"classes": [{"name": "x", "deadline": "soon"}]}}, "settings"),
+        ({"settings": {**SETTINGS, "familyInfo": 3}}, "settings"),
+        ({"limits": 5}, "limits"),
+        ({"limits": {"sockets": "many"}}, "limits.sockets"),
+        ({"seed": 1.5}, "seed"),
+        ({"known": {"version": 1}}, "known.servers"),
+        *[
+            ({"settings": {**SETTINGS, "nInstances": bad}}, "settings.nInstances: ")
+            for bad in (0, -1, "40", 2.5, True)
+        ],
+        *[
+            ({"settings": {**SETTINGS, "nInstances": 2, "selfIndex": bad}}, "settings.selfIndex: ")
+            for bad in (2, -1, "0", None)
+        ],
+        ({"name": 7}, "name"),
+    ],
+)
 def test_bad_configuration_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(BadConfig, match=f"^{key}"):
         check({**GOOD, **change})
@@ -170,8 +191,12 @@
     path.write_text(json.dumps(GOOD))
     command = run.replace(".venv/bin/python", sys.executable)
     log = tmp_path / "log"
-    with log.open("w") as sink, subprocess.Popen(["/bin/sh", "-c", command], cwd=ROOT, stderr=sink,
-                                                 env={**os.environ, "GW_CONFIG": str(path)}) as process:
+    with (
+        log.open("w") as sink,
+        subprocess.Popen(
+            ["/bin/sh", "-c", command], cwd=ROOT, stderr=sink, env={**os.environ, "GW_CONFIG": str(path)}
+        ) as process,
+    ):
         try:
             end = time.monotonic() + 20.0
             while not ignores_hangup(process.pid):
@@ -188,9 +213,15 @@
     other.close()
 
 
-@pytest.mark.parametrize("text,fault", [
-    ("", "is not JSON"), (json.dumps(GOOD)[:-40], "is not JSON"), ("[]", "must hold an object"),
-    (json.dumps({"listen": "127.0.0.1:0"}), "settings")])
+@pytest.mark.parametrize(
+    "text,fault",
+    [
+        ("", "is not JSON"),
+        (json.dumps(GOOD)[:-40], "is not JSON"),
+        ("[]", "must hold an object"),
+        (json.dumps({"listen": "127.0.0.1:0"}), "settings"),
+    ],
+)
 def test_reload_of_a_faulty_file_changes_nothing_and_says_why(tmp_path: Path, text: str, fault: str) -> None:
     """A file that is being written when the signal comes is empty or cut short."""
     path, discovery = tmp_path / "config.json", listener()
@@ -256,8 +287,9 @@
 
 def test_example_serves_as_the_readme_says() -> None:
     with python("example/toy_server.py", "--discovery", "127.0.0.1:0") as toy:
-        with program(ROOT / "example" / "config.json", GW_LISTEN="127.0.0.1:0",
-                     GW_DISCOVERY=address_in(toy.stdout)) as process:
+        with program(
+            ROOT / "example" / "config.json", GW_LISTEN="127.0.0.1:0", GW_DISCOVERY=address_in(toy.stdout)
+        ) as process:
             with python("example/toy_client.py", address_in(process.stderr)) as client:
                 said, _ = client.communicate(timeout=60.0)
             process.terminate()
@@ -268,9 +300,12 @@
 
 def test_two_team_example_holds_the_smaller_one_to_its_contract() -> None:
     with python("example/toy_server.py", "--discovery", "127.0.0.1:0") as toy:
-        with program(ROOT / "example" / "two-teams.json", GW_LISTEN="127.0.0.1:0",
-                     SNOWWICK_CONTRACTS="example/contracts.toml",
-                     GW_DISCOVERY=address_in(toy.stdout)) as process:
+        with program(
+            ROOT / "example" / "two-teams.json",
+            GW_LISTEN="127.0.0.1:0",
+            SNOWWICK_CONTRACTS="example/contracts.toml",
+            GW_DISCOVERY=address_in(toy.stdout),
+        ) as process:
             where, said = address_in(process.stderr), []
             for tenant in ("depot", "retail", "retail", "depot"):
                 with python("example/toy_client.py", where, tenant) as client:
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -23,14 +23,17 @@
     def __init__(self, terms: Terms, balancers: int = 1, groups: int = 160, seed: int = 1) -> None:
         rng = random.Random(seed)
         self.places = [Place(n, 60.0 if n % 2 else 40.0, -1e9 if n < 8 else 100.0) for n in range(12)]
-        self.planners = [Planner(replace(terms, pace=terms.pace / balancers,
-                                         reception=terms.reception / balancers)) for _ in range(balancers)]
+        self.planners = [
+            Planner(replace(terms, pace=terms.pace / balancers, reception=terms.reception / balancers))
+            for _ in range(balancers)
+        ]
         self.standing: list[list[Standing]] = [[] for _ in self.planners]
         for group in range(groups):
             at, balancer = rng.randrange(8), rng.randrange(balancers)
             for n in range(rng.randint(1, 8)):
-                self.standing[balancer].append(Standing(
-                    group * 10 + n, f"c{group}.{n}", f"g{group}", at, rng.uniform(0.3, 1.7), 0.0))
+                self.standing[balancer].append(
+                    Standing(group * 10 + n, f"c{group}.{n}", f"g{group}", at, rng.uniform(0.3, 1.7), 0.0)
+                )
         self.moves: list[tuple[float, Move]] = []
 
     def all(self) -> list[Standing]:
@@ -45,8 +48,10 @@
                 moves = planner.plan(now, places or self.places, Book(self.standing[n]))
                 target = {move.number: move.target for move in moves}
                 self.moves += [(now, move) for move in moves]
-                self.standing[n] = [replace(one, destination=target[one.number], since=now)
-                                    if one.number in target else one for one in self.standing[n]]
+                self.standing[n] = [
+                    replace(one, destination=target[one.number], since=now) if one.number in target else one
+                    for one in self.standing[n]
+                ]
             if step % 10 == 9:
                 found.append(imbalance(self.places, self.all())[0])
         return found
@@ -100,6 +105,7 @@
 def test_who_has_been_moved_rests_and_a_group_waits_for_its_youngest() -> None:
     def rows(at: int, since: float = 0.0) -> list[Standing]:
         return [Standing(n, f"c{n}", f"g{n}", at, 1.0, since if n == 0 else 0.0) for n in range(40)]
+
     places = [Place(1, 50.0), Place(2, 50.0)]
     planner = Planner(Terms(pace=5.0, reception=50.0, least_age=0.0, rest=30.0))
     moved = {move.client for move in planner.plan(100.0, places, Book(rows(1)))}
@@ -107,8 +113,12 @@
     assert not moved & {move.client for move in planner.plan(110.0, places, Book(rows(2)))}
     later = {move.client for t in range(12) for move in planner.plan(131.0 + t, places, Book(rows(2)))}
     assert moved <= later
-    pair = [Standing(1, "a", "g", 1, 1.0, 0.0), Standing(2, "b", "g", 1, 1.0, 99.0),
-            Standing(3, "c", "h", 1, 1.0, 0.0), Standing(4, "d", "i", 1, 1.0, 0.0)]
+    pair = [
+        Standing(1, "a", "g", 1, 1.0, 0.0),
+        Standing(2, "b", "g", 1, 1.0, 99.0),
+        Standing(3, "c", "h", 1, 1.0, 0.0),
+        Standing(4, "d", "i", 1, 1.0, 0.0),
+    ]
     assert {move.client for move in Planner(Terms(pace=9.0)).plan(100.0, places, Book(pair))} <= {"c", "d"}
 
 
@@ -125,7 +135,9 @@
     rows += [Standing(10 + n, f"d{n}", f"h{n}", 0, 1.0, 0.0) for n in range(4)]
     moves = Planner(Terms(pace=2.0)).plan(100.0, places, Book(rows))
     assert {(move.client, move.target, move.reason) for move in moves} >= {
-        ("c0", 1, "joins its group"), ("c2", 1, "joins its group")}
+        ("c0", 1, "joins its group"),
+        ("c2", 1, "joins its group"),
+    }
 
 
 def test_between_the_thresholds_nothing_begins_and_nothing_is_cut_short() -> None:
@@ -133,6 +145,7 @@
 
     def at(first: int) -> list[Standing]:
         return [Standing(n, f"c{n}", f"g{n}", 1 if n < first else 2, 1.0, 0.0) for n in range(200)]
+
     planner = Planner(Terms(pace=1.0, reception=100.0))
     assert not planner.plan(100.0, places, Book(at(110)))  # 1.10 of the mean
     assert planner.plan(101.0, places, Book(at(120)))
@@ -156,8 +169,9 @@
             book.remove(number)
             rows.pop(number, None)
         else:
-            rows[number] = Standing(number, f"c{number}", f"g{number % 7}", rng.randrange(4), rng.random(),
-                                    step)
+            rows[number] = Standing(
+                number, f"c{number}", f"g{number % 7}", rng.randrange(4), rng.random(), step
+            )
             book.put(rows[number])
     fresh = Book(rows.values())
     assert book.rows == rows and book.homes == fresh.homes and book.groups.keys() == fresh.groups.keys()
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -21,7 +21,8 @@
 @pytest.mark.parametrize("outcome", [i.Outcome.RESET, i.Outcome.TIMEOUT, i.Outcome.ERROR])
 @pytest.mark.parametrize("after,again", [(700.0, True), (760.0, False), (990.0, False)])
 def test_repeat_whose_connect_may_outlast_the_window_is_not_made(
-        outcome: i.Outcome, after: float, again: bool) -> None:
+    outcome: i.Outcome, after: float, again: bool
+) -> None:
     """Decided within the window, its opening was written up to a connect's time later."""
     bench = Bench(classes=(replace(KEYED, deadline=3000.0),), connect_timeout=CONNECT)
     (send,) = [a for a in bench.ask(1, patience=3000.0) if isinstance(a, i.Send)]
@@ -32,7 +33,8 @@
 @pytest.mark.parametrize("outcome", [i.Outcome.RESET, i.Outcome.TIMEOUT, i.Outcome.ERROR])
 @pytest.mark.parametrize("effect", [i.Effect.KEYED, i.Effect.UNSAFE])
 def test_busy_is_said_only_where_the_client_may_still_come_again(
-        outcome: i.Outcome, effect: i.Effect) -> None:
+    outcome: i.Outcome, effect: i.Effect
+) -> None:
     """A busy reply says that coming again is harmless, also after the wait that it names."""
     bench = Bench(classes=(replace(KEYED, effect=effect),), max_retry_after=600.0, max_attempts=1)
     send = first_of(bench)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,10 +25,14 @@
     return [a for n, a in last.items() if n in bench.balancer.flows and bench.balancer.flows[n].pending]
 
 
-@given(st.lists(st.tuples(st.sampled_from(HARD), st.floats(0, 400)), min_size=1, max_size=40),
-       st.integers(1, 30), st.booleans())
-def test_one_answer_in_time_whatever_backends_do(script: list[tuple[i.Outcome, float]], count: int,
-                                                 loaded: bool) -> None:
+@given(
+    st.lists(st.tuples(st.sampled_from(HARD), st.floats(0, 400)), min_size=1, max_size=40),
+    st.integers(1, 30),
+    st.booleans(),
+)
+def test_one_answer_in_time_whatever_backends_do(
+    script: list[tuple[i.Outcome, float]], count: int, loaded: bool
+) -> None:
     bench = Bench(backends=4)
     if loaded:
         bench.overload()
@@ -79,14 +83,17 @@
     assert [a for a in bench.all(i.SetTimer) if a.token == 0] != armed
 
 
-@pytest.mark.parametrize("effect,scope,outcome,again", [
-    (i.Effect.SAFE, i.Scope.ALL, i.Outcome.ERROR, True),
-    (i.Effect.KEYED, i.Scope.ALL, i.Outcome.ERROR, True),
-    (i.Effect.KEYED, i.Scope.ZONE, i.Outcome.ERROR, True),
-    (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.ERROR, False),
-    (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.FULL, True),
-    (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.RESET, False),
-])
+@pytest.mark.parametrize(
+    "effect,scope,outcome,again",
+    [
+        (i.Effect.SAFE, i.Scope.ALL, i.Outcome.ERROR, True),
+        (i.Effect.KEYED, i.Scope.ALL, i.Outcome.ERROR, True),
+        (i.Effect.KEYED, i.Scope.ZONE, i.Outcome.ERROR, True),
+        (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.ERROR, False),
+        (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.FULL, True),
+        (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.RESET, False),
+    ],
+)
 def test_no_effect_twice(effect: i.Effect, scope: i.Scope, outcome: i.Outcome, again: bool) -> None:
     bench = Bench(classes=(replace(SAFE, effect=effect, scope=scope, memory=5000.0),))
     (first,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
@@ -117,11 +124,14 @@
     assert len(bench.all(i.Send, 1)) == 1
 
 
-@pytest.mark.parametrize("update", [
-    i.ListUpdate(i.ListKind.CHANGES, [i.BackendEntry(1, i.State.DRAINING)]),
-    i.ListUpdate(i.ListKind.CHANGES, [i.BackendEntry(1, i.State.GONE)]),
-    i.ListUpdate(i.ListKind.FULL, ready(2, 3, 4)),
-])
+@pytest.mark.parametrize(
+    "update",
+    [
+        i.ListUpdate(i.ListKind.CHANGES, [i.BackendEntry(1, i.State.DRAINING)]),
+        i.ListUpdate(i.ListKind.CHANGES, [i.BackendEntry(1, i.State.GONE)]),
+        i.ListUpdate(i.ListKind.FULL, ready(2, 3, 4)),
+    ],
+)
 def test_nothing_goes_to_a_draining_or_gone_backend(update: i.ListUpdate) -> None:
     bench = Bench(backends=4)
     before = [a.backend for n in range(200) for a in bench.ask(n, f"g{n}") if isinstance(a, i.Send)]
@@ -141,8 +151,12 @@
                 if isinstance(a, i.Send):
                     bench.stand(a)
         bench.put(i.ListUpdate(i.ListKind.CHANGES, ready(11, started=bench.now)))
-        sent = [a for n in range(100, 400) for a in bench.ask(n, f"g{n}")
-                if isinstance(a, i.Send) and a.backend == 11]
+        sent = [
+            a
+            for n in range(100, 400)
+            for a in bench.ask(n, f"g{n}")
+            if isinstance(a, i.Send) and a.backend == 11
+        ]
         total += len(sent)
     usual = 40 * 100 / 10
     assert 0 < total <= 0.2 * 2.5 * usual
@@ -172,11 +186,18 @@
     assert not finals(empty, 2)
 
 
-@pytest.mark.parametrize("changes,field", [
-    ({"classes": ()}, "classes"), ({"balancers": 0}, "balancers"), ({"ask_every": -1.0}, "ask_every"),
-    ({"cold_time": -5.0}, "cold_time"), ({"connect_timeout": -1.0}, "connect_timeout"),
-    ({"max_attempts": 0}, "max_attempts"), ({"classes": (replace(SAFE, deadline=0.0),)}, "classes"),
-])
+@pytest.mark.parametrize(
+    "changes,field",
+    [
+        ({"classes": ()}, "classes"),
+        ({"balancers": 0}, "balancers"),
+        ({"ask_every": -1.0}, "ask_every"),
+        ({"cold_time": -5.0}, "cold_time"),
+        ({"connect_timeout": -1.0}, "connect_timeout"),
+        ({"max_attempts": 0}, "max_attempts"),
+        ({"classes": (replace(SAFE, deadline=0.0),)}, "classes"),
+    ],
+)
 def test_senseless_settings_are_named(changes: dict[str, object], field: str) -> None:
     with pytest.raises(ValueError, match=field):
         Bench(**changes)  # type: ignore[arg-type]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -185,14 +185,30 @@
 
 def held(net: Network) -> dict[str, object]:
     """All that each member knows of members and registers."""
-    return {name: (
-        sorted((one.name, one.address, one.incarnation, one.boot, one.state)
-               for one in machine.node.members.records.values()),
-        sorted(machine.node.members.turns) if net.now == 0.0 else None,
-        {owner: (one.epoch, one.complete, one.hash, one.bytes, sorted(one.ahead),
-                 sorted((held.entry.kind, held.entry.key, held.entry.seq, held.entry.value, held.entry.stamp)
-                        for held in one.entries.values()))
-         for owner, one in machine.node.store.owners.items()}) for name, machine in net.machines.items()}
+    return {
+        name: (
+            sorted(
+                (one.name, one.address, one.incarnation, one.boot, one.state)
+                for one in machine.node.members.records.values()
+            ),
+            sorted(machine.node.members.turns) if net.now == 0.0 else None,
+            {
+                owner: (
+                    one.epoch,
+                    one.complete,
+                    one.hash,
+                    one.bytes,
+                    sorted(one.ahead),
+                    sorted(
+                        (held.entry.kind, held.entry.key, held.entry.seq, held.entry.value, held.entry.stamp)
+                        for held in one.entries.values()
+                    ),
+                )
+                for owner, one in machine.node.store.owners.items()
+            },
+        )
+        for name, machine in net.machines.items()
+    }
 
 
 def written(seed: int) -> Network:
@@ -222,8 +238,7 @@
     for name in first:
         assert first[name][0::2] == second[name][0::2]  # type: ignore[index]
     at_once.run(20.0)
-    assert at_once.agree() and held(at_once) == {
-        name: (row[0], None, row[2]) for name, row in first.items()}  # type: ignore[index]
+    assert at_once.agree() and held(at_once) == {name: (row[0], None, row[2]) for name, row in first.items()}  # type: ignore[index]
     assert all(machine.node.caught for machine in at_once.machines.values())
 
 
@@ -270,8 +285,9 @@
 
 
 def test_a_lost_zone_and_cut_regions_heal_without_a_false_death() -> None:
-    w = replace(SMALL, members=10, faults="all", zone_lost_s=8.0, zone_back_s=6.0, region_cut_s=15.0,
-                heal_s=8.0)
+    w = replace(
+        SMALL, members=10, faults="all", zone_lost_s=8.0, zone_back_s=6.0, region_cut_s=15.0, heal_s=8.0
+    )
     row = scale.simulated(w, quiet, quiet)
     sane(row, w)
     for phase in (row["zone_lost"], row["region_cut"]):
@@ -288,8 +304,12 @@
     """``deaf`` starts it as a shell does in the background, with SIGINT ignored."""
     was = signal.signal(signal.SIGINT, signal.SIG_IGN) if deaf else None
     try:
-        return subprocess.Popen([sys.executable, "-m", "snowwick.lab.scale", *words], text=True,
-                                stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+        return subprocess.Popen(
+            [sys.executable, "-m", "snowwick.lab.scale", *words],
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+        )
     finally:
         if was is not None:
             signal.signal(signal.SIGINT, was)
@@ -320,8 +340,9 @@
     assert scale_simulated.estimate_bytes(twice) > 2 * scale_simulated.estimate_bytes(w)
 
 
-def test_a_form_that_is_not_there_is_refused(monkeypatch: pytest.MonkeyPatch,
-                                             capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_form_that_is_not_there_is_refused(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     monkeypatch.setattr(scale, "REAL_FORM", "snowwick.lab.no_such_form")
     with pytest.raises(SystemExit) as ended:
         scale.main(["real"])
@@ -357,10 +378,22 @@
 
 @pytest.mark.parametrize("whom", ["itself", "itself in the background", "its child"])
 def test_interrupted_or_failed_it_ends_what_it_started_and_keeps_what_was_measured(
-        whom: str, tmp_path: Path) -> None:
+    whom: str, tmp_path: Path
+) -> None:
     path = tmp_path / "out.json"
-    process = run("--members", "5,6", "--seconds", "50000", "--idle-s", "1", "--most-minutes", "1e9",
-                  "--json", str(path), deaf="background" in whom)
+    process = run(
+        "--members",
+        "5,6",
+        "--seconds",
+        "50000",
+        "--idle-s",
+        "1",
+        "--most-minutes",
+        "1e9",
+        "--json",
+        str(path),
+        deaf="background" in whom,
+    )
     assert process.stderr is not None
     child = 0
     for line in process.stderr:
@@ -379,7 +412,8 @@
     assert gone(child)
     kept = json.loads(path.read_text(encoding="utf-8"))
     assert kept["complete"] is False and kept["ended"].startswith(
-        "failed" if whom == "its child" else "interrupted")
+        "failed" if whom == "its child" else "interrupted"
+    )
     (row,) = kept["rows"]
     assert row["partial"] is True and row["members"] == 5 and row["bytes_out"] > 0
 
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -39,9 +39,14 @@
     answers = fleet.orders([one for one in fleet.hollow if not one.ended], "agree")
     alive = {count for one in answers for count in one["alive"].values()}
     roots = {root for one in answers for root in one["roots"].values()}
-    return alive == {members} and len(roots) == 1 and all(
-        sum(state in ("self", "alive") for state in fleet.members(n).values()) == members
-        for n in range(len(fleet.balancers)))
+    return (
+        alive == {members}
+        and len(roots) == 1
+        and all(
+            sum(state in ("self", "alive") for state in fleet.members(n).values()) == members
+            for n in range(len(fleet.balancers))
+        )
+    )
 
 
 def said_dead(fleet: Fleet) -> list[str]:
@@ -81,8 +86,12 @@
     fleet.order(one, "write", member=name, key="zz", text="another")
     fleet.until(lambda: all(fleet.status(n)["revisions"].get(name) == "another" for n in range(REAL)))
     fleet.answered(fleet.ask(0))
-    fleet.until(lambda: all(any(owner == "b0" for owner, *_ in answer["arrivals"])
-                            for answer in fleet.orders(fleet.hollow, "counts")))
+    fleet.until(
+        lambda: all(
+            any(owner == "b0" for owner, *_ in answer["arrivals"])
+            for answer in fleet.orders(fleet.hollow, "counts")
+        )
+    )
     fleet.until(lambda: all_agree(fleet))
 
 
@@ -129,8 +138,9 @@
 
 def test_a_real_member_killed_and_started_anew_is_with_the_hollow_ones_again(fleet: Fleet) -> None:
     def seen() -> list[dict[str, Any]]:
-        return [fleet.order(one, "sees", member=name, of="b0")
-                for one in fleet.hollow for name in one.addresses]
+        return [
+            fleet.order(one, "sees", member=name, of="b0") for one in fleet.hollow for name in one.addresses
+        ]
 
     before = max(one["incarnation"] for one in seen())
     fleet.signal(0, signal.SIGKILL)
@@ -174,8 +184,13 @@
 def test_a_run_that_ends_early_keeps_what_it_has_and_leaves_no_process(tmp_path: Path, what: str) -> None:
     out = tmp_path / "out"
     with out.open("w") as file:
-        process = subprocess.Popen([sys.executable, "-c", RUN], cwd=ROOT, stdout=file,
-                                   stderr=subprocess.STDOUT, env={**os.environ, "PYTHONPATH": str(ROOT)})
+        process = subprocess.Popen(
+            [sys.executable, "-c", RUN],
+            cwd=ROOT,
+            stdout=file,
+            stderr=subprocess.STDOUT,
+            env={**os.environ, "PYTHONPATH": str(ROOT)},
+        )
     try:
         until = time.monotonic() + 15.0
         while "see each other" not in out.read_text():
@@ -191,8 +206,11 @@
         assert process.wait(10.0) != 0
         assert not [one for one in started if runs(one)]
         said = "ended with -9" if "killed" in what else "interrupted"
-        kept = [json.loads(line.removeprefix("kept ")) for line in out.read_text().splitlines()
-                if line.startswith("kept ")]
+        kept = [
+            json.loads(line.removeprefix("kept "))
+            for line in out.read_text().splitlines()
+            if line.startswith("kept ")
+        ]
         assert said in kept[-1]["ended"] and kept[-1]["partial"] and kept[-1]["joined_s"] > 0.0
         assert "ended early: " + kept[-1]["ended"] in out.read_text()
     finally:
@@ -210,8 +228,13 @@
     assert (row["members"], row["real"], row["hollow"], of_real["members"]) == (6, 2, 4, 2)
     assert "partial" not in row and kept[0]["partial"] and kept[-1] == row
     for one in (row, of_real):
-        assert min(one[key] for key in ("bytes_out", "bytes_in", "datagrams_out", "datagrams_in", "core",
-                                        "reference")) > 0.0
+        assert (
+            min(
+                one[key]
+                for key in ("bytes_out", "bytes_in", "datagrams_out", "datagrams_in", "core", "reference")
+            )
+            > 0.0
+        )
         assert 0.0 < one["everywhere_p50_s"] <= one["everywhere_p99_s"] + 1e-3
         assert one["everywhere_worst_s"] < 5.0 and one["start_bytes"] > 0.0 < one["start_s"]
         assert one["false_deaths"] == 0
@@ -224,17 +247,27 @@
 
 def test_what_a_row_is_made_of() -> None:
     before = Count(10.0, 1.0, dict.fromkeys(("bytes_out", "bytes_in", "datagrams_out", "datagrams_in"), 0.0))
-    after = Count(12.0, 2.0, {"bytes_out": 800.0, "bytes_in": 400.0, "datagrams_out": 8.0,
-                              "datagrams_in": 4.0})
+    after = Count(
+        12.0, 2.0, {"bytes_out": 800.0, "bytes_in": 400.0, "datagrams_out": 8.0, "datagrams_in": 4.0}
+    )
     found = rates(before, after, 4, {"bytes_out": 80.0})
-    assert found == {"bytes_out": 90.0, "bytes_in": 50.0, "datagrams_out": 1.0, "datagrams_in": 0.5,
-                     "core": 0.125}
+    assert found == {
+        "bytes_out": 90.0,
+        "bytes_in": 50.0,
+        "datagrams_out": 1.0,
+        "datagrams_in": 0.5,
+        "core": 0.125,
+    }
     assert mean([(3, {"core": 0.2}), (1, {"core": 0.6})]) == {"core": pytest.approx(0.3)}
     assert spread("x", []) == {"x_p50_s": None, "x_p99_s": None, "x_worst_s": None}
-    assert spread("x", [0.1, 0.1, 0.4]) == {"x_p50_s": pytest.approx(0.1, rel=1e-3),
-                                            "x_p99_s": pytest.approx(0.4, rel=1e-3), "x_worst_s": 0.4}
+    assert spread("x", [0.1, 0.1, 0.4]) == {
+        "x_p50_s": pytest.approx(0.1, rel=1e-3),
+        "x_p99_s": pytest.approx(0.4, rel=1e-3),
+        "x_worst_s": 0.4,
+    }
     assert arrived([{"arrivals": [["m1", 3, 1.0, 1.5, 2]]}, {"arrivals": [["m1", 3, 1.0, 1.25, 4]]}]) == {
-        ("m1", 3): (1.0, 1.5, 6)}
+        ("m1", 3): (1.0, 1.5, 6)
+    }
 
 
 def test_more_than_the_machine_allows_is_refused() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,9 +13,11 @@
 from crowgap import interface as i
 from crowgap.benchlink import Link
 
-QUOTAS: dict[str, Any] = {**SETTINGS, "tenants": [{"name": name} for name in ("n", "m", "free")],
-                          "familyInfo": {"groups": True, "messageAim": [50.0],
-                                         "tenantQuotaConnections": [100.0, 30.0, 7.0]}}
+QUOTAS: dict[str, Any] = {
+    **SETTINGS,
+    "tenants": [{"name": name} for name in ("n", "m", "free")],
+    "familyInfo": {"groups": True, "messageAim": [50.0], "tenantQuotaConnections": [100.0, 30.0, 7.0]},
+}
 
 
 def test_pool_that_a_reload_gives_other_tenants_counts_their_quotas_from_then_on() -> None:
@@ -39,13 +41,24 @@
 
 def test_two_programs_in_one_process_see_only_their_own_settings() -> None:
     """Tenants, classes and lists of one customer, and the caches behind them, are its own."""
-    one, other = World(), World(settings={
-        **SETTINGS, "classes": [{"name": "tv", "aim": 500.0, "deadline": 900.0, "effect": "non_idempotent"}],
-        "tenants": [{"name": "z"}]})
-    one.play("c1 send OPEN 1 k1 d=1200,c=feed,t=n,g=g1\nd1 expect OPEN 1 *\nd1 send UP r\nc1 expect UP r\n"
-             "c2 send OPEN 2 k1 d=900,c=tv,t=z\nc2 expect ERR")
-    other.play("c1 send OPEN 1 k1 d=900,c=tv,t=z,g=g1\nd1 expect OPEN 1 *\nd1 send UP r\nc1 expect UP r\n"
-               "c2 send OPEN 2 k1 d=900,c=feed,t=n\nc2 expect ERR")
+    one, other = (
+        World(),
+        World(
+            settings={
+                **SETTINGS,
+                "classes": [{"name": "tv", "aim": 500.0, "deadline": 900.0, "effect": "non_idempotent"}],
+                "tenants": [{"name": "z"}],
+            }
+        ),
+    )
+    one.play(
+        "c1 send OPEN 1 k1 d=1200,c=feed,t=n,g=g1\nd1 expect OPEN 1 *\nd1 send UP r\nc1 expect UP r\n"
+        "c2 send OPEN 2 k1 d=900,c=tv,t=z\nc2 expect ERR"
+    )
+    other.play(
+        "c1 send OPEN 1 k1 d=900,c=tv,t=z,g=g1\nd1 expect OPEN 1 *\nd1 send UP r\nc1 expect UP r\n"
+        "c2 send OPEN 2 k1 d=900,c=feed,t=n\nc2 expect ERR"
+    )
     mine, theirs = one.service.decider.balancer, other.service.decider.balancer
     assert mine.classes.keys() == {"feed"} and theirs.classes.keys() == {"tv"}
     assert not {id(x) for x in mine.groups.values()} & {id(x) for x in theirs.groups.values()}
@@ -60,6 +73,7 @@
         setup = {"classes": [{"name": name, "deadline": 1000.0, "effect": effect}]}
         event = {"verb": "ATTACH", "i": 1, "salt": 5, "setup": setup}
         link.batch(json.dumps({"moment": 1, "input": [event]}))
+
     attach("a", "read_like")
     first = link.balancers[1]
     attach("b", "non_idempotent")
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -22,8 +22,10 @@
 def test_waits_fire_in_order_never_late_and_not_once_cancelled() -> None:
     clock, fired = Clock(), list[str]()
     timers: Timers[str] = Timers(clock, fired.append)
-    slots = {who: timers.set(until, who) for who, until in
-             [("b", 100.5), ("a", 100.25), ("c", 100.5), ("past", 90.0), ("d", 100.7)]}
+    slots = {
+        who: timers.set(until, who)
+        for who, until in [("b", 100.5), ("a", 100.25), ("c", 100.5), ("past", 90.0), ("d", 100.7)]
+    }
     assert timers.run() == pytest.approx(0.25, abs=1e-6) and fired == ["past"]
     timers.cancel(slots["c"], "c")
     clock.now = 100.5
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -35,10 +35,13 @@
 from snowwick.net.service import Service
 
 PATIENCE = 5.0  # s of real time in which an expected thing must come; only a failing test uses it up
-SETTINGS = {"classes": [{"name": "feed", "aim": 300.0, "deadline": 1200.0, "effect": "read_like"}],
-            "limits": {"mostTries": 3, "connectTimeout": 250.0, "retryAfter": True, "maxRetryAfter": 600.0},
-            "familyInfo": {"groups": True, "messageAim": [50.0]}, "registryMode": "on_request",
-            "tenants": [{"name": "n"}]}
+SETTINGS = {
+    "classes": [{"name": "feed", "aim": 300.0, "deadline": 1200.0, "effect": "read_like"}],
+    "limits": {"mostTries": 3, "connectTimeout": 250.0, "retryAfter": True, "maxRetryAfter": 600.0},
+    "familyInfo": {"groups": True, "messageAim": [50.0]},
+    "registryMode": "on_request",
+    "tenants": [{"name": "n"}],
+}
 
 
 def listener() -> socket.socket:
@@ -114,14 +117,24 @@
         self.arrived = 0
         self.sink = io.StringIO()
         log = Log(self.clock, self.sink)
-        raw = {"name": "b", "listen": "127.0.0.1:0", "discovery": address(self.discovery),
-               "settings": SETTINGS,
-               "known": {"version": 1, "full": True,
-                         "servers": [self.server(name, self.servers) for name in ("s-1", "s-2")]}}
+        raw = {
+            "name": "b",
+            "listen": "127.0.0.1:0",
+            "discovery": address(self.discovery),
+            "settings": SETTINGS,
+            "known": {
+                "version": 1,
+                "full": True,
+                "servers": [self.server(name, self.servers) for name in ("s-1", "s-2")],
+            },
+        }
         self.setup, self.contracts = {**raw, **changes}, contracts
-        self.service = Service(self.config(self.setup), Loop(log, self.clock),
-                               read_again=lambda: self.config(self.setup),
-                               contracts=self.read_contracts if contracts else None)
+        self.service = Service(
+            self.config(self.setup),
+            Loop(log, self.clock),
+            read_again=lambda: self.config(self.setup),
+            contracts=self.read_contracts if contracts else None,
+        )
         self.loop = self.service.loop
         self.service.start()
 
@@ -222,6 +235,7 @@
         class First(Before):
             def poll(self, timeout: float | None = None) -> Any:
                 return sorted(real.poll(timeout), key=lambda row: row[0] != fd)
+
         self.loop.epoll = First(real, "", lambda: None)  # type: ignore[assignment]
 
     def until(self, done: Any) -> None:
@@ -248,7 +262,7 @@
         left = memoryview(eval(what).encode() + b"\r\n")
         while left and who not in self.ended:
             with contextlib.suppress(BlockingIOError):
-                left = left[self.socks[who].send(left):]
+                left = left[self.socks[who].send(left) :]
             self.loop.turn(0.001)
 
     def part(self, who: str, what: str) -> None:
@@ -314,6 +328,5 @@
     def answer_call(self, who: str, what: str) -> None:
         """Answer the call that was taken."""
         status, body = ("503 Busy", "") if what == "fail" else ("200 OK", what)
-        self.socks[who].sendall(
-            f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
+        self.socks[who].sendall(f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         self.settle()
