--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -117,7 +117,9 @@
     # -- own registers -----------------------------------------------------------------------------------
 
     def write(self, kind: int, key: str, value: bytes | None, now: float, left: float = 0.0) -> None:
-        """Set or (None) remove an own register; ``left`` in s is how long it may be acted on, 0 for always."""
+        """Set or (None) remove an own register; ``left`` in s is how long it may be acted on, 0 for
+        always.
+        """
         self.store.write(kind, key, value, self.clock.stamp(self.wall_ms()), now, int(1000.0 * left))
 
     def leave(self, now: float) -> None:
--- a/snowwick/fleet/wire.py
+++ b/snowwick/fleet/wire.py
@@ -50,7 +50,9 @@
 
 
 class Ping(msgspec.Struct, array_like=True, tag=1):
-    """Answer with ``Ack``; ``accused`` tells the receiver at once that it is suspected (Lifeguard's buddy)."""
+    """Answer with ``Ack``; ``accused`` tells the receiver at once that it is suspected (Lifeguard's
+    buddy).
+    """
 
     number: int
     accused: bool = False
--- a/snowwick/lab/capacity_model.py
+++ b/snowwick/lab/capacity_model.py
@@ -195,11 +195,15 @@
             "control bytes out",
             "bytes/s",
             ("1", "log2 N", "N log2 N"),
-            "probes and roots are a fixed number a period (1); the fleet's changes, verdicts and rights come at "
-            "one rate at any size, each told 3 log2 N times (log2 N); each of N writers' loads is told 3 log2 N "
+            "probes and roots are a fixed number a period (1); the fleet's changes, verdicts and "
+            "rights come at "
+            "one rate at any size, each told 3 log2 N times (log2 N); each of N writers' loads "
+            "is told 3 log2 N "
             "times by each that hears of it (N log2 N). A range's hash for each eight owners is some 4% of "
-            "that at 100 and at 200 writers of an eighth a second, and is left out. With full frames the rest "
-            "is pulled, in frames whose number grows with the writers (1, log2 N, N), up to what comparison can "
+            "that at 100 and at 200 writers of an eighth a second, and is left out. With full "
+            "frames the rest "
+            "is pulled, in frames whose number grows with the writers (1, log2 N, N), up to what "
+            "comparison can "
             "start a period (a ceiling that is counted)",
             full=("1", "log2 N", "N"),
         ),
@@ -216,7 +220,8 @@
             "datagrams out",
             "/s",
             ("1", "log2 N"),
-            "a probe, its answer, two with news and a comparison a period, whatever the size; further steps of "
+            "a probe, its answer, two with news and a comparison a period, whatever the size; "
+            "further steps of "
             "comparison where members differ, which lasts as long as news takes to spread. With full frames "
             "what "
             "is written beyond their room is pulled, in proportion to the writers (N)",
@@ -228,10 +233,12 @@
             "processor of the protocol",
             "core",
             ("1", "N", "N log2 N"),
-            "frames a period are fixed (1); roots and ranges are summed over all owners (N); each entry that is "
+            "frames a period are fixed (1); roots and ranges are summed over all owners (N); "
+            "each entry that is "
             "told is packed, unpacked and taken or known already (N log2 N); what waits to be passed on, the "
             "writers' registers for as long as news spreads, is sorted for each frame (N log2 N, up to "
-            f"{node.MOST_RUMOURS}). Nothing in a period goes over pairs of owners. Once frames are full 1, log2 "
+            f"{node.MOST_RUMOURS}). Nothing in a period goes over pairs of owners. Once frames "
+            f"are full 1, log2 "
             "N and N are left",
             full=("1", "log2 N", "N"),
         ),
@@ -264,7 +271,8 @@
             "control memory",
             "bytes",
             ("1", "1/N", "N"),
-            "a copy of each owner's registers, its record and its window of numbers (N); what the process that "
+            "a copy of each owner's registers, its record and its window of numbers (N); what "
+            "the process that "
             "plays the fleet takes once is shared out over its members (1/N)",
         ),
         Form(
@@ -320,7 +328,8 @@
             "s until caught up",
             "s",
             ("1", "N"),
-            "pieces are asked for one at a time, eight owners at once. With full frames the same terms, while "
+            "pieces are asked for one at a time, eight owners at once. With full frames the same "
+            "terms, while "
             "what was written since is pulled too",
             full=("1", "N"),
         ),
@@ -829,7 +838,9 @@
 
 
 def regime_ends(sent: Fit, frames: Fit) -> int:
-    """The largest fleet whose frames have room for what they carry, by the laws of bytes and datagrams out."""
+    """The largest fleet whose frames have room for what they carry, by the laws of bytes and datagrams
+    out.
+    """
     low, high = 2, MOST_FLEET
     while high - low > 1:
         middle = (low + high) // 2
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -617,20 +617,23 @@
             [
                 "members whose frames are taken",
                 "`wire.SENDERS`",
-                f"{number(n)} of {number(wire.SENDERS)}: frames of the others are dropped as `too-many-senders`",
+                f"{number(n)} of {number(wire.SENDERS)}: frames of the others are dropped as "
+                f"`too-many-senders`",
                 f"{wire.SENDERS + 1:,} members",
             ],
             [
                 "the frame with the hashes of the ranges",
                 "`wire.MOST`, `store.OWNERS_A_RANGE`",
-                f"{number(ranges_bytes(n))} of {number(wire.MOST)} bytes: dropped as `too-long`, and nothing else "
+                f"{number(ranges_bytes(n))} of {number(wire.MOST)} bytes: dropped as `too-long`, and "
+                f"nothing else "
                 "finds what news did not bring",
                 f"{BOUND:,} owners",
             ],
             [
                 "what a member can send",
                 "`node.PULLS`, `node.GOSSIP`, `wire.MOST`",
-                f"{shown(ceiling(n), 'bytes/s')} in {number(FRAMES / PERIOD)} frames/s: a fit over it is cut down "
+                f"{shown(ceiling(n), 'bytes/s')} in {number(FRAMES / PERIOD)} frames/s: a fit over "
+                f"it is cut down "
                 "to it, "
                 "and what is over it does not arrive",
                 "-",
@@ -638,22 +641,26 @@
             [
                 "what waits to be passed on",
                 "`node.MOST_RUMOURS`",
-                f"one entry of each member is {number(waiting)} times what may wait; those told most are shed",
+                f"one entry of each member is {number(waiting)} times what may wait; those told most "
+                f"are shed",
                 f"{node.MOST_RUMOURS:,} entries at once",
             ],
             [
                 "a round of probes",
                 "`members.Members._turn`",
-                f"{shown(n * PERIOD, 's')} until a member has probed each other once; how often a given one is "
+                f"{shown(n * PERIOD, 's')} until a member has probed each other once; how often a "
+                f"given one is "
                 "probed by anybody does not depend on the size",
                 "-",
             ],
             [
                 "an ask for rights names every member",
                 "`rights.Ask.holds`, `store.VALUE`",
-                f"longer than the {number(store.VALUE)} bytes of a value: refused, which `net/fleet.py` passes over "
+                f"longer than the {number(store.VALUE)} bytes of a value: refused, which "
+                f"`net/fleet.py` passes over "
                 "(`_write`), so that rights stop moving (read in the code and computed, not played)",
-                f"{number(rights_bound())} members with names of 13 characters, {number(rights_bound(3))} with "
+                f"{number(rights_bound())} members with names of 13 characters, "
+                f"{number(rights_bound(3))} with "
                 "names of 3",
             ],
             [
--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -83,7 +83,9 @@
 
 @dataclass
 class StandIn:
-    """A node: ``serve`` answers, ``hang`` takes the opening and says nothing more; PING is always answered."""
+    """A node: ``serve`` answers, ``hang`` takes the opening and says nothing more; PING is always
+    answered.
+    """
 
     id: str
     address: str
@@ -241,7 +243,9 @@
 
 
 class Hollow:
-    """One process of hollow members (``snowwick.lab.hollow``), and the socket that it takes its orders from."""
+    """One process of hollow members (``snowwick.lab.hollow``), and the socket that it takes its orders
+    from.
+    """
 
     def __init__(self, folder: Path, number: int) -> None:
         ours, theirs = socket.socketpair()
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -498,7 +498,9 @@
                 one.took, one.bytes = self.now - one.at, node.counts.bytes_in
 
     def look_at_healing(self, log: Log) -> bool:
-        """After a fault: do all know all that run, those that started have caught up, the changes are there?"""
+        """After a fault: do all know all that run, those that started have caught up, the changes are
+        there?
+        """
         if any(one.took is None for one in self.starting):
             return False
         for name in self.ran_since:
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -18,8 +18,8 @@
 TEAMS = {
     **SETTINGS,
     "tenants": [{"name": name} for name in ("n", "m", "free")],
-    "limits": {**SETTINGS["limits"], "maxRetryAfter": 2000.0},
-}  # type: ignore[dict-item]
+    "limits": {**SETTINGS["limits"], "maxRetryAfter": 2000.0},  # type: ignore[dict-item]
+}
 CONTRACTS = """
 version = 1
 [fleet]
