--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -25,9 +25,9 @@
 from snowwick.net import lines
 from snowwick.net.contracts import ContractStage
 from snowwick.net.decider import Decider
-from snowwick.net.desks import Desks
 from snowwick.net.loop import Loop
 from snowwick.net.path import Ask, ask_of
+from snowwick.net.pool_deciders import PoolDeciders
 
 BEFORE = "52cd155a84a0"  # the last commit without contracts, for the memory of a program without them
 WITHIN = 3.0  # s: the stated reclaim time
@@ -153,13 +153,13 @@
             {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings(["t0"], 600.0)}
         )
         loop = Loop(Log(sink=io.StringIO()), lambda: self.now)
-        desks = Desks(
+        pool_deciders = PoolDeciders(
             lambda *_: Decider(loop, config.settings, 1, lambda: 0.0, lambda: None, lambda *_: None),
             lambda _: config.settings,
             dict,
         )
-        self.stage = ContractStage(loop, many_teams(count), desks, 1, 0, 1, 600.0, lambda: 300.0)
-        self.stage.desks.split = None  # every pool counts as having destinations
+        self.stage = ContractStage(loop, many_teams(count), pool_deciders, 1, 0, 1, 600.0, lambda: 300.0)
+        self.stage.pool_deciders.split = None  # every pool counts as having destinations
         self.openings = [
             lines.parse_opening(b"OPEN 1 k%d c=feed,t=t%d,d=1200,g=g\r\n" % (n, n * 7919 % count))
             for n in range(20000)
--- a/snowwick/config.py
+++ b/snowwick/config.py
@@ -17,7 +17,10 @@
 
 SOCKETS = 1024
 MESSAGE_AIM_MS = 100.0
-LIVE = ("discovery", "known")  # reread on SIGHUP; `known` only matters at a start, so it is never "changed"
+RELOADABLE_FIELDS = (
+    "discovery",
+    "known",
+)  # reread on SIGHUP; `known` only matters at a start, so it is never "changed"
 
 
 class BadConfig(Exception):
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/hollow.py
@@ -52,7 +52,7 @@
     schedule,
 )
 from snowwick.log import Log
-from snowwick.net.decider import PoolNews, Silent
+from snowwick.net.decider import DestinationSilent, PoolUpdate
 from snowwick.net.fleet import FleetLink
 from snowwick.net.loop import Actor, Loop, Steps, Wait
 from snowwick.net.pool import PoolConfig
@@ -75,10 +75,10 @@
     def held(self) -> Iterable[Mapping[int, int]]:
         return ()
 
-    def hear(self, message: Silent) -> None:
+    def hear(self, message: DestinationSilent) -> None:
         """Nobody to tell."""
 
-    def news(self, news: PoolNews) -> None:
+    def news(self, news: PoolUpdate) -> None:
         """Nobody to tell."""
 
 
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -10,12 +10,12 @@
 from snowwick.broker.ledger import Lease, Ledger, Refusal
 from snowwick.net import lines
 from snowwick.net.decider import MoveAway
-from snowwick.net.desks import Desks
 from snowwick.net.loop import Actor, Loop, Steps, Wait
 from snowwick.net.path import Ask, Stage, Turned
+from snowwick.net.pool_deciders import PoolDeciders
 
 
-class Look:
+class CheckLimits:
     """To the reclaimer: something may have to be moved."""
 
 
@@ -43,9 +43,9 @@
                 wait = self.ledger.due()
                 self.until = None if wait is None else now + wait
 
-    def look(self) -> None:
+    def check(self) -> None:
         if self.until is None and self.ledger.needs_step():
-            self.post(Look())
+            self.post(CheckLimits())
 
 
 class ContractStage(Stage):
@@ -55,22 +55,22 @@
         self,
         loop: Loop,
         contracts: Contracts,
-        desks: Desks,
+        pool_deciders: PoolDeciders,
         balancers: int,
         index: int,
         seed: int,
         longest_ms: float,
         come_again_ms: Callable[[], float],
     ) -> None:
-        self.loop, self.contracts, self.desks = loop, contracts, desks
+        self.loop, self.contracts, self.pool_deciders = loop, contracts, pool_deciders
         self.balancers, self.index = balancers, index
         self.longest_ms, self.come_again_ms = longest_ms, come_again_ms
         self.ledger = Ledger(book_of(contracts, balancers, index), seed, longest_ms / 1000.0)
         self.reclaimer = Reclaimer(loop, self.ledger)
         self.rights: dict[str, float] | None = None  # of the budgets, where balancers move them
-        self.stricter: dict[str, float] = {}  # parts of budgets, where others' contracts allow less
+        self.stricter_shares: dict[str, float] = {}  # parts of budgets, where others' contracts allow less
         self.refused: Counter[tuple[str, str]] = Counter()  # by team and resource, since the last look
-        self.let_in: Counter[str] = Counter()
+        self.admitted: Counter[str] = Counter()
         self._pools(running=False)
 
     def apply(self, contracts: Contracts) -> None:
@@ -79,26 +79,26 @@
         book = book_of(contracts, self.balancers, self.index, self.rights)
         self.ledger.apply(book, self.loop.clock())
         self._pools(running=True)
-        self.reclaimer.look()
+        self.reclaimer.check()
 
     def budgets(self) -> dict[str, tuple[float, bool]]:
         """The static part of each budget, and whether it counts whole things."""
         found = budgets_of(self.contracts, self.balancers, self.index)
-        for key, part in self.stricter.items():
+        for key, part in self.stricter_shares.items():
             if key in found:
                 most, whole = found[key]
                 found[key] = math.floor(part * most + 1e-9) if whole else part * most, whole
         return found
 
-    def has(self, rights: dict[str, float]) -> None:
+    def set_rights(self, rights: dict[str, float]) -> None:
         """This balancer's rights from now on; what stands beyond them is moved at the ledger's pace."""
         if rights != self.rights:
             self.rights = rights
             book = book_of(self.contracts, self.balancers, self.index, rights)
             self.ledger.apply(book, self.loop.clock())
-            self.reclaimer.look()
+            self.reclaimer.check()
 
-    def wanted(self, seconds: float) -> tuple[dict[str, float], dict[str, float]]:
+    def measure_demand(self, seconds: float) -> tuple[dict[str, float], dict[str, float]]:
         """By budget, what is in use, and what would be if nobody had been refused in the last seconds.
 
         Who is refused comes again, so one that wants may be counted several times: the wish is at most twice
@@ -111,14 +111,14 @@
             held = team.seats.held if team is not None else 0.0
             for key, now, refused in (
                 ("connections", held, float(self.refused[name, "connections"])),
-                ("setups", self.let_in[name] / seconds, self.refused[name, "rate"] / seconds),
+                ("setups", self.admitted[name] / seconds, self.refused[name, "rate"] / seconds),
             ):
                 wish = now + min(refused, max(now, 1.0))
                 used[f"{name}.{key}"], wanted[f"{name}.{key}"] = now, wish
                 used[f"fleet.{key}"] += now
                 wanted[f"fleet.{key}"] += wish
         self.refused.clear()
-        self.let_in.clear()
+        self.admitted.clear()
         return used, wanted
 
     def _pools(self, running: bool) -> None:
@@ -131,7 +131,7 @@
             )
             for pool in self.contracts.pools
         }
-        self.desks.set(self.contracts.pools, tenants, running)
+        self.pool_deciders.set_pools(self.contracts.pools, tenants, running)
         self.tenants = {tenant: self.ledger.teams[name] for tenant, name in self.contracts.tenants.items()}
 
     def _busy(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Turned:
@@ -145,31 +145,31 @@
         ask.team, pool = team.name, team.pool
         if ask.at:  # it stood before: counted, never refused
             ask.lease = self.ledger.adopt(now, ask.client, ask.team, ask.class_name)
-            ask.decider = self.desks.deciders[pool]
+            ask.decider = self.pool_deciders.by_pool[pool]
             return None
-        if not self.desks.ready(pool):
+        if not self.pool_deciders.has_destination(pool):
             return self._busy("no-destinations", f"pool={pool}")
         got = self.ledger.ask_of(now, ask.client, team, ask.class_name, ask.opening.key)
         if isinstance(got, Refusal):
             self.refused[ask.team, "rate" if got.reason == "over-rate" else "connections"] += 1
-            self.reclaimer.look()
+            self.reclaimer.check()
             return self._busy(got.reason, f"limit={got.limit}", 1000.0 * got.wait)
-        self.let_in[ask.team] += 1
-        ask.lease, ask.decider = got, self.desks.deciders[pool]
+        self.admitted[ask.team] += 1
+        ask.lease, ask.decider = got, self.pool_deciders.by_pool[pool]
         ask.wait = min(ask.wait, got.cls.max_wait)
-        self.reclaimer.look()
+        self.reclaimer.check()
         return None
 
     def stands(self, ask: Ask) -> None:
         if isinstance(ask.lease, Lease):
             self.ledger.stands(ask.lease)
             if self.ledger.excess or self.ledger.misplaced:
-                self.reclaimer.look()
+                self.reclaimer.check()
 
     def load(self, ask: Ask, figure: float) -> None:
         if isinstance(ask.lease, Lease):
             self.ledger.load(ask.lease, figure)
-            self.reclaimer.look()
+            self.reclaimer.check()
 
     def over(self, ask: Ask) -> None:
         if isinstance(ask.lease, Lease):
--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -19,7 +19,7 @@
 from snowwick.net.loop import Actor, Loop, Steps, Wait
 
 Outcome = i.Outcome
-PoolNews = i.ListUpdate
+PoolUpdate = i.ListUpdate
 PoolEntry = i.BackendEntry
 
 
@@ -30,19 +30,19 @@
 
 
 @dataclass(slots=True)
-class Arrived:
+class ConnectionRequested:
     """A client asks for a connection; ``patience`` is how many ms it waits for the answer."""
 
     client: Client
     class_name: str
-    patience: float
+    max_wait_ms: float
     key: str
     group: str
     tenant: str
 
 
 @dataclass(slots=True)
-class Kept:
+class ConnectionResumed:
     """A client's connection stood at that destination before this program started."""
 
     client: Client
@@ -54,60 +54,60 @@
 
 
 @dataclass(slots=True)
-class StepUp:
+class RouteStepEstablished:
     """The route step's connection stands."""
 
     client: Client
     destination: int
-    elapsed: float
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
-class StepEnded:
+class RouteStepEnded:
     """The route step is over; ``final`` says that the client needs no more answer."""
 
     client: Client
     destination: int
     outcome: Outcome
-    elapsed: float
+    elapsed_ms: float
     final: bool
 
 
 @dataclass(slots=True)
-class Left:
+class ClientLeft:
     """The client left before its answer; a route step that is out still ends."""
 
     client: Client
-    step_out: bool
+    step_active: bool
 
 
 @dataclass(slots=True)
-class Slow:
+class MessageDelay:
     """How many ms a message takes at a destination now, seen on that client's connection."""
 
     client: Client
     destination: int
-    delay: float
+    delay_ms: float
 
 
 @dataclass(slots=True)
-class Silent:
+class DestinationSilent:
     """No line comes back from a destination on any connection, though lines wait there."""
 
     destination: int
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeAnswer:
     """How many ms a destination took to answer a probe (-1: it did not), and the load it reports, if any."""
 
     destination: int
-    elapsed: float
+    elapsed_ms: float
     load: float = -1.0
 
 
 @dataclass(slots=True)
-class Load:
+class LoadReport:
     """The work a second that a connection asks of its destination now."""
 
     client: Client
@@ -120,14 +120,14 @@
     """To the client's side: try that destination, for so many ms."""
 
     destination: int
-    wait: float
+    timeout_ms: float
 
 
 @dataclass(slots=True)
 class BusyReply:
     """To the client's side: refused, come again after so many ms."""
 
-    retry_after: float
+    retry_after_ms: float
 
 
 @dataclass(slots=True)
@@ -142,7 +142,7 @@
     reason: str
 
 
-class Retire:
+class StopDecider:
     """To a decider: its pool is over and nothing of it stands any more."""
 
 
@@ -165,21 +165,21 @@
         self.now_ms, self.watch_pool, self.probe = now_ms, watch_pool, probe
         # Told first of all that comes, where there is a fleet
         self.observe: Callable[[object], None] | None = None
-        self.alarms: list[tuple[float, int]] = []
-        self.numbers: dict[Client, int] = {}
+        self.timers: list[tuple[float, int]] = []
+        self.request_numbers: dict[Client, int] = {}
         self.clients: dict[int, Client] = {}
-        self.steps_made: dict[int, int] = {}
-        self.steps_out: dict[int, int] = {}  # destinations of those that have not ended, by request
+        self.attempt_counts: dict[int, int] = {}
+        self.active_steps: dict[int, int] = {}  # destinations of those that have not ended, by request
         self.last = 0
 
     def run(self) -> Steps:
         while True:
             until = None
-            if self.alarms:
-                until = self.loop.clock() + max(0.0, self.alarms[0][0] - self.now_ms()) / 1000.0
+            if self.timers:
+                until = self.loop.clock() + max(0.0, self.timers[0][0] - self.now_ms()) / 1000.0
             yield Wait(until=until)
             for message in self.take():
-                if isinstance(message, Retire):
+                if isinstance(message, StopDecider):
                     return
                 if self.observe is not None:
                     self.observe(message)
@@ -189,70 +189,78 @@
                     self._handle(event)
                 if lost is not None:
                     self._handle(lost)
-            while self.alarms and self.alarms[0][0] <= self.now_ms():
-                self._handle(i.TimerDue(heapq.heappop(self.alarms)[1]))
+            while self.timers and self.timers[0][0] <= self.now_ms():
+                self._handle(i.TimerDue(heapq.heappop(self.timers)[1]))
 
     def _lost_step(self, m: object) -> i.Ended | None:
         """The end of a step that its client never saw: it left in the turn in which the step was asked for.
 
         Without it the module would hold that step for good, and count it at its backend.
         """
-        number = self.numbers.get(m.client) if isinstance(m, Left) and not m.step_out else None
-        if number is None or number not in self.steps_out:
+        number = (
+            self.request_numbers.get(m.client) if isinstance(m, ClientLeft) and not m.step_active else None
+        )
+        if number is None or number not in self.active_steps:
             return None
-        return i.Ended(number, self.steps_made[number] - 1, self.steps_out[number], Outcome.UNSENT, 0.0, True)
+        return i.Ended(
+            number, self.attempt_counts[number] - 1, self.active_steps[number], Outcome.UNSENT, 0.0, True
+        )
 
     def _translate(self, m: object) -> i.Event | None:
-        if isinstance(m, PoolNews):
+        if isinstance(m, PoolUpdate):
             return m
-        if isinstance(m, Arrived):
-            return i.Request(self._number(m.client, 0), m.class_name, m.patience, m.key, m.group, m.tenant)
-        if isinstance(m, Kept):
+        if isinstance(m, ConnectionRequested):
+            return i.Request(self._number(m.client, 0), m.class_name, m.max_wait_ms, m.key, m.group, m.tenant)
+        if isinstance(m, ConnectionResumed):
             return i.Carried(self._number(m.client, 1), m.class_name, m.destination, m.key, m.group, m.tenant)
-        if isinstance(m, Silent):
+        if isinstance(m, DestinationSilent):
             return i.Silent(m.destination)
-        if isinstance(m, Probed):
-            return i.Probed(m.destination, m.elapsed, m.load)
-        assert isinstance(m, StepUp | StepEnded | Left | Slow | Load)
-        number = self.numbers.get(m.client)
+        if isinstance(m, ProbeAnswer):
+            return i.Probed(m.destination, m.elapsed_ms, m.load)
+        assert isinstance(m, RouteStepEstablished | RouteStepEnded | ClientLeft | MessageDelay | LoadReport)
+        number = self.request_numbers.get(m.client)
         if number is None:
             return None
-        step = self.steps_made[number] - 1
-        if isinstance(m, StepUp):
-            return i.Established(number, step, m.destination, m.elapsed)
-        if isinstance(m, StepEnded):
-            self.steps_out.pop(number, None)
+        step = self.attempt_counts[number] - 1
+        if isinstance(m, RouteStepEstablished):
+            return i.Established(number, step, m.destination, m.elapsed_ms)
+        if isinstance(m, RouteStepEnded):
+            self.active_steps.pop(number, None)
             if m.final:
                 self._drop(number)
-            return i.Ended(number, step, m.destination, m.outcome, m.elapsed, m.final)
-        if isinstance(m, Slow):
-            return i.DelayNote(number, m.destination, m.delay)
-        if isinstance(m, Load):
+            return i.Ended(number, step, m.destination, m.outcome, m.elapsed_ms, m.final)
+        if isinstance(m, MessageDelay):
+            return i.DelayNote(number, m.destination, m.delay_ms)
+        if isinstance(m, LoadReport):
             return i.LoadNote(number, m.destination, m.load)
-        if not m.step_out:
+        if not m.step_active:
             self._drop(number)
         return i.Gone(number)
 
-    def renew(self, settings: i.Settings) -> None:
+    def update_tenants(self, settings: i.Settings) -> None:
         """Other tenants from now on; what their quotas say of capacity is reckoned with the next list."""
         self.balancer.settings = settings
         self.balancer.quota = sum(one.quota for one in settings.tenants)
         self.balancer.unit, self.balancer.planned = math.inf, False
 
-    def held(self) -> dict[int, int]:
+    def connection_counts(self) -> dict[int, int]:
         """How many connections stand or are being set up at each destination."""
         return {one.id: len(one.flows) for one in self.balancer.backends.values() if one.flows}
 
     def _number(self, client: Client, steps: int) -> int:
         self.last += 1
-        self.numbers[client], self.clients[self.last], self.steps_made[self.last] = self.last, client, steps
+        self.request_numbers[client], self.clients[self.last], self.attempt_counts[self.last] = (
+            self.last,
+            client,
+            steps,
+        )
         return self.last
 
     def _drop(self, number: int) -> None:
         client = self.clients.pop(number, None)
         if client is not None:
-            del self.numbers[client], self.steps_made[number]
-            self.steps_out.pop(number, None)
+            del self.request_numbers[client], self.attempt_counts[number]
+            self.active_steps.pop(number, None)
 
     def _handle(self, event: i.Event) -> None:
         try:
@@ -277,7 +285,7 @@
 
     def _carry_out(self, action: i.Action) -> None:
         if isinstance(action, i.SetTimer):
-            heapq.heappush(self.alarms, (action.at, action.token))
+            heapq.heappush(self.timers, (action.at, action.token))
             return
         if isinstance(action, i.Subscribe):
             self.watch_pool()
@@ -289,8 +297,8 @@
         if client is None:
             return
         if isinstance(action, i.Send):
-            self.steps_made[action.request] += 1
-            self.steps_out[action.request] = action.backend
+            self.attempt_counts[action.request] += 1
+            self.active_steps[action.request] = action.backend
             client.post(RouteStep(action.backend, action.timeout))
         elif isinstance(action, i.Move):
             client.post(MoveAway("moved"))
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from snowwick.net import lines
-from snowwick.net.decider import Load, MoveAway, Outcome
-from snowwick.net.gauge import Answers, Gauge, Meter
+from snowwick.net.decider import LoadReport, MoveAway, Outcome
+from snowwick.net.delay_monitor import ConnectionTiming, DestinationTiming, Gauge
 from snowwick.net.lines import Reply
 from snowwick.net.loop import READ, TIME, Loop, Steps, Wait
 from snowwick.net.peer import End, LinePeer, Lines, connect, prepare
@@ -48,11 +48,14 @@
         opening: bytes,
         wait: float,
         connect_wait: float,
-        gauge: Gauge,
+        delay_monitor: Gauge,
     ) -> None:
         super().__init__(loop, prepare(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
         self.front, self.number, self.address, self.opening = front, number, address, opening
-        self.gauge, self.meter = gauge, Meter(front, number, Answers())  # the gauge's own once it stands
+        self.delay_monitor, self.timing = (
+            delay_monitor,
+            ConnectionTiming(front, number, DestinationTiming()),
+        )  # the gauge's own once it stands
         self.began = loop.clock()
         self.until = self.began + wait
         self.connect_until = min(self.until, self.began + connect_wait)
@@ -74,7 +77,7 @@
             # The destination still answers: its client is sent away politely, not cut off.
             self.front.post(MoveAway("garbled-destination"))
         finally:
-            self.gauge.remove(self.meter)
+            self.delay_monitor.remove(self.timing)
             # Closed before the front hears of it: the next route step must not find this one still out.
             self.shut()
             self._over(outcome or Outcome.RESET)
@@ -142,7 +145,7 @@
 
     def _stands(self, line: bytes) -> None:
         self.front.post(Up(line, self._elapsed()))
-        self.meter = self.gauge.add(self.front, self.number)
+        self.timing = self.delay_monitor.add(self.front, self.number)
         rest = lines.cut(self.inbox)
         if rest:
             self.saw(rest)
@@ -153,13 +156,13 @@
         for line in data.splitlines(keepends=True):
             self.last = lines.reply(line)
             if self.last is not Reply.LOAD:
-                self.meter.answered(now)
+                self.timing.record_reply(now)
             elif (load := lines.load_of(line)) is not None:
-                self.front.post(Load(self.front, self.number, load))
+                self.front.post(LoadReport(self.front, self.number, load))
 
     def on_mail(self, message: object) -> None:
         if isinstance(message, Lines):
-            self.meter.sent(self.loop.clock(), message.data.count(b"\n"))
+            self.timing.record_sent(self.loop.clock(), message.data.count(b"\n"))
         elif isinstance(message, End):
             self._over(Outcome.CANCELLED)
         super().on_mail(message)
@@ -168,14 +171,14 @@
         self._over(ENDINGS.get(self.last, Outcome.RESET))
 
     def due(self) -> float | None:
-        if self.grace is not None or not self.meter.asked:
+        if self.grace is not None or not self.timing.pending:
             return self.grace
-        return max(self.meter.heard + SILENT, self.meter.asked[0] + UNANSWERED)
+        return max(self.timing.last_reply + SILENT, self.timing.pending[0] + UNANSWERED)
 
     def timed_out(self) -> bool:
         """Guards against a destination that hangs or vanished: its connection stays open and says nothing."""
         if self.grace is not None:
             return False
-        self.meter.asked.clear()  # asked once is enough; the front ends both sides
+        self.timing.pending.clear()  # asked once is enough; the front ends both sides
         self.front.post(MoveAway("silent"))
         return True
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -20,7 +20,7 @@
 from snowwick.fleet.members import STATES, Change
 from snowwick.fleet.node import CaughtUp, DuplicateName, Node
 from snowwick.fleet.rights import RENEW, Leases
-from snowwick.net.decider import Outcome, PoolNews, Silent, StepEnded, StepUp
+from snowwick.net.decider import DestinationSilent, Outcome, PoolUpdate, RouteStepEnded, RouteStepEstablished
 from snowwick.net.loop import Actor, Steps, Wait
 from snowwick.net.pool import parse_address
 
@@ -225,7 +225,7 @@
             del self.said[destination]
             self._write(facts.HEALTH, str(destination), None, now)
         for destination in health.judge(verdicts, now):
-            self.host.hear(Silent(destination))
+            self.host.hear(DestinationSilent(destination))
 
     def _list(self, now: float) -> None:
         pool, source = self.host.pool_config, self.file.share.discovery
@@ -243,7 +243,7 @@
                 version=pool.version,
             )
             self.host.news(
-                PoolNews(i.ListKind.CHANGES, [_leaving(pool.entries[one]) for one in sorted(fresh)])
+                PoolUpdate(i.ListKind.CHANGES, [_leaving(pool.entries[one]) for one in sorted(fresh)])
             )
         back = [
             one
@@ -251,7 +251,7 @@
             if one in pool.entries and pool.entries[one].state is i.State.READY
         ]
         if back:  # the newer list was taken back, as after a restore
-            self.host.news(PoolNews(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
+            self.host.news(PoolUpdate(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
         self.left = frozenset(heed)
 
     def _load(self, now: float) -> None:
@@ -270,7 +270,7 @@
         leases, epoch = self.leases, self.node.store.owners[self.node.name].epoch
         leases.change(stage.budgets(), now)
         if now >= self.next_rights:
-            self.used, wanted = stage.wanted(max(SHARE, now - self.next_rights + RENEW))
+            self.used, wanted = stage.measure_demand(max(SHARE, now - self.next_rights + RENEW))
             self.next_rights = now + RENEW
             for key, amount in wanted.items():
                 leases.budgets[key].demand(amount, now)
@@ -290,7 +290,7 @@
             one.confirm({name: ask.holds for name, (_, ask) in told.items()}, epoch, stage.balancers - 1)
             for to, grant in one.grant(told, self.used.get(key, 0.0), now).items():
                 self._write(facts.RIGHTS, f"grant:{to}:{key}", grant, now)
-        stage.has(leases.targets(now))
+        stage.set_rights(leases.targets(now))
 
     def _revision(self, now: float) -> None:
         stage = self.host.contract_stage
@@ -326,25 +326,25 @@
         self.differ = differ
         if stage is not None:
             least = facts.stricter(mine, others)
-            stage.stricter = {
+            stage.stricter_shares = {
                 key: limit / mine.limits[key] for key, limit in least.items() if mine.limits[key] > 0.0
             }
             if not self.file.share.rights:
-                stage.has({key: part for key, (part, _) in stage.budgets().items()})
+                stage.set_rights({key: part for key, (part, _) in stage.budgets().items()})
 
     # -- what is seen ------------------------------------------------------------------------------------
 
     def observe(self, message: object) -> None:
         """What a decider hears: how route steps end tells which destinations are bad."""
         now = self.loop.clock()
-        if isinstance(message, StepUp):
+        if isinstance(message, RouteStepEstablished):
             self.health.answered(message.destination, now)
-        elif isinstance(message, StepEnded) and not message.final and message.outcome in FAILED:
+        elif isinstance(message, RouteStepEnded) and not message.final and message.outcome in FAILED:
             self.health.failed(message.destination, message.outcome is Outcome.TIMEOUT, now)
 
     def silent(self, message: object) -> None:
         """What the gauge has to tell."""
-        if isinstance(message, Silent):
+        if isinstance(message, DestinationSilent):
             self.health.hangs(message.destination, self.loop.clock())
 
     def status(self) -> dict[str, Any]:
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -10,17 +10,17 @@
 from snowwick.net.decider import (
     UNRUN,
     BusyReply,
+    ClientLeft,
     FailReply,
-    Left,
-    Load,
+    LoadReport,
     MoveAway,
     Outcome,
     RouteStep,
-    StepEnded,
-    StepUp,
+    RouteStepEnded,
+    RouteStepEstablished,
 )
+from snowwick.net.delay_monitor import Gauge
 from snowwick.net.destination import Destination, Over, Up
-from snowwick.net.gauge import Gauge
 from snowwick.net.loop import READ, TIME, Loop, Steps, Wait
 from snowwick.net.path import Ask, Path, ask_of
 from snowwick.net.peer import GRACE, End, LinePeer, prepare
@@ -44,7 +44,7 @@
 
     loop: Loop
     path: Path
-    gauge: Gauge
+    delay_monitor: Gauge
 
     @property
     def groups(self) -> bool:
@@ -105,7 +105,7 @@
         if self.ask is None:
             return
         if self.asked and not self.up:
-            self.ask.post(Left(self, self.step is not None))
+            self.ask.post(ClientLeft(self, self.step is not None))
         if self.step is not None:
             self.step.post(End())
             self._step_over(Outcome.CANCELLED, 0.0, final=True)
@@ -190,7 +190,7 @@
             for message in self.take():
                 if isinstance(message, RouteStep):
                     left = wait_left(self)
-                    self._take_step(message.destination, min(message.wait or left, left))
+                    self._take_step(message.destination, min(message.timeout_ms or left, left))
                 elif isinstance(message, Up):
                     self._stand(message)
                     return None
@@ -203,7 +203,7 @@
                     self._step_over(message.outcome, message.elapsed, final=False)
                 elif isinstance(message, BusyReply):
                     self.asked, self.reason = False, "busy"
-                    return lines.busy(message.retry_after)
+                    return lines.busy(message.retry_after_ms)
                 elif isinstance(message, FailReply):
                     self.asked, self.reason = False, "failed"
                     return lines.ERR
@@ -234,7 +234,7 @@
                 lines.with_wait(self.ask.opening.line, wait_ms),
                 wait_ms / 1000.0,
                 self.house.connect_wait,
-                self.house.gauge,
+                self.house.delay_monitor,
             )
         except OSError as error:
             # No descriptor for it: the client is still owed its one answer.
@@ -248,7 +248,7 @@
         self.up, self.other, self.reason = True, self.step, "client-ended"
         self.out += message.line
         if self.asked:
-            self.ask.post(StepUp(self, self.number, message.elapsed))
+            self.ask.post(RouteStepEstablished(self, self.number, message.elapsed))
         else:
             self.ask.kept(self.number)
         self.house.path.stands(self.ask)
@@ -258,7 +258,7 @@
         self.step = None
         assert self.ask is not None
         if self.asked or self.up:
-            self.ask.post(StepEnded(self, self.number, outcome, elapsed, final))
+            self.ask.post(RouteStepEnded(self, self.number, outcome, elapsed, final))
         if final:
             self.house.path.over(self.ask)
 
@@ -297,7 +297,7 @@
                 self.out += lines.MOVE  # `out` holds whole lines only
                 self.tell(End())
                 self.start_grace()
-        elif isinstance(message, Load):
+        elif isinstance(message, LoadReport):
             if self.ask is not None:
                 self.ask.post(message)
                 self.house.path.load(self.ask, message.load)
--- a/snowwick/net/host.py
+++ b/snowwick/net/host.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from snowwick.net.contracts import ContractStage
-    from snowwick.net.decider import PoolNews, Silent
+    from snowwick.net.decider import DestinationSilent, PoolUpdate
     from snowwick.net.loop import Loop
     from snowwick.net.pool import PoolConfig
 
@@ -39,8 +39,8 @@
     def held(self) -> Iterable[Mapping[int, int]]:
         """How many connections stand or are being set up at each destination, one mapping for each pool."""
 
-    def hear(self, message: Silent) -> None:
+    def hear(self, message: DestinationSilent) -> None:
         """A destination answers nobody, by what others say."""
 
-    def news(self, news: PoolNews) -> None:
+    def news(self, news: PoolUpdate) -> None:
         """Destinations leave, or come back, by what others say."""
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from snowwick.net import lines
-from snowwick.net.decider import Arrived, Client, Decider, Kept
+from snowwick.net.decider import Client, ConnectionRequested, ConnectionResumed, Decider
 
 MARGIN = 20.0  # ms taken off the client's patience, so that the answer is there in time
 
@@ -39,7 +39,11 @@
 
     def kept(self, destination: int) -> None:
         """Tell the decider of a connection that it never placed."""
-        self.post(Kept(self.client, self.class_name, destination, self.opening.key, self.group, self.tenant))
+        self.post(
+            ConnectionResumed(
+                self.client, self.class_name, destination, self.opening.key, self.group, self.tenant
+            )
+        )
 
 
 def ask_of(client: Client, opening: lines.Opening, groups: bool) -> Ask:
@@ -154,7 +158,7 @@
             ask.decider = self.choose(ask)
         if not ask.at:
             ask.post(
-                Arrived(
+                ConnectionRequested(
                     ask.client,
                     ask.class_name,
                     max(0.0, ask.wait - MARGIN),
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -18,19 +18,33 @@
 from snowwick.net.loop import READ, TIME, WRITE, Actor, Loop, Steps, Wait
 from snowwick.net.peer import CHUNK, prepare
 
-TOLD = 6.0  # s after which the protocol counts as told whatever discovery has, whether it arrived or not
+NEWS_DEADLINE_S = (
+    6.0  # s after which the protocol counts as told whatever discovery has, whether it arrived or not
+)
 # What may pass until it has arrived: a watch falls silent with the news and is given up, the call on a new
 # connection is refused by discovery, and after a pause the next one brings it.  The five together are TOLD.
-WATCH = 1.0  # s that a call may be held for news; held calls cost discovery little
-LATE = 0.25  # s beyond that until a watch counts as silent; its answers come some ms after their time
-FRESH = 2.125  # s more for the first call on a connection: connect and queue; longer than the 2 s after which
+WATCH_HOLD_S = 1.0  # s that a call may be held for news; held calls cost discovery little
+WATCH_OVERDUE_S = (
+    0.25  # s beyond that until a watch counts as silent; its answers come some ms after their time
+)
+FIRST_CALL_EXTRA_S = (
+    2.125  # s more for the first call on a connection: connect and queue; longer than the 2 s after which
+)
 # discovery itself refuses what has waited, since what is given up sooner has cost it all the same
-AGAIN = 0.5  # s at most from a call that failed to the next, half of it at least: not all in step
+RETRY_PAUSE_S = 0.5  # s at most from a call that failed to the next, half of it at least: not all in step
 STATES = {"in_service": i.State.READY, "terminating": i.State.DRAINING, "terminated": i.State.GONE}
-PACE = 0.1  # s from a call to the next where the answer has no news and does not wait for any; a watch goes
+POLL_INTERVAL_S = (
+    0.1  # s from a call to the next where the answer has no news and does not wait for any; a watch goes
+)
 # on as long as the next call comes within 0.2 s of the answer
-MAX_BODY = 1 << 20  # bytes: some thousands of entries; read as JSON it takes ten times that in memory
-UNUSABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)  # what reading a list may raise
+MAX_BODY_BYTES = 1 << 20  # bytes: some thousands of entries; read as JSON it takes ten times that in memory
+READ_ERRORS = (
+    KeyError,
+    TypeError,
+    ValueError,
+    AttributeError,
+    OverflowError,
+)  # what reading a list may raise
 
 
 class CallFailed(Exception):
@@ -46,17 +60,17 @@
 
 
 @dataclass(slots=True)
-class NewAddress:
+class DiscoveryAddressChanged:
     """To the pool: discovery is somewhere else from now on."""
 
-    where: tuple[str, int]
+    discovery_address: tuple[str, int]
 
 
-class Moved(Exception):
+class CallSuperseded(Exception):
     """Discovery has moved while a call was out."""
 
 
-def number_of(name: str) -> int:
+def destination_number(name: str) -> int:
     """The module takes numbers and hashes them: the same name must be the same number everywhere."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
@@ -69,7 +83,7 @@
     return host, int(port)
 
 
-def finite(value: Any) -> float:
+def finite_number(value: Any) -> float:
     """A number that can be reckoned with: JSON as it is read here knows NaN and infinity too."""
     number = float(value)
     if not math.isfinite(number):
@@ -81,7 +95,7 @@
     """The version of a list in discovery's form; raises CallFailed."""
     try:
         return int(message["version"])
-    except UNUSABLE as error:
+    except READ_ERRORS as error:
         raise CallFailed(f"unusable list: {type(error).__name__} {error}") from error
 
 
@@ -95,7 +109,7 @@
         self.labels: dict[int, Labels] = {}  # of the destinations in the list, for pools
         self.entries: dict[int, i.BackendEntry] = {}  # what the list says of them
 
-    def take(self, message: Any, kind: i.ListKind | None = None) -> i.ListUpdate:
+    def apply(self, message: Any, kind: i.ListKind | None = None) -> i.ListUpdate:
         """Apply a list in discovery's form; raises CallFailed, and then nothing has changed.
 
         A list with an entry that cannot be read is refused once, since what is spoilt on the way comes whole
@@ -108,16 +122,16 @@
             servers = message["servers"]
             if not isinstance(servers, list):
                 raise TypeError("servers is no list")
-        except UNUSABLE as error:
+        except READ_ERRORS as error:
             raise CallFailed(f"unusable list: {type(error).__name__} {error}") from error
         rows, spoilt, kept = [], list[str](), list[int]()
         for one in servers:
             try:
                 rows.append((parse_address(one["addr"]), self._entry(one), self._labels(one)))
-            except UNUSABLE as error:
+            except READ_ERRORS as error:
                 spoilt.append(f"{type(error).__name__} {error}")
                 if isinstance(one, dict) and isinstance(one.get("id"), str):
-                    kept.append(number_of(one["id"]))
+                    kept.append(destination_number(one["id"]))
         if spoilt and spoilt != self.spoilt and kind is not i.ListKind.REMEMBERED:
             self.spoilt = spoilt
             raise CallFailed(f"{len(spoilt)} entries cannot be read: {spoilt[0]}")
@@ -148,12 +162,12 @@
     @staticmethod
     def _entry(one: dict[str, Any]) -> i.BackendEntry:
         return i.BackendEntry(
-            number_of(one["id"]),
+            destination_number(one["id"]),
             STATES[one["state"]],
             str(one.get("zone", "")),
             int(one.get("cell", 0)),
-            finite(one.get("weight", 1.0)),
-            finite(one.get("started_ms", 0.0)),
+            finite_number(one.get("weight", 1.0)),
+            finite_number(one.get("started_ms", 0.0)),
         )
 
 
@@ -166,7 +180,7 @@
         self,
         loop: Loop,
         address: tuple[str, int],
-        tell: Callable[[i.ListUpdate], None],
+        on_update: Callable[[i.ListUpdate], None],
         chance: Callable[[], float],
         grace: float | None = None,
     ) -> None:
@@ -177,12 +191,16 @@
         one that is not answered is soon made again, since the agent says nothing while discovery is down.
         """
         super().__init__(loop)
-        self.where, self.tell, self.config = address, tell, PoolConfig(self._left_out)
+        self.discovery_address, self.on_update, self.config = address, on_update, PoolConfig(self._left_out)
         self.pushed = grace is not None
         self.chance = chance  # from 0 to 1: balancers that lose discovery together must not call in step
-        self.watch, self.first, self.pace = WATCH, FRESH, PACE
+        self.watch, self.first, self.pace = WATCH_HOLD_S, FIRST_CALL_EXTRA_S, POLL_INTERVAL_S
         if grace is not None:
-            self.watch, self.first, self.pace = 0.0, max(PACE, 0.5 * grace), min(PACE, 0.25 * grace)
+            self.watch, self.first, self.pace = (
+                0.0,
+                max(POLL_INTERVAL_S, 0.5 * grace),
+                min(POLL_INTERVAL_S, 0.25 * grace),
+            )
         self.sock: socket.socket | None = None
         self.http: h11.Connection | None = None
         self.full = False  # the next call asks for the whole list
@@ -192,7 +210,7 @@
         self.loop.log.event("entry-left-out", "pool config: entry left out: {error}", error=error)
 
     def number(self, name: str) -> int:
-        return number_of(name)
+        return destination_number(name)
 
     def address(self, destination: int) -> tuple[str, int] | None:
         return self.config.addresses.get(destination)
@@ -211,9 +229,9 @@
 
     def _heed(self, message: object) -> None:
         """Act on one message; all that come here want discovery to be called."""
-        if isinstance(message, NewAddress):
+        if isinstance(message, DiscoveryAddressChanged):
             self._hang_up()
-            self.where, self.full, self.moved = message.where, True, True
+            self.discovery_address, self.full, self.moved = message.discovery_address, True, True
 
     def _watch(self) -> Generator[Wait, int, float]:
         """Call after call, each right after the last answer, until one fails; returns when to call again.
@@ -240,9 +258,9 @@
                     self.full = True
                     self._hang_up()  # else a late second answer of changes might be taken for all
                     continue
-                news = self.config.take(answer, i.ListKind.FULL if self.full else None)
+                news = self.config.apply(answer, i.ListKind.FULL if self.full else None)
                 self.full = self.failing = False
-            except Moved:
+            except CallSuperseded:
                 continue  # nothing of the old discovery is applied, its failure is no news either
             except (CallFailed, OSError, ValueError, RecursionError, h11.ProtocolError) as error:
                 if not self.failing:  # a pushed list is called for several times a second
@@ -255,10 +273,10 @@
                 self._hang_up()
                 if self.pushed:  # nobody has asked
                     return self.loop.clock() + self.pace
-                self.tell(i.ListUpdate(i.ListKind.FAILED))
+                self.on_update(i.ListUpdate(i.ListKind.FAILED))
                 silent = held and isinstance(error, TimedOut)
-                return self.loop.clock() + (0.0 if silent else AGAIN * (0.5 + 0.5 * self.chance()))
-            self.tell(news)
+                return self.loop.clock() + (0.0 if silent else RETRY_PAUSE_S * (0.5 + 0.5 * self.chance()))
+            self.on_update(news)
             if self.config.version == before:
                 # Guards against calls without end where the answer does not wait for news.
                 if self.loop.clock() < asked + 0.5 * self.watch:
@@ -267,7 +285,7 @@
 
     def _call(self) -> Generator[Wait, int, Any]:
         # Held from the first on: asked for at once and then again, all new watches cost discovery twice.
-        late = self.first if self.sock is None or self.pushed else LATE
+        late = self.first if self.sock is None or self.pushed else WATCH_OVERDUE_S
         until = self.loop.clock() + self.watch + late
         if self.sock is None or self.http is None:
             yield from self._connect(until)
@@ -275,7 +293,7 @@
         target = "/v1/endpoints"
         if not self.full:
             target += f"?after={self.config.version}&wait_ms={int(1000 * self.watch)}"
-        host = f"{self.where[0]}:{self.where[1]}"
+        host = f"{self.discovery_address[0]}:{self.discovery_address[1]}"
         head = h11.Request(method="GET", target=target, headers=[("Host", host)])
         out = (self.http.send(head) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
         self.sock.sendall(out)
@@ -289,7 +307,7 @@
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MAX_BODY:
+                if len(body) > MAX_BODY_BYTES:
                     raise CallFailed("answer too long")
             elif isinstance(event, h11.EndOfMessage):
                 break
@@ -313,7 +331,7 @@
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
         sock = self.sock
         with contextlib.suppress(BlockingIOError):
-            sock.connect(self.where)
+            sock.connect(self.discovery_address)
         while not (woke := (yield Wait(sock, write=True, until=until))) & WRITE:
             if woke & TIME:
                 raise TimedOut("no connection in time")
@@ -341,7 +359,7 @@
         for message in self.take():
             self._heed(message)
         if self.moved:
-            raise Moved
+            raise CallSuperseded
 
     def _hang_up(self) -> None:
         if self.sock is not None:
--- a/snowwick/net/desks.py
+++ b/snowwick/net/pool_deciders.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from crowgap.interface import Settings
-from snowwick.net.decider import Decider, PoolNews, Retire, Silent, Slow
+from snowwick.net.decider import Decider, DestinationSilent, MessageDelay, PoolUpdate, StopDecider
 
 if TYPE_CHECKING:
     from snowwick.broker.pools import Labels, Match, Split
@@ -14,7 +14,7 @@
 ALL = ""  # the one pool of a program without contracts
 
 
-class Desks:
+class PoolDeciders:
     """Without pools one decider hears everything; with them each hears its part.
 
     A pool that a change of contracts leaves out takes nothing new, but its decider goes on for those that
@@ -28,68 +28,70 @@
         labels: Callable[[], Mapping[int, Labels]],
     ) -> None:
         self.make, self.settings, self.labels = make, settings, labels
-        self.deciders: dict[str, Decider] = {}
+        self.by_pool: dict[str, Decider] = {}
         self.split: Split | None = None
         self.current: frozenset[str] = frozenset([ALL])
 
     def start(self) -> None:
         """One decider for everything, unless pools have been set before."""
-        if not self.deciders:
-            self.deciders[ALL] = self.make(ALL, None)
-        for decider in self.deciders.values():
+        if not self.by_pool:
+            self.by_pool[ALL] = self.make(ALL, None)
+        for decider in self.by_pool.values():
             decider.start()
 
-    def set(self, matches: Mapping[str, Match], tenants: Mapping[str, frozenset[str]], running: bool) -> None:
+    def set_pools(
+        self, matches: Mapping[str, Match], tenants: Mapping[str, frozenset[str]], running: bool
+    ) -> None:
         """Other pools from now on, each with the tenants whose requests go there."""
         from snowwick.broker.pools import Split
 
-        standing = {name: one for name, one in self.deciders.items() if name not in matches and one.clients}
-        for name in self.deciders.keys() - standing.keys() - matches.keys():
-            self.deciders.pop(name).post(Retire())
-        for name in self.deciders.keys() & matches.keys():  # else the quotas of a former contract would stay
-            self.deciders[name].renew(self.settings(tenants[name]))
-        fresh = [name for name in matches if name not in self.deciders]
+        standing = {name: one for name, one in self.by_pool.items() if name not in matches and one.clients}
+        for name in self.by_pool.keys() - standing.keys() - matches.keys():
+            self.by_pool.pop(name).post(StopDecider())
+        for name in self.by_pool.keys() & matches.keys():  # else the quotas of a former contract would stay
+            self.by_pool[name].update_tenants(self.settings(tenants[name]))
+        fresh = [name for name in matches if name not in self.by_pool]
         for name in fresh:
-            self.deciders[name] = self.make(name, tenants[name])
+            self.by_pool[name] = self.make(name, tenants[name])
             if running:
-                self.deciders[name].start()
+                self.by_pool[name].start()
         self.current = frozenset(matches)
         if self.split is None:
             self.split = Split(matches)
             return
         old = {name: self.split.matches[name] for name in standing}
-        for name, news in self.split.rematch({**matches, **old}).items():
-            self.deciders[name].post(news)
+        for name, update in self.split.rematch({**matches, **old}).items():
+            self.by_pool[name].post(update)
 
-    def ready(self, pool: str) -> bool:
+    def has_destination(self, pool: str) -> bool:
         """Has the pool a destination that takes new connections?"""
         return self.split is None or pool in self.split.usable
 
-    def of_destination(self, destination: int) -> Decider:
+    def for_destination(self, destination: int) -> Decider:
         """The decider of the pool that a destination is in, or any where it is in none."""
         members = self.split.members if self.split is not None else {}
         return next(
-            (self.deciders[name] for name, held in members.items() if destination in held),
-            next(iter(self.deciders.values())),
+            (self.by_pool[name] for name, held in members.items() if destination in held),
+            next(iter(self.by_pool.values())),
         )
 
-    def news(self, news: PoolNews) -> None:
+    def apply_update(self, update: PoolUpdate) -> None:
         """Discovery's list has changed, or could not be had."""
         if self.split is None:
-            self.deciders[ALL].post(news)
+            self.by_pool[ALL].post(update)
             return
-        for name, part in self.split.news(news, self.labels()).items():
-            self.deciders[name].post(part)
+        for name, part in self.split.news(update, self.labels()).items():
+            self.by_pool[name].post(part)
         for name in [
-            name for name, one in self.deciders.items() if name not in self.current and not one.clients
+            name for name, one in self.by_pool.items() if name not in self.current and not one.clients
         ]:
-            self.deciders.pop(name).post(Retire())
+            self.by_pool.pop(name).post(StopDecider())
             self.split.rematch_without(name)
 
-    def hear(self, message: Slow | Silent) -> None:
+    def forward(self, message: MessageDelay | DestinationSilent) -> None:
         """What the gauge has to tell."""
-        if isinstance(message, Silent):
-            for decider in self.deciders.values():
+        if isinstance(message, DestinationSilent):
+            for decider in self.by_pool.values():
                 decider.post(message)
             return
         ask: Any = getattr(message.client, "ask", None)
--- a/snowwick/net/probe.py
+++ b/snowwick/net/probe.py
@@ -5,7 +5,7 @@
 import socket
 
 from snowwick.net import lines
-from snowwick.net.decider import Decider, Probed
+from snowwick.net.decider import Decider, ProbeAnswer
 from snowwick.net.loop import READ, TIME, Loop, Steps, Wait
 from snowwick.net.peer import LinePeer, connect, prepare
 
@@ -46,7 +46,7 @@
             pass  # refused, broken or no line: no answer
         finally:
             self.shut()
-            self.decider.post(Probed(self.number, self.elapsed, self.load))
+            self.decider.post(ProbeAnswer(self.number, self.elapsed, self.load))
 
     def _answered(self, sent: float) -> bool:
         """Has all come that is waited for?  The report stands behind the word, or in a line of its own."""
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -15,16 +15,16 @@
 from zlib import crc32
 
 from crowgap.interface import ListKind, Settings
-from snowwick.config import LIVE, BadConfig, Config, reload
+from snowwick.config import RELOADABLE_FIELDS, BadConfig, Config, reload
 from snowwick.log import Log
-from snowwick.net.decider import Decider, MoveAway, PoolNews, Silent
-from snowwick.net.desks import Desks
+from snowwick.net.decider import Decider, DestinationSilent, MoveAway, PoolUpdate
+from snowwick.net.delay_monitor import Gauge
 from snowwick.net.front import SETTLE, Closing, Front, MakeRoom
-from snowwick.net.gauge import Gauge
 from snowwick.net.loop import Actor, Loop, Steps, Wait
 from snowwick.net.path import Ask, Decisions, Openings, Path, Room
 from snowwick.net.peer import CHUNK
-from snowwick.net.pool import CallFailed, NewAddress, Pool, PoolConfig, WatchPool
+from snowwick.net.pool import CallFailed, DiscoveryAddressChanged, Pool, PoolConfig, WatchPool
+from snowwick.net.pool_deciders import PoolDeciders
 from snowwick.net.probe import Probe
 from snowwick.net.signals import CaughtSignals
 
@@ -65,7 +65,7 @@
                     yield from self._pause(TURN)
                     break
                 try:
-                    self.service.welcome(self.sock.accept()[0])
+                    self.service.accept_client(self.sock.accept()[0])
                 except BlockingIOError:
                     break
                 except OSError as error:
@@ -105,14 +105,14 @@
         self,
         config: Config,
         loop: Loop | None = None,
-        read_again: Callable[[], Config] = reload,
+        reload_config: Callable[[], Config] = reload,
         contracts: Callable[[], Contracts] | None = None,
         fleet: Callable[[], FleetFile] | None = None,
     ) -> None:
         """``contracts`` and ``fleet`` read the operators' files, now and at each reload; they may raise
         ValueError with the faults, and ``fleet`` OSError where its address cannot be listened on.
         """
-        self.config, self.read_again = config, read_again
+        self.config, self.reload_config = config, reload_config
         self.loop = loop or Loop(Log())
         self.log = self.loop.log
         self.random = random.Random(config.seed)
@@ -121,16 +121,18 @@
         self.limit = config.sockets - OWN_SOCKETS
         self.draining = False
         self.offset_ms = 1000.0 * (time.time() - self.loop.clock())
-        self.desks = Desks(self.make_decider, self.settings_for, lambda: self.pool.config.labels)
+        self.pool_deciders = PoolDeciders(
+            self.make_decider, self.settings_for, lambda: self.pool.config.labels
+        )
         settings = config.settings
         self.pool = Pool(
             self.loop,
             config.discovery,
-            self.desks.news,
+            self.pool_deciders.apply_update,
             self.random.random,
             None if settings.must_ask else settings.drain_grace / 1000.0,
         )
-        self.gauge = Gauge(self.loop, self.desks.hear, config.message_aim_ms)
+        self.delay_monitor = Gauge(self.loop, self.pool_deciders.forward, config.message_aim_ms)
         self.read_fleet = fleet
         self.fleet = self.make_fleet(fleet()) if fleet is not None else None
         self.read_contracts = contracts
@@ -168,16 +170,18 @@
         return self.pool.config
 
     def served(self) -> Iterator[tuple[int, float]]:
-        return ((destination, answers.heard) for destination, answers in self.gauge.answers.items())
+        return (
+            (destination, timing.last_reply) for destination, timing in self.delay_monitor.timings.items()
+        )
 
     def held(self) -> Iterator[dict[int, int]]:
-        return (decider.held() for decider in self.desks.deciders.values())
+        return (decider.connection_counts() for decider in self.pool_deciders.by_pool.values())
 
-    def hear(self, message: Silent) -> None:
-        self.desks.hear(message)
+    def hear(self, message: DestinationSilent) -> None:
+        self.pool_deciders.forward(message)
 
-    def news(self, news: PoolNews) -> None:
-        self.desks.news(news)
+    def news(self, news: PoolUpdate) -> None:
+        self.pool_deciders.apply_update(news)
 
     # -- the parts ---------------------------------------------------------------------------------------
 
@@ -185,7 +189,7 @@
         from snowwick.net.fleet import FleetLink, observing  # only where there is a fleet
 
         link = FleetLink(self, file, self.config.name, random.Random(f"{self.config.seed}{time.time_ns()}"))
-        self.gauge.tell = observing(self.gauge.tell, link.silent)
+        self.delay_monitor.report = observing(self.delay_monitor.report, link.silent)
         return link
 
     def probe(self, destination: int, decider: Decider) -> None:
@@ -204,7 +208,7 @@
         return ContractStage(
             self.loop,
             contracts,
-            self.desks,
+            self.pool_deciders,
             settings.balancers,
             settings.index,
             self.config.seed,
@@ -214,12 +218,12 @@
 
     def choose_decider(self, ask: Ask) -> Decider:
         """For an ask that no contract has given a pool."""
-        return self.desks.of_destination(self.number(ask.at)) if ask.at else self.decider
+        return self.pool_deciders.for_destination(self.number(ask.at)) if ask.at else self.decider
 
     @property
     def decider(self) -> Decider:
         """The one decider, or the first of several."""
-        return next(iter(self.desks.deciders.values()))
+        return next(iter(self.pool_deciders.by_pool.values()))
 
     @property
     def groups(self) -> bool:
@@ -245,15 +249,15 @@
         self.listener.setblocking(False)
         self.listener.bind(self.config.listen)
         self.listener.listen(BACKLOG)
-        self.desks.start()
-        for actor in (self.pool, self.gauge):
+        self.pool_deciders.start()
+        for actor in (self.pool, self.delay_monitor):
             actor.start()
         if self.contract_stage is not None:
             self.contract_stage.reclaimer.start()
         if self.fleet is not None:
             self.fleet.start()
         try:
-            self.desks.news(self.pool.config.take(self.config.known, ListKind.REMEMBERED))
+            self.pool_deciders.apply_update(self.pool.config.apply(self.config.known, ListKind.REMEMBERED))
         except CallFailed as error:
             self.log.event("bad-list", "known: {error}", error=str(error))
         Acceptor(self, self.listener).start()
@@ -278,7 +282,7 @@
         Of the configuration only the address of discovery changes live; contracts change whole.
         """
         try:
-            new = self.read_again()
+            new = self.reload_config()
             contracts = self.read_contracts() if self.read_contracts is not None else None
             fleet = self.read_fleet() if self.read_fleet is not None else None
         except (BadConfig, ValueError) as error:
@@ -287,7 +291,7 @@
         waiting = [
             one.name
             for one in fields(Config)
-            if one.name not in LIVE and getattr(new, one.name) != getattr(self.config, one.name)
+            if one.name not in RELOADABLE_FIELDS and getattr(new, one.name) != getattr(self.config, one.name)
         ]
         if waiting:
             self.log.event(
@@ -298,7 +302,7 @@
         )
         if new.discovery != self.config.discovery:
             self.config = replace(self.config, discovery=new.discovery)
-            self.pool.post(NewAddress(new.discovery))
+            self.pool.post(DiscoveryAddressChanged(new.discovery))
         if contracts is not None and self.contract_stage is not None:
             self.contract_stage.apply(contracts)
             self.log.event("contracts", "reload: contracts of {teams} teams", teams=len(contracts.teams))
@@ -336,19 +340,19 @@
             if self.loop.clock() >= last - LAST:
                 for front in self.fronts:
                     front.post(Closing())
-            if passed > SURE and not self.fronts and not self.take_in():
+            if passed > SURE and not self.fronts and not self.accept_pending():
                 break
             yield Wait(until=min(last, self.loop.clock() + PAUSE))
 
-    def take_in(self) -> bool:
+    def accept_pending(self) -> bool:
         """Take what the system has accepted and this program has not yet; was there any?"""
         before = len(self.fronts)
         with contextlib.suppress(OSError):
             while True:
-                self.welcome(self.listener.accept()[0])
+                self.accept_client(self.listener.accept()[0])
         return len(self.fronts) > before
 
-    def welcome(self, sock: socket.socket) -> None:
+    def accept_client(self, sock: socket.socket) -> None:
         front = Front(self, sock)
         self.fronts.add(front)
         self.idle[front] = None
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -85,7 +85,9 @@
 @pytest.fixture
 def pools() -> Iterator[World]:
     one = World(POOLS, settings=TEAMS)
-    one.service.desks.news(one.service.pool.config.take(listed(one, s_1="k1", s_2="k2"), None))
+    one.service.pool_deciders.apply_update(
+        one.service.pool.config.apply(listed(one, s_1="k1", s_2="k2"), None)
+    )
     yield one
     one.close()
 
@@ -186,7 +188,7 @@
     where = {(front.ask.tenant, front.number) for front in pools.service.fronts if front.ask}
     assert where == {("n", numbers["s-1"]), ("m", numbers["s-2"])}
     gone = {"version": 2, "full": False, "servers": [World.server("s-2", pools.servers, "terminated")]}
-    pools.service.desks.news(pools.service.pool.config.take(gone))
+    pools.service.pool_deciders.apply_update(pools.service.pool.config.apply(gone))
     pools.play(asks(7, "m") + "c7 expect BUSY *\nc7 end\nc7 close\n" + up(8, "n", 7))
     assert " no-destinations " in pools.sink.getvalue() and held(pools) == {"x": 4, "y": 3}
 
@@ -201,7 +203,7 @@
             World.server("s-3", pools.servers, kind="k2"),
         ],
     }
-    pools.service.desks.news(pools.service.pool.config.take(rows))
+    pools.service.pool_deciders.apply_update(pools.service.pool.config.apply(rows))
     for _ in range(6):
         pools.wait(500)
     pools.play("c1 expect MOVE\nc1 end\nc2 quiet\nc1 close\n" + up(3, "m"))
@@ -247,9 +249,11 @@
     pools.play(
         "c2 expect MOVE\nc2 end\nc2 close\n" + up(3, "m") + "c1 quiet\n" + asks(4) + "d4 expect OPEN 4 *"
     )
-    pools.service.desks.news(pools.service.pool.config.take(listed(pools, s_1="k1", s_2="k2")))
+    pools.service.pool_deciders.apply_update(
+        pools.service.pool.config.apply(listed(pools, s_1="k1", s_2="k2"))
+    )
     pools.settle()
-    assert set(pools.service.desks.deciders) == {"all", "c"} and held(pools) == {"x": 2, "y": 1}
+    assert set(pools.service.pool_deciders.by_pool) == {"all", "c"} and held(pools) == {"x": 2, "y": 1}
 
 
 def test_a_drain_goes_on_through_a_reload(tmp_path: Path) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,8 +10,8 @@
 from wire import SETTINGS, World
 
 from snowwick.net import pool
-from snowwick.net.decider import PoolNews
-from snowwick.net.pool import WatchPool, number_of
+from snowwick.net.decider import PoolUpdate
+from snowwick.net.pool import WatchPool, destination_number
 
 STEP = 10.0  # ms
 
@@ -23,10 +23,10 @@
     one.close()
 
 
-def asks_once(world: World) -> list[PoolNews]:
+def asks_once(world: World) -> list[PoolUpdate]:
     """The decider asks for changes once and never again, however its call ends."""
-    told: list[PoolNews] = []
-    world.service.pool.tell = told.append
+    told: list[PoolUpdate] = []
+    world.service.pool.on_update = told.append
     world.service.pool.post(WatchPool())
     return told
 
@@ -51,7 +51,15 @@
 
 def test_bound_is_one_sum() -> None:
     """A watch falls silent with the news, the call on a new connection is refused, the next one brings it."""
-    assert pool.WATCH + pool.LATE + pool.FRESH + pool.AGAIN + pool.FRESH <= pool.TOLD == 6.0
+    assert (
+        pool.WATCH_HOLD_S
+        + pool.WATCH_OVERDUE_S
+        + pool.FIRST_CALL_EXTRA_S
+        + pool.RETRY_PAUSE_S
+        + pool.FIRST_CALL_EXTRA_S
+        <= pool.NEWS_DEADLINE_S
+        == 6.0
+    )
 
 
 def test_silent_watch_and_a_failed_call_after_it_still_leave_time_for_the_news(world: World) -> None:
@@ -60,12 +68,12 @@
     world.play("pool " + listing(world, 2, "s-1"))
     world.called("pool")  # the watch, held; from here on it is silent, and news comes to be
     slack = 0.05 + 5 * STEP / 1000.0
-    assert until_called(world, 3) <= pool.WATCH + pool.LATE + slack
+    assert until_called(world, 3) <= pool.WATCH_HOLD_S + pool.WATCH_OVERDUE_S + slack
     world.clock.now += 2.0  # that one is refused, as late as discovery does
     world.answer_call("pool", "fail")
-    assert until_called(world, 4) <= pool.AGAIN + slack
+    assert until_called(world, 4) <= pool.RETRY_PAUSE_S + slack
     world.answer_call("pool", listing(world, 3, "s-3"))
-    assert told[-1].entries[0].backend == number_of("s-3") and len(world.calls) == 4
+    assert told[-1].entries[0].backend == destination_number("s-3") and len(world.calls) == 4
 
 
 @pytest.mark.parametrize("end", ["fail", "reset", "closed", "dribbles", "half", "spoilt", "endless"])
@@ -88,7 +96,9 @@
             world.drip("pool", b" " if end == "dribbles" else b" " * 2000)
         world.called_now("pool")
         world.clock.now += STEP / 1000.0
-        assert world.clock.now < began + pool.WATCH + pool.FRESH + pool.AGAIN + 0.1, "not in time"
+        assert (
+            world.clock.now < began + pool.WATCH_HOLD_S + pool.FIRST_CALL_EXTRA_S + pool.RETRY_PAUSE_S + 0.1
+        ), "not in time"
     assert world.service.pool.config.version == 1, "something of it was applied"
 
 
@@ -109,9 +119,9 @@
     world.called("pool")
     assert world.calls[-1] == "pool /v1/endpoints?after=2&wait_ms=1000", "not on a connection of its own"
     world.answer_call("pool", listing(world, 3, "s-3"))
-    assert told[-1].entries[0].backend == number_of("s-3")
+    assert told[-1].entries[0].backend == destination_number("s-3")
     world.called("pool")
-    assert world.calls[-1] == f"pool /v1/endpoints?after=3&wait_ms={int(1000 * pool.WATCH)}"
+    assert world.calls[-1] == f"pool /v1/endpoints?after=3&wait_ms={int(1000 * pool.WATCH_HOLD_S)}"
 
 
 def test_late_second_answer_of_changes_is_not_taken_for_the_whole_list(world: World) -> None:
@@ -125,14 +135,17 @@
     )
     world.play("pool " + listing(world, 3, "s-1", "s-2", full=True))
     assert world.calls[-1] == "pool /v1/endpoints"
-    assert set(world.service.pool.config.addresses) == {number_of("s-1"), number_of("s-2")}
+    assert set(world.service.pool.config.addresses) == {destination_number("s-1"), destination_number("s-2")}
 
 
 def test_indented_list_is_read_like_any_other(world: World) -> None:
     told = asks_once(world)
     world.called("pool")
     world.answer_call("pool", listing(world, 2, "s-1", "s-3", full=True, indent=4).replace("\n", "\r\n"))
-    assert [entry.backend for entry in told[0].entries] == [number_of("s-1"), number_of("s-3")]
+    assert [entry.backend for entry in told[0].entries] == [
+        destination_number("s-1"),
+        destination_number("s-3"),
+    ]
 
 
 def test_discovery_is_called_while_idle_clients_hold_the_descriptors(world: World) -> None:
@@ -149,7 +162,7 @@
     crowded.play("c1 send OPEN 1 k1 d=1200,c=feed,t=n\nd1 expect OPEN *\nd1 send UP r\nc1 expect UP r")
     crowded.called("pool")
     crowded.answer_call("pool", listing(crowded, 2, "s-3"))
-    assert told[-1].entries[0].backend == number_of("s-3")
+    assert told[-1].entries[0].backend == destination_number("s-3")
     assert crowded.loop.sockets <= crowded.service.limit
     crowded.close()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 from snowwick.net.destination import Destination
 from snowwick.net.front import Closing, Front, MakeRoom
 from snowwick.net.loop import Actor, Steps
-from snowwick.net.pool import number_of
+from snowwick.net.pool import destination_number
 from snowwick.net.service import Service
 
 OPEN = "OPEN 1 k1 d=1200,c=feed,t=n,g=g1"
@@ -61,7 +61,7 @@
     world.until(lambda: not world.service.fronts)
     world.settle()
     balancer = world.service.decider.balancer
-    assert world.loop.sockets == 0 and not balancer.flows and not world.service.decider.held()
+    assert world.loop.sockets == 0 and not balancer.flows and not world.service.decider.connection_counts()
     assert "fault" not in world.sink.getvalue(), world.sink.getvalue()
 
 
@@ -159,7 +159,7 @@
         world.after_look(lambda: world.leave("c1"))
     else:
         world.leave("c1", reset=how == "reset")
-    front.post(RouteStep(number_of("s-1"), 500.0))
+    front.post(RouteStep(destination_number("s-1"), 500.0))
     nothing_is_left(world)
     assert not world.arrived
 
@@ -239,7 +239,7 @@
     """The front was resumed before the attempt that had read its UP."""
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
     world.put("d1", "UP r1")
-    world.service.decider.alarms.clear()
+    world.service.decider.timers.clear()
     front, ready = front_of(world), world.loop.ready
 
     def front_first() -> None:
@@ -289,7 +289,7 @@
 def test_server_that_hangs_after_its_up_loses_its_client_within_seven_seconds(
     world: World, said: str
 ) -> None:
-    world.service.gauge.tell = lambda _: None
+    world.service.delay_monitor.report = lambda _: None
     world.play(UP + "c1 send M 1\nd1 expect M 1\nc1 send M 2\nd1 expect M 2")
     if said:
         world.play(f"d1 part {said[:-1]}" if said.endswith("M") and len(said) > 1 else f"d1 send {said}")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,10 +15,17 @@
 import pytest
 from wire import SETTINGS, World, address, listener
 
-from snowwick.net.decider import PoolNews, Probed, Silent, Slow
-from snowwick.net.gauge import MOST_KEPT, Answers, Gauge, Meter, is_silent, message_delay
+from snowwick.net.decider import DestinationSilent, MessageDelay, PoolUpdate, ProbeAnswer
+from snowwick.net.delay_monitor import (
+    MAX_PENDING_LINES,
+    ConnectionTiming,
+    DestinationTiming,
+    Gauge,
+    is_silent,
+    message_delay,
+)
 from snowwick.net.loop import Loop
-from snowwick.net.pool import WatchPool, number_of
+from snowwick.net.pool import WatchPool, destination_number
 from snowwick.net.service import Acceptor
 
 OPEN = """
@@ -166,7 +173,7 @@
 
 def test_silent_destination_loses_its_client_within_seven_seconds(world: World) -> None:
     """A machine that vanished leaves its connections open: they must end even if no decision ends them."""
-    world.service.gauge.tell = lambda _: None
+    world.service.delay_monitor.report = lambda _: None
     world.play(
         UP + "c1 send M 1\nd1 expect M 1\nwait 5400\nc1 quiet\nwait 200\nc1 expect MOVE\nc1 end\nd1 end"
     )
@@ -299,16 +306,18 @@
     heard: list[object] = []
     decider = world.service.decider
     sockets, told = world.loop.sockets, decider.post
-    decider.post = lambda message: heard.append(message) if isinstance(message, Probed) else told(message)  # type: ignore[method-assign]
-    world.service.probe(number_of("s-1"), decider)
+    decider.post = lambda message: (  # type: ignore[method-assign]
+        heard.append(message) if isinstance(message, ProbeAnswer) else told(message)
+    )
+    world.service.probe(destination_number("s-1"), decider)
     world.play("d1 expect PING")
     world.clock.now += 0.007
     world.play(answer)
     world.until(lambda: heard)
     (probed,) = heard
-    assert isinstance(probed, Probed) and probed.elapsed == pytest.approx(elapsed, abs=0.01)
+    assert isinstance(probed, ProbeAnswer) and probed.elapsed_ms == pytest.approx(elapsed, abs=0.01)
     assert world.loop.sockets == sockets
-    world.service.probe(number_of("nobody"), decider)  # not in the list: nothing is asked
+    world.service.probe(destination_number("nobody"), decider)  # not in the list: nothing is asked
 
 
 def test_slow_reader_stops_the_other_side(world: World) -> None:
@@ -338,9 +347,9 @@
     assert bytes(read) == stream
 
 
-def news(world: World) -> list[PoolNews]:
-    told: list[PoolNews] = []
-    world.service.pool.tell = told.append
+def news(world: World) -> list[PoolUpdate]:
+    told: list[PoolUpdate] = []
+    world.service.pool.on_update = told.append
     world.service.pool.post(WatchPool())
     return told
 
@@ -354,7 +363,7 @@
     world.play(f"pool {gone}\npool {back}\npool {bad}")
     assert [one.kind.value for one in told] == ["changes", "full", "failed"]
     assert world.service.pool.config.version == 3
-    assert list(world.service.pool.config.addresses) == [number_of("s-2")]
+    assert list(world.service.pool.config.addresses) == [destination_number("s-2")]
 
 
 def test_entry_that_cannot_be_read_does_not_hide_the_others(world: World) -> None:
@@ -370,7 +379,7 @@
     world.play(f"pool {spoilt}")
     assert [one.kind.value for one in told] == ["failed"] and world.service.pool.config.version == 1
     world.play(f"wait 750\npool {spoilt}")  # the same again: it is meant so
-    assert [entry.backend for entry in told[1].entries] == [number_of("s-5")]
+    assert [entry.backend for entry in told[1].entries] == [destination_number("s-5")]
     assert said(world).count("call failed") == 1
 
 
@@ -403,7 +412,7 @@
     world.play("c1 send M 1\nd1 expect M 1\nd1 send M 1\nc1 expect M 1")
     assert world.calls[-2:] == ["pool2 /v1/endpoints", "pool2 /v1/endpoints?after=3&wait_ms=1000"]
     assert [one.kind.value for one in told] == ["full", "full"]
-    assert list(world.service.pool.config.addresses) == [number_of("s-2")]
+    assert list(world.service.pool.config.addresses) == [destination_number("s-2")]
 
 
 def test_reload_to_a_discovery_that_fails_asks_it_again_for_the_whole_list(world: World) -> None:
@@ -439,7 +448,7 @@
     world.settle()
 
 
-def goes_on(world: World, told: list[PoolNews]) -> None:
+def goes_on(world: World, told: list[PoolUpdate]) -> None:
     """The next call counts, and who stood before the one that failed has noticed nothing."""
     del world.socks["pool"]
     world.service.pool.post(WatchPool())
@@ -512,7 +521,9 @@
     assert [one.kind.value for one in told] == ["failed", "full"] and "entry left out" in said(world)
     entries = {entry.backend: entry for entry in told[1].entries}
     # Who is named but cannot be read stays as it was known: dropped, its clients would be moved for a typo.
-    assert entries.keys() == {number_of("s-1")} | ({number_of("s-2")} if change != {"id": None} else set())
+    assert entries.keys() == {destination_number("s-1")} | (
+        {destination_number("s-2")} if change != {"id": None} else set()
+    )
     assert all(entry.weight == 1.0 and entry.started == 0.0 for entry in entries.values())
 
 
@@ -522,7 +533,7 @@
     again = listing(world, 7, "s-1", full=False)
     world.play("pool " + listing(world, 7, "s-1", "s-2") + f"\npool {again}")
     assert [one.kind.value for one in told] == ["full", "changes"]
-    assert set(world.service.pool.config.addresses) == {number_of("s-1"), number_of("s-2")}
+    assert set(world.service.pool.config.addresses) == {destination_number("s-1"), destination_number("s-2")}
     world.settle()
     assert not world.got["pool"], "called again at once"
     world.wait(101)
@@ -538,7 +549,7 @@
     world.play("pool " + listing(world, 3, "s-2", "s-3"))
     world.called("pool")
     assert world.calls[-2:] == ["pool /v1/endpoints", "pool /v1/endpoints?after=3&wait_ms=1000"]
-    assert set(world.service.pool.config.addresses) == {number_of("s-2"), number_of("s-3")}
+    assert set(world.service.pool.config.addresses) == {destination_number("s-2"), destination_number("s-3")}
 
 
 def test_list_that_names_none_of_the_old_moves_their_clients_if_there_is_another(world: World) -> None:
@@ -572,24 +583,24 @@
         pass
 
 
-def meters_of_one(count: int) -> tuple[Answers, list[Meter]]:
-    answers = Answers()
-    return answers, [Meter(Nobody(), 1, answers) for _ in range(count)]
+def meters_of_one(count: int) -> tuple[DestinationTiming, list[ConnectionTiming]]:
+    answers = DestinationTiming()
+    return answers, [ConnectionTiming(Nobody(), 1, answers) for _ in range(count)]
 
 
 def test_hang_shows_in_the_first_line_that_waits() -> None:
     """Lines answered just before a hang once hid it for a second and more."""
     answers, meters = meters_of_one(9)
     for n, meter in enumerate(meters):
-        meter.sent(9.0 + 0.05 * n, 1)
-        meter.answered(9.001 + 0.05 * n)
+        meter.record_sent(9.0 + 0.05 * n, 1)
+        meter.record_reply(9.001 + 0.05 * n)
     found = message_delay(answers, 9.8)
     assert found is not None and round(found[0], 4) == 0.001
-    meters[0].sent(9.5, 1)
+    meters[0].record_sent(9.5, 1)
     found = message_delay(answers, 9.8)
     assert found is not None and round(found[0], 4) == 0.3
-    meters[1].sent(9.6, 1)
-    meters[1].answered(9.61)  # the destination answers: one connection alone says little of it
+    meters[1].record_sent(9.6, 1)
+    meters[1].record_reply(9.61)  # the destination answers: one connection alone says little of it
     found = message_delay(answers, 9.8)
     assert found is not None and found[0] < 0.02
     assert message_delay(answers, 20.0) is None, "what was answered long ago says nothing"
@@ -599,30 +610,30 @@
     """Clients of one that hung were moved a part a second, though nothing at all came back from it."""
     answers, meters = meters_of_one(2)
     for n, meter in enumerate(meters):
-        meter.sent(9.0 + n, 1)
+        meter.record_sent(9.0 + n, 1)
     assert is_silent(answers, 10.1) and not is_silent(answers, 9.4)
-    meters[0].answered(9.9)
+    meters[0].record_reply(9.9)
     assert not is_silent(answers, 10.2)
-    meters[0].sent(10.0, 1)
-    meters[0].sent(10.0, 10**9)
-    assert is_silent(answers, 11.6) and len(meters[0].asked) == MOST_KEPT
+    meters[0].record_sent(10.0, 1)
+    meters[0].record_sent(10.0, 10**9)
+    assert is_silent(answers, 11.6) and len(meters[0].pending) == MAX_PENDING_LINES
 
     told: list[object] = []
-    gauge = Gauge(Loop(clock=lambda: 50.0), told.append, 50.0)
-    held = [gauge.add(Nobody(), destination) for destination in (1, 1, 2, 2, 3)]
+    delay_monitor = Gauge(Loop(clock=lambda: 50.0), told.append, 50.0)
+    held = [delay_monitor.add(Nobody(), destination) for destination in (1, 1, 2, 2, 3)]
     for meter in held:
-        meter.sent(50.0, 1)
-    gauge.loop.clock = lambda: 50.6
-    gauge.look_for_silence()
+        meter.record_sent(50.0, 1)
+    delay_monitor.loop.clock = lambda: 50.6
+    delay_monitor.report_silent()
     assert not told  # two of three at once: rather this program was held up
     for meter in held[2:4]:
-        meter.answered(50.6)
-    gauge.look_for_silence()
-    gauge.look_for_silence()
-    assert told == [Silent(1)]
+        meter.record_reply(50.6)
+    delay_monitor.report_silent()
+    delay_monitor.report_silent()
+    assert told == [DestinationSilent(1)]
     for meter in held:
-        gauge.remove(meter)
-    assert not gauge.answers
+        delay_monitor.remove(meter)
+    assert not delay_monitor.timings
 
 
 def test_look_at_what_stands_and_says_nothing_costs_nothing() -> None:
@@ -634,16 +645,16 @@
             looked.append(self)
             return len(self) > 0
 
-    gauge = Gauge(Loop(clock=lambda: 50.0), looked.append, 50.0)
-    held = [gauge.add(Nobody(), 1) for _ in range(1000)]
+    delay_monitor = Gauge(Loop(clock=lambda: 50.0), looked.append, 50.0)
+    held = [delay_monitor.add(Nobody(), 1) for _ in range(1000)]
     for meter in held:
-        meter.asked = Counted()
-        meter.sent(50.0, 1)
-        meter.answered(50.001)
-    held[0].sent(50.1, 1)
+        meter.pending = Counted()
+        meter.record_sent(50.0, 1)
+        meter.record_reply(50.001)
+    held[0].record_sent(50.1, 1)
     looked.clear()
-    gauge.loop.clock = lambda: 50.2
-    gauge.look_for_silence()
+    delay_monitor.loop.clock = lambda: 50.2
+    delay_monitor.report_silent()
     assert 0 < len(looked) <= 2
 
 
@@ -651,12 +662,14 @@
     """The wire has no note of a delay: a line that waits must count before it is answered."""
     world.play(UP)
     told: list[object] = []
-    world.service.gauge.tell = told.append
+    world.service.delay_monitor.report = told.append
     world.play(
         "wait 500\nc1 send M 1\nd1 expect M 1\nwait 600\nwait 1000\nd1 send M 1\nc1 expect M 1\n"
         "wait 1000\nc1 send M 2\nd1 expect M 2\nd1 send M 2\nc1 expect M 2\nwait 950\nwait 1000"
     )
-    assert [round(m.delay) for m in told if isinstance(m, Slow)] == [600, 1600, 0] and len(told) == 3
+    assert [round(m.delay_ms) for m in told if isinstance(m, MessageDelay)] == [600, 1600, 0] and len(
+        told
+    ) == 3
 
 
 REPORTS: dict[str, Any] = {
@@ -689,17 +702,17 @@
     answer: str, elapsed: float, load: float
 ) -> None:
     world = World(settings={**SETTINGS, **REPORTS})
-    heard: list[Probed] = []
+    heard: list[ProbeAnswer] = []
     post = world.service.decider.post
     world.service.decider.post = lambda message: (  # type: ignore[method-assign]
-        heard.append(message) if isinstance(message, Probed) else post(message)
+        heard.append(message) if isinstance(message, ProbeAnswer) else post(message)
     )
-    world.service.probe(number_of("s-1"), world.service.decider)
+    world.service.probe(destination_number("s-1"), world.service.decider)
     world.play("d1 expect STATS")
     world.clock.now += 0.007
     world.play(answer)
     world.until(lambda: heard)
-    assert (round(heard[0].elapsed, 3), heard[0].load) == (elapsed, load)
+    assert (round(heard[0].elapsed_ms, 3), heard[0].load) == (elapsed, load)
     world.close()
 
 
@@ -721,6 +734,6 @@
     world.wait(126)
     world.play("pool " + listing(world, 2, "s-1"))
     assert len(world.calls) == 6 and set(world.calls) == {"pool /v1/endpoints?after=1&wait_ms=0"}
-    assert list(world.service.pool.config.addresses) == [number_of("s-1")]
+    assert list(world.service.pool.config.addresses) == [destination_number("s-1")]
     assert world.sink.getvalue().count("call failed") == 1
     world.close()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -24,9 +24,11 @@
     """Its module kept the quotas of the former contract, and so its guess of what servers hold."""
     world = World(POOLS, settings=QUOTAS)
     rows = [world.server("s-1", world.servers, kind="k1"), world.server("s-2", world.servers, kind="k2")]
-    world.service.desks.news(world.service.pool.config.take({"version": 2, "full": True, "servers": rows}))
+    world.service.pool_deciders.apply_update(
+        world.service.pool.config.apply({"version": 2, "full": True, "servers": rows})
+    )
     world.settle()
-    modules = {name: one.balancer for name, one in world.service.desks.deciders.items()}
+    modules = {name: one.balancer for name, one in world.service.pool_deciders.by_pool.items()}
     assert {name: one.quota for name, one in modules.items()} == {"all": 100.0, "b": 30.0}
     unit = modules["b"].unit
     assert unit < math.inf
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -132,7 +132,7 @@
         self.service = Service(
             self.config(self.setup),
             Loop(log, self.clock),
-            read_again=lambda: self.config(self.setup),
+            reload_config=lambda: self.config(self.setup),
             contracts=self.read_contracts if contracts else None,
         )
         self.loop = self.service.loop
