--- a/crowgap/benchlink.py
+++ b/crowgap/benchlink.py
@@ -32,7 +32,7 @@
 LIST_KINDS = {
     "update": i.ListKind.CHANGES,
     "replace": i.ListKind.FULL,
-    "restored": i.ListKind.REMEMBERED,
+    "restored": i.ListKind.RESTORED,
     "unavailable": i.ListKind.FAILED,
 }
 LOAD_FIELD = "over what it can do"  # how the settings describe the field that `Settings.loads` is about
@@ -55,11 +55,11 @@
             name=one["name"],
             aim=one.get("aim", one["deadline"]),
             deadline=one["deadline"],
-            worth=one.get("points", 1.0),
+            priority=one.get("points", 1.0),
             message_aim=message_aims[at] if at < len(message_aims) else 0.0,
             effect=EFFECTS[one.get("effect", "non_idempotent")],
-            scope=i.Scope(one.get("keyScope", "all")),
-            memory=one.get("memorySpan", 0.0),
+            deduplication_scope=i.DeduplicationScope(one.get("keyScope", "all")),
+            deduplication_window=one.get("memorySpan", 0.0),
         )
         for at, one in enumerate(setup.get("classes", []))
     )
@@ -74,24 +74,24 @@
         index=setup.get("selfIndex", 0),
         zone=setup.get("zone", ""),
         tenants=tenants,
-        must_ask=setup.get("registryMode") == "on_request",
-        ask_every=rules.get("askEvery", 10000.0),
+        must_subscribe=setup.get("registryMode") == "on_request",
+        list_refresh_interval=rules.get("askEvery", 10000.0),
         max_attempts=limits.get("mostTries", 1),
         connect_timeout=limits.get("connectTimeout", 250.0),
         max_retry_after=limits.get("maxRetryAfter", 0.0) if limits.get("retryAfter") else 0.0,
-        cold_time=rules.get("cold", 0.0),
-        cold_from=rules.get("coldFrom", 1.0),
-        fall_multiple=rules.get("fallMultiple", 1.0),
-        overload_for=rules.get("overloadFor", 1000.0),
+        warmup_time=rules.get("cold", 0.0),
+        warmup_start_capacity=rules.get("coldFrom", 1.0),
+        collapse_multiple=rules.get("fallMultiple", 1.0),
+        overload_window=rules.get("overloadFor", 1000.0),
         drain_grace=rules.get("drainGrace", 3000.0),
-        loads=load_at(setup) is not None,
+        load_reported=load_field_index(setup) is not None,
         live_weights=setup.get("weights") == "live",
-        probes=bool(limits.get("probes", False)),
-        tick=setup.get("tick", 1.0),
+        probes_allowed=bool(limits.get("probes", False)),
+        timer_resolution=setup.get("tick", 1.0),
     )
 
 
-def load_at(setup: Wire) -> int | None:
+def load_field_index(setup: Wire) -> int | None:
     """Where in a load report the load asked of a server over what it can do stands, if it does."""
     fields = setup.get("report", {}).get("fields") or []
     meaning = setup.get("familyInfo", {})
@@ -132,8 +132,8 @@
     )
 
 
-def _carried(e: Wire) -> i.Carried:
-    return i.Carried(
+def _carried(e: Wire) -> i.ExistingConnection:
+    return i.ExistingConnection(
         e["msgId"],
         e["type"],
         e["backend"],
@@ -147,10 +147,10 @@
     return i.Established(e["msgId"], e.get("attempt", 0), e["backend"], e.get("delaySeen", 0.0))
 
 
-def _note(e: Wire) -> i.DelayNote | i.LoadNote | None:
+def _note(e: Wire) -> i.DelayReport | i.LoadReport | None:
     if e["what"] == LOAD_CHANGED:
-        return i.LoadNote(e["msgId"], e["backend"], e["amount"])
-    return i.DelayNote(e["msgId"], e["backend"], e["amount"]) if e["what"] == MESSAGE_DELAY else None
+        return i.LoadReport(e["msgId"], e["backend"], e["amount"])
+    return i.DelayReport(e["msgId"], e["backend"], e["amount"]) if e["what"] == MESSAGE_DELAY else None
 
 
 def _ended(e: Wire) -> i.Ended:
@@ -164,20 +164,20 @@
     )
 
 
-def _gone(e: Wire) -> i.Gone:
-    return i.Gone(e["msgId"])
+def _gone(e: Wire) -> i.ClientLeft:
+    return i.ClientLeft(e["msgId"])
 
 
 def _timer(e: Wire) -> i.TimerDue:
     return i.TimerDue(e.get("cookie", 0))
 
 
-def _probed(e: Wire, load: int | None = None) -> i.Probed:
+def _probed(e: Wire, load: int | None = None) -> i.ProbeResult:
     if OUTCOMES[e.get("code", 0)] is not i.Outcome.OK:
-        return i.Probed(e["backend"], -1.0)
+        return i.ProbeResult(e["backend"], -1.0)
     row = e.get("gauge") or []
     told = row[load] if load is not None and load < len(row) else None
-    return i.Probed(e["backend"], e.get("delaySeen", 0.0), -1.0 if told is None else float(told))
+    return i.ProbeResult(e["backend"], e.get("delaySeen", 0.0), -1.0 if told is None else float(told))
 
 
 EVENTS: dict[str, Callable[[Wire], i.Event | None]] = {
@@ -237,7 +237,7 @@
             setup, salt = event["setup"], int(event["salt"])
             try:
                 self.balancers[instance] = Balancer(settings_from(setup), salt)
-                self.loads[instance] = load_at(setup)
+                self.loads[instance] = load_field_index(setup)
             except ValueError as error:
                 self.balancers[instance] = None
                 out.append(crash(instance, error))
--- a/crowgap/interface.py
+++ b/crowgap/interface.py
@@ -18,7 +18,7 @@
     UNSAFE = "unsafe"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which backends drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -39,7 +39,7 @@
     UNSENT = "unsent"
 
 
-UNRUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.UNSENT)  # that prove that the request never ran
+NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.UNSENT)  # that prove that the request never ran
 
 
 class State(Enum):
@@ -55,7 +55,7 @@
 
     CHANGES = "changes"
     FULL = "full"
-    REMEMBERED = "remembered"
+    RESTORED = "remembered"
     FAILED = "failed"
 
 
@@ -66,11 +66,11 @@
     name: str
     aim: float
     deadline: float
-    worth: float = 1.0
+    priority: float = 1.0
     message_aim: float = 0.0
     effect: Effect = Effect.SAFE
-    scope: Scope = Scope.ALL
-    memory: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,20 +90,20 @@
     index: int = 0
     zone: str = ""
     tenants: tuple[Tenant, ...] = ()
-    must_ask: bool = False
-    ask_every: float = 10000.0
+    must_subscribe: bool = False
+    list_refresh_interval: float = 10000.0
     max_attempts: int = 3
     connect_timeout: float = 250.0
     max_retry_after: float = 0.0
-    cold_time: float = 0.0
-    cold_from: float = 1.0
-    fall_multiple: float = 2.0
-    overload_for: float = 1000.0
+    warmup_time: float = 0.0
+    warmup_start_capacity: float = 1.0
+    collapse_multiple: float = 2.0
+    overload_window: float = 1000.0
     drain_grace: float = 3000.0
-    loads: bool = False  # a probe's answer tells the load asked of a backend over what it can do
+    load_reported: bool = False  # a probe's answer tells the load asked of a backend over what it can do
     live_weights: bool = False
-    probes: bool = False
-    tick: float = 1.0
+    probes_allowed: bool = False
+    timer_resolution: float = 1.0
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -113,21 +113,21 @@
         if self.max_attempts < 1:
             raise ValueError("max_attempts: at least 1 is needed")
         for name in (
-            "ask_every",
+            "list_refresh_interval",
             "connect_timeout",
             "max_retry_after",
-            "cold_time",
-            "overload_for",
+            "warmup_time",
+            "overload_window",
             "drain_grace",
-            "tick",
+            "timer_resolution",
         ):
             if not getattr(self, name) >= 0:
                 raise ValueError(f"{name}: must not be negative")
-        for name in ("cold_from", "fall_multiple"):
+        for name in ("warmup_start_capacity", "collapse_multiple"):
             if not getattr(self, name) > 0:
                 raise ValueError(f"{name}: must be positive")
         for one in self.classes:
-            if not (one.deadline > 0 and one.aim >= 0 and one.memory >= 0):
+            if not (one.deadline > 0 and one.aim >= 0 and one.deduplication_window >= 0):
                 raise ValueError(f"classes: {one.name!r} needs a positive deadline and no negative time")
 
 
@@ -165,7 +165,7 @@
 
 
 @dataclass(slots=True)
-class Carried:
+class ExistingConnection:
     """A connection that stood through this balancer when it started; its attempt is number 0."""
 
     request: int
@@ -187,7 +187,7 @@
 
 
 @dataclass(slots=True)
-class DelayNote:
+class DelayReport:
     """News of an open connection: how long a message takes at its backend now."""
 
     request: int
@@ -196,7 +196,7 @@
 
 
 @dataclass(slots=True)
-class LoadNote:
+class LoadReport:
     """News of an open connection: the work a second that it asks for now, in any one unit."""
 
     request: int
@@ -205,7 +205,7 @@
 
 
 @dataclass(slots=True)
-class Silent:
+class BackendSilent:
     """Nothing comes back from a backend on any connection, though messages wait on several."""
 
     backend: int
@@ -224,14 +224,14 @@
 
 
 @dataclass(slots=True)
-class Gone:
+class ClientLeft:
     """The client left."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeResult:
     """A probe has ended: ``elapsed`` is the time of its answer alone, or -1 where none came.
 
     ``load`` is what the backend reports: the load asked of it over what it can do; -1 where it does not.
@@ -252,15 +252,15 @@
 Event = (
     ListUpdate
     | Request
-    | Carried
+    | ExistingConnection
     | Established
-    | DelayNote
-    | LoadNote
-    | Silent
+    | DelayReport
+    | LoadReport
+    | BackendSilent
     | Ended
-    | Gone
+    | ClientLeft
     | TimerDue
-    | Probed
+    | ProbeResult
 )
 
 
--- a/snowwick/config.py
+++ b/snowwick/config.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowgap.benchlink import load_at, settings_from
+from crowgap.benchlink import load_field_index, settings_from
 from crowgap.interface import Settings
 from snowwick.net.pool import parse_address
 
@@ -141,7 +141,7 @@
 
 
 def _load_field(setup: dict[str, Any]) -> str:
-    at = load_at(setup)
+    at = load_field_index(setup)
     return "" if at is None else str(setup["report"]["fields"][at])
 
 
--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from crowgap import interface as i
-from crowgap.interface import UNRUN as UNRUN
+from crowgap.interface import NOT_EXECUTED as NOT_EXECUTED
 from crowgap.policy import Balancer
 from snowwick.net.loop import Actor, Loop, Steps, Wait
 
@@ -208,11 +208,13 @@
         if isinstance(m, Arrived):
             return i.Request(self._number(m.client, 0), m.class_name, m.patience, m.key, m.group, m.tenant)
         if isinstance(m, Kept):
-            return i.Carried(self._number(m.client, 1), m.class_name, m.destination, m.key, m.group, m.tenant)
+            return i.ExistingConnection(
+                self._number(m.client, 1), m.class_name, m.destination, m.key, m.group, m.tenant
+            )
         if isinstance(m, Silent):
-            return i.Silent(m.destination)
+            return i.BackendSilent(m.destination)
         if isinstance(m, Probed):
-            return i.Probed(m.destination, m.elapsed, m.load)
+            return i.ProbeResult(m.destination, m.elapsed, m.load)
         assert isinstance(m, StepUp | StepEnded | Left | Slow | Load)
         number = self.numbers.get(m.client)
         if number is None:
@@ -226,18 +228,18 @@
                 self._drop(number)
             return i.Ended(number, step, m.destination, m.outcome, m.elapsed, m.final)
         if isinstance(m, Slow):
-            return i.DelayNote(number, m.destination, m.delay)
+            return i.DelayReport(number, m.destination, m.delay)
         if isinstance(m, Load):
-            return i.LoadNote(number, m.destination, m.load)
+            return i.LoadReport(number, m.destination, m.load)
         if not m.step_out:
             self._drop(number)
-        return i.Gone(number)
+        return i.ClientLeft(number)
 
     def renew(self, settings: i.Settings) -> None:
         """Other tenants from now on; what their quotas say of capacity is reckoned with the next list."""
         self.balancer.settings = settings
-        self.balancer.quota = sum(one.quota for one in settings.tenants)
-        self.balancer.unit, self.balancer.planned = math.inf, False
+        self.balancer.total_quota = sum(one.quota for one in settings.tenants)
+        self.balancer.capacity_per_weight, self.balancer.plan_is_current = math.inf, False
 
     def held(self) -> dict[int, int]:
         """How many connections stand or are being set up at each destination."""
@@ -266,11 +268,11 @@
                 error=f"{type(error).__name__}: {error}",
             )
             # What was decided before it holds: without its timer the monitor would never look again.
-            actions = list(self.balancer.out)
+            actions = list(self.balancer.pending_actions)
             if isinstance(event, i.Request) and not any(
                 getattr(action, "request", None) == event.request for action in actions
             ):
-                self._handle(i.Gone(event.request))
+                self._handle(i.ClientLeft(event.request))
                 actions.append(i.Fail(event.request))  # given up, so answered at once
         for action in actions:
             self._carry_out(action)
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -8,7 +8,7 @@
 
 from snowwick.net import lines
 from snowwick.net.decider import (
-    UNRUN,
+    NOT_EXECUTED,
     BusyReply,
     FailReply,
     Left,
@@ -196,7 +196,7 @@
                     return None
                 elif isinstance(message, Over):
                     self.step = None
-                    self.ran = self.ran or message.outcome not in UNRUN
+                    self.ran = self.ran or message.outcome not in NOT_EXECUTED
                     if not self.asked:
                         self.reason = f"kept-{message.outcome.value}"
                         return lines.ERR
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -118,7 +118,7 @@
                 spoilt.append(f"{type(error).__name__} {error}")
                 if isinstance(one, dict) and isinstance(one.get("id"), str):
                     kept.append(number_of(one["id"]))
-        if spoilt and spoilt != self.spoilt and kind is not i.ListKind.REMEMBERED:
+        if spoilt and spoilt != self.spoilt and kind is not i.ListKind.RESTORED:
             self.spoilt = spoilt
             raise CallFailed(f"{len(spoilt)} entries cannot be read: {spoilt[0]}")
         for error_text in spoilt:
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -128,7 +128,7 @@
             config.discovery,
             self.desks.news,
             self.random.random,
-            None if settings.must_ask else settings.drain_grace / 1000.0,
+            None if settings.must_subscribe else settings.drain_grace / 1000.0,
         )
         self.gauge = Gauge(self.loop, self.desks.hear, config.message_aim_ms)
         self.read_fleet = fleet
@@ -253,7 +253,7 @@
         if self.fleet is not None:
             self.fleet.start()
         try:
-            self.desks.news(self.pool.config.take(self.config.known, ListKind.REMEMBERED))
+            self.desks.news(self.pool.config.take(self.config.known, ListKind.RESTORED))
         except CallFailed as error:
             self.log.event("bad-list", "known: {error}", error=str(error))
         Acceptor(self, self.listener).start()
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -12,15 +12,15 @@
 from crowgap import interface as i
 from crowgap.policy import Balancer
 
-SAFE = i.RequestClass("feed", aim=300.0, deadline=1200.0, worth=5.0, message_aim=100.0)
+SAFE = i.RequestClass("feed", aim=300.0, deadline=1200.0, priority=5.0, message_aim=100.0)
 BASE = i.Settings(
     classes=(SAFE,),
     balancers=1,
     max_attempts=5,
     max_retry_after=1000.0,
-    cold_time=20000.0,
-    cold_from=0.2,
-    fall_multiple=2.5,
+    warmup_time=20000.0,
+    warmup_start_capacity=0.2,
+    collapse_multiple=2.5,
 )
 FINAL = (i.Refuse, i.Fail)
 
@@ -39,7 +39,7 @@
         self.timers: list[tuple[float, int]] = []
         self.attempts: dict[int, int] = {}
         if backends:
-            self.put(i.ListUpdate(i.ListKind.REMEMBERED, ready(*range(1, backends + 1))))
+            self.put(i.ListUpdate(i.ListKind.RESTORED, ready(*range(1, backends + 1))))
 
     def put(self, event: i.Event) -> list[i.Action]:
         actions = self.balancer.handle(self.now, event)
@@ -82,7 +82,7 @@
                 if isinstance(action, i.Send):
                     self.end(action, i.Outcome.TIMEOUT)
             self.run(self.now + 20.0)
-        assert self.balancer.throttle.on
+        assert self.balancer.throttle.active
 
 
 class Fleet:
@@ -94,7 +94,7 @@
             Bench(seed * 1000 + n, 0, self.now, **changes, balancers=balancers) for n in range(balancers)
         ]
         for bench in self.benches:
-            bench.put(i.ListUpdate(i.ListKind.REMEMBERED, entries))
+            bench.put(i.ListUpdate(i.ListKind.RESTORED, entries))
         # Uneven traffic: some see several times what others do.
         self.weights = [self.random.gammavariate(2.0, 1.0) for _ in self.benches]
         self.standing: dict[tuple[str, str], tuple[Bench, i.Send]] = {}
@@ -112,8 +112,8 @@
         for action in actions:  # grows as probes are answered
             if isinstance(action, i.Probe):
                 asked = bench.balancer.backends[action.backend]
-                busy = self.loads[asked.id] / bench.balancer._warm(asked)
-                actions += bench.put(i.Probed(asked.id, 2.0 + 0.01 * busy**2, load(asked.id)))
+                busy = self.loads[asked.id] / bench.balancer._capacity_fraction(asked)
+                actions += bench.put(i.ProbeResult(asked.id, 2.0 + 0.01 * busy**2, load(asked.id)))
             elif isinstance(action, i.Send):
                 bench.stand(action)
                 self.standing[group, client] = bench, action
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -12,16 +12,16 @@
 
 WARM, COLD, CLIENTS = 20, 10, 900
 SETTINGS: dict[str, Any] = {
-    "cold_time": 14000.0,
-    "cold_from": 0.2,
-    "fall_multiple": 3.0,
-    "overload_for": 2000.0,
+    "warmup_time": 14000.0,
+    "warmup_start_capacity": 0.2,
+    "collapse_multiple": 3.0,
+    "overload_window": 2000.0,
 }
 
 
 def most_at_a_cold_server(balancers: int, age: float) -> int:
     entries = ready(*range(1, WARM + 1)) + ready(*range(101, 101 + COLD), started=1000.0 - age)
-    fleet = Fleet(balancers, entries, probes=True, **SETTINGS)
+    fleet = Fleet(balancers, entries, probes_allowed=True, **SETTINGS)
     names = [(f"g{n % 40}", f"c{n}") for n in range(CLIENTS)]
     for group, client in fleet.random.sample(names, len(names)):
         fleet.now += 1500.0 / len(names)
@@ -51,13 +51,13 @@
     every balancer.  The budget is read as above, the fleet two fifths full.
     """
     settings: dict[str, Any] = {
-        "cold_time": 15000.0,
-        "cold_from": 0.25,
-        "fall_multiple": 2.0,
-        "overload_for": 1000.0,
+        "warmup_time": 15000.0,
+        "warmup_start_capacity": 0.25,
+        "collapse_multiple": 2.0,
+        "overload_window": 1000.0,
     }
     warm, cold = range(1, 9), range(101, 104)
-    fleet = Fleet(balancers, ready(*warm), probes=True, **settings)
+    fleet = Fleet(balancers, ready(*warm), probes_allowed=True, **settings)
     for n in range(240):
         fleet.now += 20.0
         fleet.come(f"g{n % 20}", f"c{n}")
@@ -85,8 +85,8 @@
 @pytest.mark.parametrize("balancers", [1, 30, 200])
 def test_where_all_servers_are_cold_each_takes_a_client_all_the_same(balancers: int) -> None:
     """A bound by chance alone would leave a balancer that knows nothing without any server."""
-    bench = Bench(backends=0, balancers=balancers, cold_time=15000.0)
-    bench.put(i.ListUpdate(i.ListKind.REMEMBERED, ready(*range(1, 9), started=bench.now - 500.0)))
+    bench = Bench(backends=0, balancers=balancers, warmup_time=15000.0)
+    bench.put(i.ListUpdate(i.ListKind.RESTORED, ready(*range(1, 9), started=bench.now - 500.0)))
     sent = [
         action.backend for n in range(20) for action in bench.ask(n, f"g{n}") if isinstance(action, i.Send)
     ]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -145,7 +145,7 @@
 
 def waits(world: World, monkeypatch: pytest.MonkeyPatch) -> Front:
     """A request that the module holds."""
-    monkeypatch.setattr(world.service.decider.balancer, "_choose", lambda flow: None)
+    monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
     world.play(f"c1 send {OPEN}\nc1 quiet")
     return front_of(world)
 
@@ -173,11 +173,11 @@
     world.leave("c1")
     (flow,) = balancer.flows.values()
     world.first(front)
-    world.after_look(lambda: setattr(balancer, "pump_at", 0.0))
+    world.after_look(lambda: setattr(balancer, "buffer_check_at", 0.0))
     balancer.throttle.waiting = []
-    balancer.now, balancer.out = world.service.now_ms(), []
-    assert balancer._send(flow, asked=True)
-    for action in balancer.out:
+    balancer.now, balancer.pending_actions = world.service.now_ms(), []
+    assert balancer._start_attempt(flow, probed=True)
+    for action in balancer.pending_actions:
         world.service.decider._carry_out(action)
     nothing_is_left(world)
     assert not world.arrived
@@ -452,7 +452,7 @@
     classes = [{"name": "feed", "aim": 300.0, "deadline": 9000.0, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     if not ran:
-        monkeypatch.setattr(world.service.decider.balancer, "_choose", lambda flow: None)
+        monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
     world.play("c1 send OPEN 1 k1 d=9000,c=feed,t=n\nc1 quiet" + "\nd1 expect OPEN *" * ran)
     ending = Ending(world.service)
     assert passes(world, lambda: world.got["c1"], 3.5) >= 3.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from harness import Fleet, ready
 
 from crowgap import interface as i
-from crowgap.policy import COLD_SAFETY, GROUP
+from crowgap.policy import COLD_BUDGET_FRACTION, GROUP_COST_CONNECTIONS
 
 BACKENDS, CLIENTS = 40, 800
 
@@ -14,7 +14,10 @@
 def played(balancers: int, probes: bool) -> Fleet:
     """Twice as many come as stand, in groups as large as they usually are: by Zipf."""
     fleet = Fleet(
-        balancers, ready(*range(1, BACKENDS + 1)), tenants=(i.Tenant("t", 2.0 * CLIENTS),), probes=probes
+        balancers,
+        ready(*range(1, BACKENDS + 1)),
+        tenants=(i.Tenant("t", 2.0 * CLIENTS),),
+        probes_allowed=probes,
     )
     names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.2 * CLIENTS / rank))]
     for _ in range(2):
@@ -32,7 +35,7 @@
     Guards against taking a group that was seen once for a large one: at 200 balancers all are seen once.
     """
     fleet = played(balancers, probes=False)
-    assert GROUP * fleet.pairs() < 0.8 * len(fleet.standing)
+    assert GROUP_COST_CONNECTIONS * fleet.pairs() < 0.8 * len(fleet.standing)
 
 
 @pytest.mark.parametrize("balancers", [2, 200])
@@ -53,12 +56,12 @@
     fleet = Fleet(
         balancers,
         ready(*range(1, warm + 1)) + ready(cold, started=1000.0),
-        probes=True,
+        probes_allowed=True,
         tenants=(i.Tenant("t", 1.8 * clients),),
-        cold_time=8800.0,
-        cold_from=0.3,
-        fall_multiple=3.0,
-        overload_for=3000.0,
+        warmup_time=8800.0,
+        warmup_start_capacity=0.3,
+        collapse_multiple=3.0,
+        overload_window=3000.0,
     )
     names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.23 * clients / rank))]
     for group, client in fleet.random.sample(names, len(names)):
@@ -79,7 +82,7 @@
         bench.run(fleet.now + 3000.0)
         bench.actions.clear()
         held = {flow.id for flow in bench.balancer.backends[silent].flows.values() if flow.open}
-        bench.put(i.Silent(silent))
+        bench.put(i.BackendSilent(silent))
         assert {move.request for move in bench.all(i.Move)} == held
         tried.append(bench.balancer.backends[silent].down_until - bench.now)
     assert min(tried) >= 0.5 * 250.0 and (len(tried) < 10 or max(tried) - min(tried) >= 200.0)
@@ -92,18 +95,18 @@
     fleet = Fleet(
         balancers,
         ready(*range(1, warm + 1)) + ready(cold, started=1000.0),
-        probes=True,
-        loads=True,
-        cold_time=24000.0,
-        cold_from=0.14,
-        fall_multiple=3.0,
-        overload_for=3000.0,
+        probes_allowed=True,
+        load_reported=True,
+        warmup_time=24000.0,
+        warmup_start_capacity=0.14,
+        collapse_multiple=3.0,
+        overload_window=3000.0,
     )
     for bench in fleet.benches:
         for backend in (*range(1, warm + 1), cold):
-            bench.put(i.Probed(backend, 2.0, 0.0 if backend == cold else 0.5))
+            bench.put(i.ProbeResult(backend, 2.0, 0.0 if backend == cold else 0.5))
     names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.23 * clients / rank))]
     for group, client in fleet.random.sample(names, len(names)):
         fleet.now += 1500.0 / len(names)
         fleet.come(group, client, load=lambda b: 0.0 if b == cold else 0.5)
-    assert fleet.loads[cold] <= 0.14 * COLD_SAFETY * len(names), "a part of the clients, by the hash"
+    assert fleet.loads[cold] <= 0.14 * COLD_BUDGET_FRACTION * len(names), "a part of the clients, by the hash"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -282,12 +282,12 @@
 ) -> None:
     balancer = world.service.decider.balancer
     with monkeypatch.context() as patched:
-        patched.setattr(balancer, "_choose", lambda flow: 1 / 0)
-        patched.setattr(balancer, "_fetch", lambda: 1 / 0)
+        patched.setattr(balancer, "_choose_backend", lambda flow: 1 / 0)
+        patched.setattr(balancer, "_move_to_new_backends", lambda: 1 / 0)
         world.play("c1 send OPEN 1 k1 d=1200,c=feed,t=n\nc1 expect ERR\nc1 end")
         world.wait(2000)
     looks = iter(range(9))
-    monkeypatch.setattr(balancer, "_fetch", lambda: next(looks) and None)
+    monkeypatch.setattr(balancer, "_move_to_new_backends", lambda: next(looks) and None)
     world.wait(2000)
     assert next(looks) == 1 and not balancer.flows, "the monitor looks on, and nothing is left of the request"
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,16 @@
 from harness import SAFE, Bench, ready
 
 from crowgap import interface as i
-from crowgap.policy import ACROSS, FEW, HEAD, HOLD, QUOTAS, SHRINK, SPLIT, TOTAL
+from crowgap.policy import (
+    BANK_AND_BUFFER_SLOTS,
+    BANK_AT_TURN_ON_TOKENS,
+    BUFFER_SHRINK_DELAY_MS,
+    BUFFER_SHRINK_MS,
+    CROSS_ZONE_LOAD,
+    GROUP_SPLIT_LOAD,
+    QUOTA_FRACTION_OF_CAPACITY,
+    RANKS_KEPT,
+)
 
 
 def sends(actions: list[i.Action]) -> list[i.Send]:
@@ -48,7 +57,7 @@
     place(fresh, 1, "g")
     (cached,) = bench.balancer.groups.values()
     (new,) = fresh.balancer.groups.values()
-    assert cached.head == new.head and len(new.head) == HEAD
+    assert cached.head == new.head and len(new.head) == RANKS_KEPT
 
 
 def test_heavier_backends_get_more() -> None:
@@ -69,7 +78,7 @@
             else:
                 bench.stand(send)
         bench.run(bench.now + 10.0)
-    assert not bench.balancer.throttle.on
+    assert not bench.balancer.throttle.active
     assert len(bench.all(i.Send)) >= 300 and not bench.all(i.Refuse)
 
 
@@ -77,11 +86,19 @@
     bench = Bench()
     bench.overload()
     throttle = bench.balancer.throttle
-    assert throttle.bank(throttle.since) == FEW
-    assert throttle.bank(throttle.since + HOLD + SHRINK) == TOTAL
-    throttle.rate, throttle.tokens, throttle.since, throttle.waiting = 0.0001, 0.0, bench.now, []
+    assert throttle.bank_capacity(throttle.turned_on_at) == BANK_AT_TURN_ON_TOKENS
+    assert (
+        throttle.bank_capacity(throttle.turned_on_at + BUFFER_SHRINK_DELAY_MS + BUFFER_SHRINK_MS)
+        == BANK_AND_BUFFER_SLOTS
+    )
+    throttle.refill_rate, throttle.tokens, throttle.turned_on_at, throttle.waiting = (
+        0.0001,
+        0.0,
+        bench.now,
+        [],
+    )
     before = len(bench.all(i.Refuse))
-    for n in range(int(TOTAL - FEW)):
+    for n in range(int(BANK_AND_BUFFER_SLOTS - BANK_AT_TURN_ON_TOKENS)):
         assert not sends(bench.ask(n, f"w{n}"))
     assert len(bench.all(i.Refuse)) == before
     for n in range(100, 110):
@@ -102,7 +119,7 @@
     """Errors retried at once made a storm of 70 attempts a request in a recorded incident."""
     bench = Bench()
     bench.overload()
-    bench.balancer.throttle.rate, bench.balancer.throttle.tokens = 0.0, 1.0
+    bench.balancer.throttle.refill_rate, bench.balancer.throttle.tokens = 0.0, 1.0
     (send,) = sends(bench.ask(1))
     assert not sends(bench.end(send, i.Outcome.ERROR))
 
@@ -129,7 +146,7 @@
     for action in lost:
         bench.end(action, i.Outcome.RESET, closed=True)
     bench.run(bench.now + 800.0)
-    assert lost and not bench.balancer.throttle.on
+    assert lost and not bench.balancer.throttle.active
 
 
 def test_clients_of_a_leaving_backend_are_moved_over_two_seconds() -> None:
@@ -149,7 +166,7 @@
     assert first < held == {a.request for a in bench.all(i.Move)}
     for request in held:  # what it cuts off on its way out is no trouble of the others
         bench.put(i.Ended(request, 0, leaves, i.Outcome.RESET, 5.0, True))
-    assert bench.balancer.backends[leaves].fails == 0
+    assert bench.balancer.backends[leaves].failure_count == 0
 
 
 def test_backend_that_answers_some_errors_goes_on_serving_others() -> None:
@@ -165,7 +182,7 @@
                 actions = bench.stand(sends[0])
                 served += sends[0].backend <= 2
         bench.run(bench.now + 50.0)
-        assert not bench.balancer.throttle.on
+        assert not bench.balancer.throttle.active
     assert served >= 30 and not bench.all(i.Refuse)
 
 
@@ -178,7 +195,7 @@
     held = {a.request for a in bench.all(i.Send) if a.backend == 1}
     bench.run(bench.now + 3000.0)
     bench.actions.clear()
-    bench.put(i.Silent(1))
+    bench.put(i.BackendSilent(1))
     assert held and {a.request for a in bench.all(i.Move)} == held
     for n in range(100, 140):
         bench.ask(n, f"k{n}")
@@ -195,14 +212,14 @@
         else:
             bench.stand(action)
     bench.run(bench.now + 1000.0)
-    assert not bench.balancer.throttle.on
+    assert not bench.balancer.throttle.active
     bench.overload()
     for m in range(200, 400):  # all is well now, and clients keep coming faster than let out
         for other in bench.ask(m, f"k{m}"):
             if isinstance(other, i.Send):
                 bench.stand(other)
         bench.run(bench.now + 50.0)
-    assert not bench.balancer.throttle.on
+    assert not bench.balancer.throttle.active
 
 
 def test_errors_alone_throttle_nothing() -> None:
@@ -213,7 +230,9 @@
         while sends := [a for a in actions if isinstance(a, i.Send)]:
             actions = bench.end(sends[0], i.Outcome.ERROR)
         bench.run(bench.now + 50.0)
-    assert not bench.balancer.throttle.on and all(b.fails == 0 for b in bench.balancer.rows)
+    assert not bench.balancer.throttle.active and all(
+        b.failure_count == 0 for b in bench.balancer.ready_backends
+    )
 
 
 def test_mild_delay_moves_part_only() -> None:
@@ -225,7 +244,7 @@
         bench.stand(send)
         bench.run(bench.now + 3000.0)
         bench.balancer.backends[send.backend].down_until = bench.now + 1000.0
-        bench.put(i.DelayNote(1, send.backend, 100.0))
+        bench.put(i.DelayReport(1, send.backend, 100.0))
         gone += len(bench.all(i.Move))
     assert 20 < gone < 100
 
@@ -255,7 +274,7 @@
     bench = Bench(backends=3)
     for n in range(3000):
         bench.ask(n, f"k{n}")
-        bench.put(i.Gone(n))
+        bench.put(i.ClientLeft(n))
     waiting = Bench(backends=0)
     waiting.ask(1, "k1")
     for n in range(500):
@@ -270,14 +289,14 @@
 def test_list_service_is_asked_late_and_after_failures_with_growing_waits() -> None:
     asked = []
     for seed in range(20):
-        bench = Bench(seed=seed, must_ask=True, ask_every=10000.0)
+        bench = Bench(seed=seed, must_subscribe=True, list_refresh_interval=10000.0)
         bench.run(bench.now + 5000.0)
         asked += [at for at, a in bench.actions if isinstance(a, i.Subscribe)]
     # Spread as the service can take it: a few balancers need no long spread, and their old lists hurt.
     assert len(asked) == 20 and 300.0 < max(asked) - min(asked) <= 400.0
     waits: list[list[float]] = [[], [], []]
     for seed in range(20):
-        bench = Bench(seed=seed, must_ask=True)
+        bench = Bench(seed=seed, must_subscribe=True)
         for row in waits:
             (timer,) = [a for a in bench.put(i.ListUpdate(i.ListKind.FAILED)) if isinstance(a, i.SetTimer)]
             row.append(timer.at - bench.now)
@@ -294,10 +313,10 @@
             backends=9,
             balancers=balancers,
             index=n,
-            cold_time=8800.0,
-            cold_from=0.3,
-            fall_multiple=3.0,
-            overload_for=3000.0,
+            warmup_time=8800.0,
+            warmup_start_capacity=0.3,
+            collapse_multiple=3.0,
+            overload_window=3000.0,
             tenants=(i.Tenant("t", 450.0),),
         )
         for n in range(balancers)
@@ -315,13 +334,17 @@
             if n >= 800:
                 sent["old" if send.backend != 10 else "early" if n < 860 else "late"] += 1
     # Within the rule's window of 3 s it may take 0.9 of what it can hold; at the end its part is a tenth.
-    assert sent["early"] <= 0.9 * 450.0 / QUOTAS / 10 and 4 <= sent["late"] <= 30, sent
+    assert sent["early"] <= 0.9 * 450.0 / QUOTA_FRACTION_OF_CAPACITY / 10 and 4 <= sent["late"] <= 30, sent
 
 
 def test_backend_that_started_since_gets_the_clients_that_the_hash_gives_it() -> None:
     """New backends stood empty beside full ones for half a minute: nobody was moved to them."""
     bench = Bench(
-        backends=9, cold_time=8800.0, cold_from=0.3, fall_multiple=3.0, tenants=(i.Tenant("t", 4500.0),)
+        backends=9,
+        warmup_time=8800.0,
+        warmup_start_capacity=0.3,
+        collapse_multiple=3.0,
+        tenants=(i.Tenant("t", 4500.0),),
     )  # far from crowded: no other moves
     for n in range(200):
         bench.stand(sends(bench.ask(n, f"g{n * 7 % 13}"))[0])
@@ -349,7 +372,7 @@
         for n in range(5):  # 200 connections in 40 groups
             for send in sends(bench.ask(5 * index + n, f"g{(5 * index + n) * 7 % 40}")):
                 bench.stand(send)
-                bench.put(i.LoadNote(send.request, send.backend, 1000.0 + n))
+                bench.put(i.LoadReport(send.request, send.backend, 1000.0 + n))
         bench.run(bench.now + 30000.0)
         moved += len(bench.all(i.Move))
     assert moved <= 20
@@ -360,14 +383,14 @@
     bench = Bench(
         backends=4,
         balancers=40,
-        cold_time=8800.0,
-        cold_from=0.3,
-        fall_multiple=3.0,
+        warmup_time=8800.0,
+        warmup_start_capacity=0.3,
+        collapse_multiple=3.0,
         tenants=(i.Tenant("t", 450.0),),
     )
     bench.put(i.ListUpdate(i.ListKind.CHANGES, ready(*range(5, 10), started=bench.now)))
     for n in range(130):  # seen before, so that the plan knows them
-        bench.balancer._make(i.Request(9000 + n, "feed", 1000.0, "", f"g{n % 13}"), 0.0)
+        bench.balancer._create_flow(i.Request(9000 + n, "feed", 1000.0, "", f"g{n % 13}"), 0.0)
     for n in range(200):
         bench.stand(sends(bench.ask(n, f"g{n * 7 % 13}"))[0])
     held = [len(bench.balancer.backends[b].flows) for b in range(1, 10)]
@@ -383,41 +406,44 @@
 
 def test_setup_passes_over_a_backend_that_answers_slower_than_the_next() -> None:
     """A balancer with a connection or two on each backend cannot see what two hundred do there."""
-    bench = Bench(backends=9, balancers=200, probes=True, tenants=(i.Tenant("t", 450.0),))
+    bench = Bench(backends=9, balancers=200, probes_allowed=True, tenants=(i.Tenant("t", 450.0),))
     first, second, third = asked(bench, 1)
-    assert not sends(bench.put(i.Probed(first, 2.7)) + bench.put(i.Probed(third, 2.0)))
-    (send,) = sends(bench.put(i.Probed(second, 2.4)))
+    assert not sends(bench.put(i.ProbeResult(first, 2.7)) + bench.put(i.ProbeResult(third, 2.0)))
+    (send,) = sends(bench.put(i.ProbeResult(second, 2.4)))
     assert send.backend == second, "the first in order of those not much slower than the quickest"
     (again,) = sends(bench.ask(2, "g"))
     assert again.backend == second, "what was heard a moment ago is not asked again"
     bench.run(bench.now + 2000.0)
     own, *others = asked(bench, 3)
     for n in (*others, own):
-        actions = bench.put(i.Probed(n, 2.0))
+        actions = bench.put(i.ProbeResult(n, 2.0))
     assert sends(actions)[0].backend == own, "the group's own, where it is no slower"
 
 
 def test_setup_does_not_wait_for_probes_that_are_not_answered() -> None:
-    bench = Bench(backends=9, probes=True)
+    bench = Bench(backends=9, probes_allowed=True)
     _, second, third = asked(bench, 1)
-    bench.put(i.Probed(second, 2.0))
-    bench.put(i.Probed(third, 2.0))
-    bench.put(i.Probed(99, 5.0))  # one that is not known any more
+    bench.put(i.ProbeResult(second, 2.0))
+    bench.put(i.ProbeResult(third, 2.0))
+    bench.put(i.ProbeResult(99, 5.0))  # one that is not known any more
     bench.run(bench.now + 0.15 * 300.0 + 1.0)
     (send,) = bench.all(i.Send)
     assert send.backend == second
     (probe,) = [a for a in bench.end(send, i.Outcome.CONNECT_FAILED) if isinstance(a, i.Probe)]
-    (retry,) = sends(bench.put(i.Probed(probe.backend, 2.0)))
+    (retry,) = sends(bench.put(i.ProbeResult(probe.backend, 2.0)))
     assert retry.backend == third, "a further attempt asks too, but not those heard of just now"
     gone = asked(bench, 2, "other")
-    bench.put(i.Gone(2))
-    assert not sends([a for n in gone for a in bench.put(i.Probed(n, 2.0))]) and not bench.balancer.asking
+    bench.put(i.ClientLeft(2))
+    assert (
+        not sends([a for n in gone for a in bench.put(i.ProbeResult(n, 2.0))])
+        and not bench.balancer.flows_awaiting_probes
+    )
 
 
 def test_probes_are_sent_where_the_settings_allow_them_and_a_choice_is_left() -> None:
-    for bench in (Bench(backends=9), Bench(backends=1, probes=True)):
+    for bench in (Bench(backends=9), Bench(backends=1, probes_allowed=True)):
         assert sends(bench.ask(1)) and not bench.all(i.Probe)
-    late = Bench(backends=9, probes=True)
+    late = Bench(backends=9, probes_allowed=True)
     assert sends(late.ask(1, patience=90.0)), "near its end a setup goes at once"
 
 
@@ -426,7 +452,7 @@
     """A new watch takes the list service 0.13 s: all at once would wait longer than a call may."""
     first = []
     for index in range(balancers):
-        bench = Bench(seed=index, backends=9, balancers=balancers, index=index, must_ask=True)
+        bench = Bench(seed=index, backends=9, balancers=balancers, index=index, must_subscribe=True)
         began = bench.now
         bench.run(began + 4100.0)
         first.append(min(at for at, action in bench.actions if isinstance(action, i.Subscribe)) - began)
@@ -436,17 +462,17 @@
 
 def reported(bench: Bench, loads: dict[int, float]) -> None:
     for backend, load in loads.items():
-        bench.put(i.Probed(backend, 2.0, load))
+        bench.put(i.ProbeResult(backend, 2.0, load))
 
 
 def test_reported_load_decides_and_a_group_stays_together_while_that_is_worth_it() -> None:
     """Without quotas the hash alone placed: the busiest server stood at 4.5 times the mean."""
-    bench = Bench(loads=True, probes=True)
+    bench = Bench(load_reported=True, probes_allowed=True)
     reported(bench, {b: 0.9 for b in range(1, 9)} | {4: 0.0})
     (send,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
     assert send.backend == 4
     bench.stand(send)
-    reported(bench, {b: 0.5 for b in range(1, 9)} | {4: 0.49 + SPLIT})
+    reported(bench, {b: 0.5 for b in range(1, 9)} | {4: 0.49 + GROUP_SPLIT_LOAD})
     first = bench.balancer.flows[1].group.head[0][1]
     (send,) = [a for a in bench.ask(2) if isinstance(a, i.Send)]
     assert send.backend in (4, first), "one more place costs more; the ranking's first is the same for all"
@@ -458,7 +484,7 @@
     """At 200 balancers each one's few clients said nothing of where the group stood: it stood everywhere."""
     chosen = set()
     for seed in range(20):
-        bench = Bench(seed=seed, loads=True, probes=True)
+        bench = Bench(seed=seed, load_reported=True, probes_allowed=True)
         reported(bench, {b: 0.3 + 0.01 * ((b * seed) % 8) for b in range(1, 9)})
         chosen |= {a.backend for a in bench.ask(1) if isinstance(a, i.Send)}
     assert len(chosen) == 1
@@ -466,24 +492,24 @@
 
 def test_a_setup_asks_once() -> None:
     """The longest unasked were asked anew after each answer: 35 probes a request, 260 ms to an attempt."""
-    bench = Bench(loads=True, probes=True, backends=40)
+    bench = Bench(load_reported=True, probes_allowed=True, backends=40)
     actions = bench.ask(1)
     asked = [a.backend for a in actions if isinstance(a, i.Probe)]
     assert 3 <= len(asked) <= 5
     for backend in asked:
-        actions = bench.put(i.Probed(backend, 2.0, 0.3))
+        actions = bench.put(i.ProbeResult(backend, 2.0, 0.3))
     assert [type(a) for a in actions] == [i.Send]
 
 
 def test_another_zone_is_crossed_only_for_clearly_more_room() -> None:
-    bench = Bench(backends=0, loads=True, probes=True, zone="east")
+    bench = Bench(backends=0, load_reported=True, probes_allowed=True, zone="east")
     bench.put(
         i.ListUpdate(
             i.ListKind.FULL,
             [i.BackendEntry(1, i.State.READY, "east"), i.BackendEntry(2, i.State.READY, "west")],
         )
     )
-    reported(bench, {1: 0.3, 2: 0.3 - SPLIT - ACROSS / 2 + 0.1})
+    reported(bench, {1: 0.3, 2: 0.3 - GROUP_SPLIT_LOAD - CROSS_ZONE_LOAD / 2 + 0.1})
     keys = [f"g{n}" for n in range(40)]
 
     def placed(first: int) -> list[int]:
@@ -495,29 +521,29 @@
         return [send.backend for send in sends]
 
     near = placed(0)
-    reported(bench, {1: 0.8, 2: 0.7 - SPLIT - ACROSS})
+    reported(bench, {1: 0.8, 2: 0.7 - GROUP_SPLIT_LOAD - CROSS_ZONE_LOAD})
     far = placed(50)
     assert 0 < near.count(2) < len(keys) and far.count(2) == len(keys)
 
 
 def test_every_backend_that_reports_is_asked_in_turn() -> None:
     """Those far down all rankings were never asked and stood empty all day beside full ones."""
-    bench = Bench(loads=True, probes=True, backends=20)
+    bench = Bench(load_reported=True, probes_allowed=True, backends=20)
     for n in range(30):
         for probe in [a for a in bench.ask(n, "g1") if isinstance(a, i.Probe)]:
-            bench.put(i.Probed(probe.backend, 2.0, 0.3))
+            bench.put(i.ProbeResult(probe.backend, 2.0, 0.3))
         bench.run(bench.now + 1500.0)
     assert {probe.backend for probe in bench.all(i.Probe)} == set(range(1, 21))
 
 
 def test_overfull_backend_gives_its_excess_by_load_to_where_there_is_room() -> None:
-    bench = Bench(loads=True, probes=True)
+    bench = Bench(load_reported=True, probes_allowed=True)
     reported(bench, {b: 0.9 for b in range(1, 9)} | {1: 0.0})
     for n in range(10):
         for send in [a for a in bench.ask(n, "g1") if isinstance(a, i.Send)]:
             assert send.backend == 1
             bench.stand(send)
-            bench.put(i.LoadNote(n, 1, 10.0 if n == 3 else 1.0))
+            bench.put(i.LoadReport(n, 1, 10.0 if n == 3 else 1.0))
     bench.run(bench.now + 4000.0)
     reported(bench, {1: 1.3} | {b: 1.25 for b in range(2, 9)})
     bench.run(bench.now + 900.0)
@@ -530,19 +556,19 @@
 
 
 def test_throttle_stays_off_while_a_quarter_reports_room() -> None:
-    bench = Bench(loads=True, probes=True, max_attempts=1)
+    bench = Bench(load_reported=True, probes_allowed=True, max_attempts=1)
     for _ in range(12):
         reported(bench, {b: 2.0 for b in range(1, 6)} | {b: 0.2 for b in range(6, 9)})
         bench.run(bench.now + 500.0)
-    assert not bench.balancer.throttle.on
+    assert not bench.balancer.throttle.active
     reported(bench, {b: 2.0 for b in range(1, 9)})
     bench.run(bench.now + 600.0)
-    assert bench.balancer.throttle.on
+    assert bench.balancer.throttle.active
 
 
 def test_clients_that_come_at_once_are_not_all_put_where_one_late_report_showed_room() -> None:
     """All clients of a balancer that restarted came to the other at once: 19 of 40 on one of eleven."""
-    bench = Bench(loads=True, probes=True, balancers=2)
+    bench = Bench(load_reported=True, probes_allowed=True, balancers=2)
     reported(bench, {b: 0.4 for b in range(1, 9)})
     for n in range(40):
         for send in [a for a in bench.ask(n, f"g{n % 3}") if isinstance(a, i.Send)]:
@@ -553,14 +579,14 @@
 
 
 def test_where_too_few_of_those_asked_have_room_the_next_of_the_ranking_are_asked() -> None:
-    bench = Bench(loads=True, probes=True, backends=40)
+    bench = Bench(load_reported=True, probes_allowed=True, backends=40)
     asked = [a.backend for a in bench.ask(1) if isinstance(a, i.Probe)]
     rounds = 1
     while not bench.all(i.Send):
         probes = [
             a.backend
             for n in asked
-            for a in bench.put(i.Probed(n, 2.0, 0.9 if rounds < 3 else 0.2))
+            for a in bench.put(i.ProbeResult(n, 2.0, 0.9 if rounds < 3 else 0.2))
             if isinstance(a, i.Probe)
         ]
         assert not set(probes) & set(asked)
@@ -569,20 +595,25 @@
 
 
 def test_a_fleet_that_is_full_everywhere_is_not_asked_without_end() -> None:
-    bench = Bench(loads=True, probes=True, backends=40)
+    bench = Bench(load_reported=True, probes_allowed=True, backends=40)
     asked = [a for a in bench.ask(1) if isinstance(a, i.Probe)]
     while not bench.all(i.Send):
         asked = [
-            a for one in asked for a in bench.put(i.Probed(one.backend, 2.0, 0.9)) if isinstance(a, i.Probe)
+            a
+            for one in asked
+            for a in bench.put(i.ProbeResult(one.backend, 2.0, 0.9))
+            if isinstance(a, i.Probe)
         ]
     assert len(bench.all(i.Probe)) <= 17
 
 
 @pytest.mark.parametrize("worths", [(1.0, 3.0), (3.0, 1.0)])
 def test_what_is_refused_in_overload_is_what_is_worth_least(worths: tuple[float, float]) -> None:
-    classes = tuple(replace(SAFE, name=name, worth=worth) for name, worth in zip("ab", worths, strict=True))
+    classes = tuple(
+        replace(SAFE, name=name, priority=worth) for name, worth in zip("ab", worths, strict=True)
+    )
     bench = Bench(classes=classes)
-    bench.balancer.throttle.on, bench.balancer.throttle.since = True, bench.now
+    bench.balancer.throttle.active, bench.balancer.throttle.turned_on_at = True, bench.now
     for request in range(40):
         bench.put(i.Request(request, "ab"[request % 2], 1000.0, f"c{request}", f"g{request}"))
     refused = ["ab"[a.request % 2] for a in bench.all(i.Refuse)]
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -9,7 +9,7 @@
 
 from crowgap import interface as i
 
-KEYED = replace(SAFE, effect=i.Effect.KEYED, memory=1000.0)
+KEYED = replace(SAFE, effect=i.Effect.KEYED, deduplication_window=1000.0)
 CONNECT = 250.0  # ms that a connect may take: the repeat's opening goes out only after it
 
 
@@ -48,13 +48,13 @@
     send = first_of(bench)
     bench.run(bench.now + 100.0)
     (final,) = [a for a in bench.end(send, i.Outcome.RESET) if isinstance(a, FINAL)]
-    assert isinstance(final, i.Refuse) and bench.now + final.retry_after < 1000.0 + KEYED.memory
+    assert isinstance(final, i.Refuse) and bench.now + final.retry_after < 1000.0 + KEYED.deduplication_window
 
 
 @pytest.mark.parametrize("outcome", [i.Outcome.FULL, i.Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize("effect", [i.Effect.KEYED, i.Effect.UNSAFE])
 def test_attempt_that_never_ran_opens_no_window(outcome: i.Outcome, effect: i.Effect) -> None:
-    bench = Bench(classes=(replace(KEYED, effect=effect, memory=10.0),))
+    bench = Bench(classes=(replace(KEYED, effect=effect, deduplication_window=10.0),))
     send = first_of(bench)
     bench.run(bench.now + 50.0)
     assert [a for a in bench.end(send, outcome) if isinstance(a, i.Send)]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -56,7 +56,7 @@
 
 def test_empty_fleet_holds_then_refuses_in_time() -> None:
     bench = Bench(backends=0)
-    bench.put(i.ListUpdate(i.ListKind.REMEMBERED, []))
+    bench.put(i.ListUpdate(i.ListKind.RESTORED, []))
     bench.ask(1, patience=800.0)
     assert not bench.all(i.Refuse) and not bench.all(i.Send)
     bench.run(1000.0 + 800.0)
@@ -86,16 +86,20 @@
 @pytest.mark.parametrize(
     "effect,scope,outcome,again",
     [
-        (i.Effect.SAFE, i.Scope.ALL, i.Outcome.ERROR, True),
-        (i.Effect.KEYED, i.Scope.ALL, i.Outcome.ERROR, True),
-        (i.Effect.KEYED, i.Scope.ZONE, i.Outcome.ERROR, True),
-        (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.ERROR, False),
-        (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.FULL, True),
-        (i.Effect.UNSAFE, i.Scope.ALL, i.Outcome.RESET, False),
+        (i.Effect.SAFE, i.DeduplicationScope.ALL, i.Outcome.ERROR, True),
+        (i.Effect.KEYED, i.DeduplicationScope.ALL, i.Outcome.ERROR, True),
+        (i.Effect.KEYED, i.DeduplicationScope.ZONE, i.Outcome.ERROR, True),
+        (i.Effect.UNSAFE, i.DeduplicationScope.ALL, i.Outcome.ERROR, False),
+        (i.Effect.UNSAFE, i.DeduplicationScope.ALL, i.Outcome.FULL, True),
+        (i.Effect.UNSAFE, i.DeduplicationScope.ALL, i.Outcome.RESET, False),
     ],
 )
-def test_no_effect_twice(effect: i.Effect, scope: i.Scope, outcome: i.Outcome, again: bool) -> None:
-    bench = Bench(classes=(replace(SAFE, effect=effect, scope=scope, memory=5000.0),))
+def test_no_effect_twice(
+    effect: i.Effect, scope: i.DeduplicationScope, outcome: i.Outcome, again: bool
+) -> None:
+    bench = Bench(
+        classes=(replace(SAFE, effect=effect, deduplication_scope=scope, deduplication_window=5000.0),)
+    )
     (first,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
     more = [a for a in bench.end(first, outcome) if isinstance(a, i.Send)]
     assert bool(more) is again
@@ -105,7 +109,9 @@
 
 
 def test_keyed_repeat_stays_in_its_cell_and_within_memory() -> None:
-    keyed = replace(SAFE, effect=i.Effect.KEYED, scope=i.Scope.CELL, memory=400.0)
+    keyed = replace(
+        SAFE, effect=i.Effect.KEYED, deduplication_scope=i.DeduplicationScope.CELL, deduplication_window=400.0
+    )
     bench = Bench(classes=(keyed,))
     (first,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
     (second,) = [a for a in bench.end(first, i.Outcome.ERROR) if isinstance(a, i.Send)]
@@ -167,9 +173,9 @@
     (send,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
     bench.stand(send)
     assert bench.stand(send) == []
-    assert bench.put(i.DelayNote(5, send.backend, 500.0)) == []
+    assert bench.put(i.DelayReport(5, send.backend, 500.0)) == []
     assert bench.put(i.TimerDue(99)) == []
-    assert bench.put(i.Gone(77)) == []
+    assert bench.put(i.ClientLeft(77)) == []
     assert bench.end(send, i.Outcome.OK, closed=True) == []
     assert bench.end(send, i.Outcome.OK, closed=True) == []
 
@@ -177,11 +183,11 @@
 def test_gone_client_gets_nothing_more() -> None:
     bench = Bench()
     (send,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
-    bench.put(i.Gone(1))
+    bench.put(i.ClientLeft(1))
     assert bench.end(send, i.Outcome.ERROR) == []
     empty = Bench(backends=0)
     empty.ask(2)
-    empty.put(i.Gone(2))
+    empty.put(i.ClientLeft(2))
     empty.run(empty.now + 2000.0)
     assert not finals(empty, 2)
 
@@ -191,8 +197,8 @@
     [
         ({"classes": ()}, "classes"),
         ({"balancers": 0}, "balancers"),
-        ({"ask_every": -1.0}, "ask_every"),
-        ({"cold_time": -5.0}, "cold_time"),
+        ({"list_refresh_interval": -1.0}, "list_refresh_interval"),
+        ({"warmup_time": -5.0}, "warmup_time"),
         ({"connect_timeout": -1.0}, "connect_timeout"),
         ({"max_attempts": 0}, "max_attempts"),
         ({"classes": (replace(SAFE, deadline=0.0),)}, "classes"),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -27,15 +27,15 @@
     world.service.desks.news(world.service.pool.config.take({"version": 2, "full": True, "servers": rows}))
     world.settle()
     modules = {name: one.balancer for name, one in world.service.desks.deciders.items()}
-    assert {name: one.quota for name, one in modules.items()} == {"all": 100.0, "b": 30.0}
-    unit = modules["b"].unit
+    assert {name: one.total_quota for name, one in modules.items()} == {"all": 100.0, "b": 30.0}
+    unit = modules["b"].capacity_per_weight
     assert unit < math.inf
     world.contracts = POOLS.replace('["m"]', '["m", "free"]')
     world.service.reload()
     world.settle()
-    assert {name: one.quota for name, one in modules.items()} == {"all": 100.0, "b": 37.0}
+    assert {name: one.total_quota for name, one in modules.items()} == {"all": 100.0, "b": 37.0}
     assert {one.name for one in modules["b"].settings.tenants} == {"m", "free"}
-    assert modules["b"].unit == unit * 37.0 / 30.0
+    assert modules["b"].capacity_per_weight == unit * 37.0 / 30.0
     world.close()
 
 
@@ -91,6 +91,6 @@
             if isinstance(send, i.Send):
                 one.stand(send)
     two = Bench()
-    assert not two.balancer.flows and not two.balancer.groups and two.balancer.opened == 0
+    assert not two.balancer.flows and not two.balancer.groups and two.balancer.open_connections == 0
     assert all(not b.flows for b in two.balancer.backends.values())
     assert BASE.tenants == () and [b.backend for b in ready(1)] == [1]
