--- a/snowwick/broker/ledger.py
+++ b/snowwick/broker/admission.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from snowwick.broker.bookings import AGAIN, EARLY, Promises, Queue
 from snowwick.broker.budget import Budget, Share
 from snowwick.broker.gcra import Gcra
+from snowwick.broker.retry_queue import AGAIN, EARLY, Promises, Queue
 
 LONGEST = 60.0  # s told at the most where the settings set no bound
 KEPT_FOR = 1.0  # s beyond the longest come-back time that freed room is kept for whom it was freed
@@ -29,15 +29,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClassTerms:
+class ClassLimits:
     """A class inside a team: the part of the team's ceiling it may fill, its longest wait in ms."""
 
     share: float = 1.0
-    max_wait: float = math.inf
+    max_wait_ms: float = math.inf
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class TeamLimits:
     """What this balancer enforces for a team: (guarantee, ceiling) pairs; no classes means any class."""
 
     connections: tuple[float, float]
@@ -45,16 +45,16 @@
     load: tuple[float, float] = (0.0, math.inf)
     weight: float = 1.0
     pool: str = ""
-    classes: Mapping[str, ClassTerms] = field(default_factory=dict)
+    classes: Mapping[str, ClassLimits] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Book:
+class BalancerLimits:
     """Everything that this balancer enforces."""
 
     connections: float
     setups: float
-    teams: Mapping[str, Terms]
+    teams: Mapping[str, TeamLimits]
     load: float = math.inf
     burst: float = 1.0  # s
     within: float = 10.0  # s in which a whole guarantee comes back
@@ -64,13 +64,13 @@
 class ClassState(Queue):
     """One class of one team, and the places that are booked for its clients."""
 
-    __slots__ = ("held", "max_wait", "peak", "salt", "seats")
+    __slots__ = ("connections", "fingerprint_salt", "max_connections", "max_wait_ms", "rate_limit")
 
     def __init__(self, team: str, name: str) -> None:
         super().__init__()
-        self.held, self.seats, self.max_wait = 0, math.inf, math.inf
-        self.peak: Gcra | None = None  # none where the class may use all that the team may
-        self.salt = crc32(f"{team}\0{name}\0".encode())
+        self.connections, self.max_connections, self.max_wait_ms = 0, math.inf, math.inf
+        self.rate_limit: Gcra | None = None  # none where the class may use all that the team may
+        self.fingerprint_salt = crc32(f"{team}\0{name}\0".encode())
 
 
 class TeamState:
@@ -80,22 +80,22 @@
         "any_class",
         "classes",
         "committed",
+        "connection_share",
         "gone",
         "lent",
         "lent_step",
-        "load",
+        "load_share",
         "name",
-        "peak",
         "pool",
-        "seats",
+        "rate_limit",
         "standing",
         "told",
     )
 
     def __init__(self, name: str) -> None:
         self.name, self.pool, self.gone, self.any_class, self.told = name, "", False, True, 0
-        self.seats, self.load = Share(self), Share(self)
-        self.committed, self.peak = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
+        self.connection_share, self.load_share = Share(self), Share(self)
+        self.committed, self.rate_limit = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
         self.lent, self.lent_step = -math.inf, 0.0  # as Gcra.arrival and .step, of a rate that always changes
         self.classes: dict[str, ClassState] = {}
         self.standing: dict[Lease, None] = {}
@@ -107,11 +107,11 @@
 
     owner: object
     team: TeamState
-    cls: ClassState
+    class_state: ClassState
     pool: str
     load: float = 0.0
     told: bool = False
-    held: bool = True
+    active: bool = True
     leaving: bool = False
 
 
@@ -121,35 +121,35 @@
 
     reason: str
     limit: str
-    wait: float
+    retry_after_s: float
 
 
-class Ledger:
+class AdmissionController:
     """One balancer's books."""
 
-    def __init__(self, book: Book, seed: int = 0, longest: float = LONGEST) -> None:
+    def __init__(self, book: BalancerLimits, seed: int = 0, longest: float = LONGEST) -> None:
         self.random, self.longest = random.Random(seed), longest if longest > 0 else LONGEST
         self.teams: dict[str, TeamState] = {}
-        self.seats, self.loads = Budget(0.0, 0.0, True), Budget(0.0, 0.0, False)
+        self.connection_budget, self.load_budget = Budget(0.0, 0.0, True), Budget(0.0, 0.0, False)
         self.rate, self.pace = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
         self.promises = Promises()
         self.fair = self.fair_at = 0.0  # setups a second that a weight of 1 may borrow while all do; when set
-        self.misplaced: dict[Lease, None] = {}  # stand in a pool that is no longer their team's
-        self.excess: dict[TeamState, None] = {}  # may be over a ceiling
+        self.misplaced_leases: dict[Lease, None] = {}  # stand in a pool that is no longer their team's
+        self.teams_over_ceiling: dict[TeamState, None] = {}  # may be over a ceiling
         self.now = 0.0
         self.apply(book, 0.0)
 
     # -- contracts ---------------------------------------------------------------------------------------
 
-    def apply(self, book: Book, now: float) -> None:
+    def apply(self, book: BalancerLimits, now: float) -> None:
         """Take other contracts at once.  What stands stays counted; what is too much now is moved in time.
 
         The pace of moves goes on where it was: two changes in a row allow no more moves than one.
         """
         self.book, now = book, self._at(now)
         self.by_load = book.load < math.inf or any(one.load[1] < math.inf for one in book.teams.values())
-        self.seats.limit, self.seats.reserve_part = book.connections, book.reserve
-        self.loads.limit, self.loads.reserve_part = book.load, book.reserve
+        self.connection_budget.limit, self.connection_budget.reserve_part = book.connections, book.reserve
+        self.load_budget.limit, self.load_budget.reserve_part = book.load, book.reserve
         self.rate.change(now, book.setups, book.setups * book.burst)
         lent = max(
             1.0, sum(terms.connections[0] for terms in book.teams.values()), LEAST_LENT * book.connections
@@ -161,49 +161,51 @@
             self._drop(self.teams[name])
         for name, terms in book.teams.items():
             self._set(self.teams.setdefault(name, TeamState(name)), terms, now)
-        self.seats.shares = self.loads.shares = len(self.teams)
-        for budget in (self.seats, self.loads):
+        self.connection_budget.shares = self.load_budget.shares = len(self.teams)
+        for budget in (self.connection_budget, self.load_budget):
             budget.ease()
 
-    def _set(self, team: TeamState, terms: Terms, now: float) -> None:
+    def _set(self, team: TeamState, terms: TeamLimits, now: float) -> None:
         burst = self.book.burst
         if terms.pool != team.pool:
-            self.misplaced.update(dict.fromkeys(one for one in team.standing if one.pool != terms.pool))
+            self.misplaced_leases.update(
+                dict.fromkeys(one for one in team.standing if one.pool != terms.pool)
+            )
         team.pool, team.gone, team.any_class = terms.pool, False, not terms.classes
-        self.seats.set(team.seats, *terms.connections, terms.weight)
-        self.loads.set(team.load, *terms.load, terms.weight)
+        self.connection_budget.set(team.connection_share, *terms.connections, terms.weight)
+        self.load_budget.set(team.load_share, *terms.load, terms.weight)
         team.committed.change(now, terms.setups[0], terms.setups[0] * burst)
-        team.peak.change(now, terms.setups[1], terms.setups[1] * burst)
+        team.rate_limit.change(now, terms.setups[1], terms.setups[1] * burst)
         for name in terms.classes:
             team.classes.setdefault(name, ClassState(team.name, name))
         for name in [name for name in team.classes if name not in terms.classes and terms.classes]:
             del team.classes[name]  # its leases hold on to it
         for name, cls in team.classes.items():
-            self._set_class(cls, terms, terms.classes.get(name, ClassTerms()), now)
-        self.excess[team] = None
+            self._set_class(cls, terms, terms.classes.get(name, ClassLimits()), now)
+        self.teams_over_ceiling[team] = None
 
-    def _set_class(self, cls: ClassState, terms: Terms, own: ClassTerms, now: float) -> None:
-        cls.max_wait = own.max_wait
+    def _set_class(self, cls: ClassState, terms: TeamLimits, own: ClassLimits, now: float) -> None:
+        cls.max_wait_ms = own.max_wait_ms
         if own.share >= 1.0:
-            cls.peak, cls.seats = None, math.inf
+            cls.rate_limit, cls.max_connections = None, math.inf
             return
         rate = own.share * terms.setups[1]
-        cls.seats = max(1.0, math.floor(own.share * terms.connections[1] + 1e-9))
-        cls.peak = cls.peak or Gcra(rate, rate * self.book.burst)
-        cls.peak.change(now, rate, rate * self.book.burst)
+        cls.max_connections = max(1.0, math.floor(own.share * terms.connections[1] + 1e-9))
+        cls.rate_limit = cls.rate_limit or Gcra(rate, rate * self.book.burst)
+        cls.rate_limit.change(now, rate, rate * self.book.burst)
 
     def _drop(self, team: TeamState) -> None:
         """A removed team keeps its name in the books until the last that it holds has gone."""
         team.gone = True
-        self.seats.set(team.seats, 0.0, 0.0, 1.0)
-        self.loads.set(team.load, 0.0, 0.0, 1.0)
-        self.excess[team] = None
+        self.connection_budget.set(team.connection_share, 0.0, 0.0, 1.0)
+        self.load_budget.set(team.load_share, 0.0, 0.0, 1.0)
+        self.teams_over_ceiling[team] = None
         self._forget(team)
 
     def _forget(self, team: TeamState) -> None:
-        if team.gone and not team.seats.held and self.teams.get(team.name) is team:
+        if team.gone and not team.connection_share.in_use and self.teams.get(team.name) is team:
             del self.teams[team.name]
-            self.excess.pop(team, None)
+            self.teams_over_ceiling.pop(team, None)
 
     def _at(self, now: float) -> float:
         """A clock that steps back stands still."""
@@ -213,14 +215,14 @@
 
     # -- asks --------------------------------------------------------------------------------------------
 
-    def ask(self, now: float, owner: object, team_name: str, class_name: str, key: str) -> Lease | Refusal:
+    def admit(self, now: float, owner: object, team_name: str, class_name: str, key: str) -> Lease | Refusal:
         """A client of a team asks for a connection; ``key`` is the client's, the same each time it asks."""
         team = self.teams.get(team_name)
         if team is None:
             return Refusal("no-contract", "team", self._spread(self.longest))
-        return self.ask_of(now, owner, team, class_name, key)
+        return self.admit_for_team(now, owner, team, class_name, key)
 
-    def ask_of(
+    def admit_for_team(
         self, now: float, owner: object, team: TeamState, class_name: str, key: str
     ) -> Lease | Refusal:
         """The same for who has looked the team up."""
@@ -230,12 +232,12 @@
         cls = team.classes.get(class_name) or self._class(team, class_name)
         if cls is None:
             return Refusal("no-contract", "class", self._spread(self.longest))
-        if self.seats.marks or self.loads.marks:
-            self.seats.expire(now)
-            self.loads.expire(now)
+        if self.connection_budget.marks or self.load_budget.marks:
+            self.connection_budget.expire(now)
+            self.load_budget.expire(now)
         busy, mark, due = cls.next > now, 0, None
         if busy:
-            mark = self.promises.fingerprint(cls.salt, key)
+            mark = self.promises.fingerprint(cls.fingerprint_salt, key)
             due = self.promises.find(mark, now)
         load = self._expected(team) if self.by_load else 0.0
         called = due is not None and now >= due - EARLY
@@ -244,9 +246,9 @@
             busy
             and not called
             and not (
-                self.seats.entitled(team.seats, 1.0)
+                self.connection_budget.entitled(team.connection_share, 1.0)
                 and team.committed.conforms(now)
-                and self.loads.entitled(team.load, load)
+                and self.load_budget.entitled(team.load_share, load)
             )
         )
         limit = self._limit(now, team, cls, load, leave)
@@ -263,7 +265,7 @@
         if due is not None and not called:
             # The same time as before: who asks sooner is not let in sooner, nor booked twice.
             return Refusal(reason, which, due - now)
-        mark = mark or self.promises.fingerprint(cls.salt, key)
+        mark = mark or self.promises.fingerprint(cls.fingerprint_salt, key)
         if not rate:
             rate = cls.rate(now)  # what frees room is not known, but how often there was some
         if called:  # its place came up without room: soon again, not at the end
@@ -291,9 +293,9 @@
     def _expected(self, team: TeamState) -> float:
         """The load that one more connection will bring: that of the team's others, else of all."""
         if team.told:
-            return team.load.held / team.told
+            return team.load_share.in_use / team.told
         told = sum(one.told for one in self.teams.values())
-        return self.loads.total / told if told else 0.0
+        return self.load_budget.total / told if told else 0.0
 
     def _limit(
         self, now: float, team: TeamState, cls: ClassState, load: float, leave: bool
@@ -302,30 +304,30 @@
 
         With ``leave`` the ask has to leave something over, for those who were promised a place.
         """
-        peak = cls.peak
+        peak = cls.rate_limit
         if peak is not None and not (peak.leaves(now, KEEP) if leave else peak.conforms(now)):
             return "over-class", "rate", peak.rate
-        peak = team.peak
+        peak = team.rate_limit
         if not (peak.leaves(now, KEEP) if leave else peak.conforms(now)):
             return "over-rate", "team", peak.rate
         if not team.committed.conforms(now) and not self._may_borrow(now, team, leave):
             return "over-rate", "fleet", 0.0
         spare = self._spare(team) if leave else 0
-        if cls.held + 1 + spare > cls.seats:
+        if cls.connections + 1 + spare > cls.max_connections:
             return "over-class", "connections", 0.0
-        if team.seats.held + 1 + spare > team.seats.ceiling:
+        if team.connection_share.in_use + 1 + spare > team.connection_share.ceiling:
             return "over-connections", "team", 0.0
-        if not self.seats.room(team.seats, 1.0, spare):
+        if not self.connection_budget.room(team.connection_share, 1.0, spare):
             return "over-connections", "fleet", 0.0
-        if self.by_load and team.load.held + load > team.load.ceiling + 1e-9:
+        if self.by_load and team.load_share.in_use + load > team.load_share.ceiling + 1e-9:
             return "over-load", "team", 0.0
-        if self.by_load and not self.loads.room(team.load, load):
+        if self.by_load and not self.load_budget.room(team.load_share, load):
             return "over-load", "fleet", 0.0
         return None
 
     def _spare(self, team: TeamState) -> int:
         """Connections that are left for those who were promised a place."""
-        most = min(team.seats.ceiling, self.seats.limit)
+        most = min(team.connection_share.ceiling, self.connection_budget.limit)
         return min(MOST_SPARE, math.ceil(SPARE * most)) if most >= SPARE_FROM else 0
 
     def _may_borrow(self, now: float, team: TeamState, leave: bool) -> bool:
@@ -350,7 +352,7 @@
         if not (limit.leaves(now, KEEP / 2.0) if leave else limit.conforms(now)):
             return False
         # What is unused counts at once as well, or the rate and what it leaves would swing round each other.
-        rate = self.fair * team.seats.weight * (0.5 + unused)
+        rate = self.fair * team.connection_share.weight * (0.5 + unused)
         team.lent_step = 1.0 / rate
         return team.lent - now <= max(0.0, self.book.burst - team.lent_step) + 1e-9
 
@@ -359,112 +361,112 @@
             team.committed.take(now)
         else:
             team.lent = (team.lent if team.lent > now else now) + team.lent_step
-        if cls.peak is not None:
-            cls.peak.take(now)
-        team.peak.take(now)
+        if cls.rate_limit is not None:
+            cls.rate_limit.take(now)
+        team.rate_limit.take(now)
         self.rate.take(now)
-        self.seats.used(team.seats, 1.0)
+        self.connection_budget.used(team.connection_share, 1.0)
         return self._hold(owner, team, cls)
 
     def _hold(self, owner: object, team: TeamState, cls: ClassState) -> Lease:
-        cls.held += 1
-        self.seats.add(team.seats, 1.0)
+        cls.connections += 1
+        self.connection_budget.add(team.connection_share, 1.0)
         return Lease(owner, team, cls, team.pool)
 
     def _owe(self, now: float, team: TeamState, load: float, reason: str) -> None:
         until = now + self.longest + KEPT_FOR
         if reason == "over-connections":
-            self.seats.mark(until, team.seats, 1.0)
+            self.connection_budget.mark(until, team.connection_share, 1.0)
         elif reason == "over-load" and load > 0.0:
-            self.loads.mark(until, team.load, load)
+            self.load_budget.mark(until, team.load_share, load)
 
     def _spread(self, longest: float) -> float:
         return longest * (0.75 + 0.25 * self.random.random())
 
     # -- leases ------------------------------------------------------------------------------------------
 
-    def stands(self, lease: Lease) -> None:
+    def mark_established(self, lease: Lease) -> None:
         """The connection is up: from now on it can be moved."""
-        if lease.held:
+        if lease.active:
             team = lease.team
             team.standing[lease] = None
-            if team.gone or team.seats.over_ceiling():
-                self.excess[team] = None
+            if team.gone or team.connection_share.exceeds_ceiling():
+                self.teams_over_ceiling[team] = None
             if lease.pool != team.pool:
-                self.misplaced[lease] = None
+                self.misplaced_leases[lease] = None
 
-    def load(self, lease: Lease, figure: float) -> None:
+    def update_load(self, lease: Lease, figure: float) -> None:
         """The load that it brings now."""
-        if not lease.held:
+        if not lease.active:
             return
         team, change = lease.team, figure - lease.load
         team.told += not lease.told
         lease.told, lease.load = True, figure
-        self.loads.add(team.load, change)
+        self.load_budget.add(team.load_share, change)
         if lease.leaving:
-            self.loads.leave(team.load, change)
-        if team.load.over_ceiling():
-            self.excess[team] = None
+            self.load_budget.leave(team.load_share, change)
+        if team.load_share.exceeds_ceiling():
+            self.teams_over_ceiling[team] = None
 
     def release(self, lease: Lease) -> None:
         """Give it back; a second time nothing happens."""
-        if not lease.held:
+        if not lease.active:
             return
-        lease.held, team = False, lease.team
+        lease.active, team = False, lease.team
         if lease.leaving:
-            self.seats.leave(team.seats, -1.0)
-            self.loads.leave(team.load, -lease.load)
-        lease.cls.held -= 1
-        self.seats.add(team.seats, -1.0)
+            self.connection_budget.leave(team.connection_share, -1.0)
+            self.load_budget.leave(team.load_share, -lease.load)
+        lease.class_state.connections -= 1
+        self.connection_budget.add(team.connection_share, -1.0)
         if lease.told:
-            self.loads.add(team.load, -lease.load)
+            self.load_budget.add(team.load_share, -lease.load)
             team.told -= 1
         team.standing.pop(lease, None)
-        if self.misplaced:
-            self.misplaced.pop(lease, None)
+        if self.misplaced_leases:
+            self.misplaced_leases.pop(lease, None)
         if team.gone:
             self._forget(team)
 
     # -- reclaiming --------------------------------------------------------------------------------------
 
-    def due(self) -> float | None:
+    def reclaim_delay_s(self) -> float | None:
         """Seconds until ``step`` should be called, None while nothing has to be moved."""
-        return max(STEP, self.pace.wait(self.now)) if self.needs_step() else None
+        return max(STEP, self.pace.wait(self.now)) if self.needs_reclaim() else None
 
-    def needs_step(self) -> bool:
+    def needs_reclaim(self) -> bool:
         """Has anything to be moved?"""
         return (
-            bool(self.misplaced or self.excess)
-            or self.seats.victim() is not None
-            or (self.by_load and self.loads.victim() is not None)
+            bool(self.misplaced_leases or self.teams_over_ceiling)
+            or self.connection_budget.victim() is not None
+            or (self.by_load and self.load_budget.victim() is not None)
         )
 
-    def step(self, now: float) -> list[Lease]:
+    def reclaim(self, now: float) -> list[Lease]:
         """The leases whose clients have to be moved now, as many as the pace allows."""
         now = self._at(now)
-        self.seats.expire(now)
-        self.loads.expire(now)
+        self.connection_budget.expire(now)
+        self.load_budget.expire(now)
         moved: list[Lease] = []
         while self.pace.conforms(now) and (lease := next(self._victims(), None)) is not None:
             self.pace.take(now)
             lease.leaving = True
             lease.team.standing.pop(lease, None)
-            self.misplaced.pop(lease, None)
-            self.seats.leave(lease.team.seats, 1.0)
-            self.loads.leave(lease.team.load, lease.load)
+            self.misplaced_leases.pop(lease, None)
+            self.connection_budget.leave(lease.team.connection_share, 1.0)
+            self.load_budget.leave(lease.team.load_share, lease.load)
             moved.append(lease)
         return moved
 
     def _victims(self) -> Iterator[Lease]:
         """Who moves next: what is too much by a contract first, then the newest of the richest borrower."""
-        for team in list(self.excess):
-            over = team.seats.over_ceiling() or team.load.over_ceiling()
+        for team in list(self.teams_over_ceiling):
+            over = team.connection_share.exceeds_ceiling() or team.load_share.exceeds_ceiling()
             if over and team.standing:
                 yield next(reversed(team.standing))
-            if not over or not team.seats.held:
-                self.excess.pop(team, None)
-        yield from self.misplaced
-        for budget in (self.seats, self.loads):
+            if not over or not team.connection_share.in_use:
+                self.teams_over_ceiling.pop(team, None)
+        yield from self.misplaced_leases
+        for budget in (self.connection_budget, self.load_budget):
             share = budget.victim()
             if share is not None and share.owner.standing:
                 yield next(reversed(share.owner.standing))
--- a/snowwick/broker/budget.py
+++ b/snowwick/broker/budget.py
@@ -21,16 +21,16 @@
 class Share:
     """One team's part of one resource at this balancer.  ``leaving`` is held, but has been asked to go."""
 
-    __slots__ = ("ceiling", "guarantee", "held", "leaving", "marked", "owner", "ranked", "spent", "weight")
+    __slots__ = ("ceiling", "guarantee", "in_use", "leaving", "marked", "owner", "ranked", "spent", "weight")
 
     def __init__(self, owner: Any = None) -> None:
         self.owner = owner
-        self.guarantee = self.ceiling = self.held = self.leaving = self.marked = 0.0
+        self.guarantee = self.ceiling = self.in_use = self.leaving = self.marked = 0.0
         self.weight, self.spent, self.ranked = 1.0, 0.0, 0.0
 
     @property
     def staying(self) -> float:
-        return self.held - self.leaving
+        return self.in_use - self.leaving
 
     @property
     def level(self) -> float:
@@ -39,9 +39,9 @@
 
     @property
     def unused(self) -> float:
-        return max(0.0, self.guarantee - self.held)
+        return max(0.0, self.guarantee - self.in_use)
 
-    def over_ceiling(self) -> bool:
+    def exceeds_ceiling(self) -> bool:
         return self.staying > self.ceiling + SLACK
 
 
@@ -79,8 +79,8 @@
 
     def add(self, share: Share, amount: float) -> None:
         """It holds more, or less."""
-        before = share.held
-        after = share.held = before + amount
+        before = share.in_use
+        after = share.in_use = before + amount
         self.total += amount
         guarantee = share.guarantee
         if before < guarantee or after < guarantee:
@@ -125,21 +125,21 @@
 
     def entitled(self, share: Share, amount: float) -> bool:
         """Is it still within its guarantee with so much more?"""
-        return share.held + amount <= share.guarantee + SLACK
+        return share.in_use + amount <= share.guarantee + SLACK
 
     def room(self, share: Share, amount: float, spare: float = 0.0) -> bool:
         """Is there room for so much more, ``spare`` left over?  The ceiling is another question."""
         if self.total + amount + spare <= self.easy and not self.marked:
             return True
         free = self.limit + SLACK - self.total - amount
-        if free < 0.0 or share.held + amount <= share.guarantee + SLACK:
+        if free < 0.0 or share.in_use + amount <= share.guarantee + SLACK:
             return free >= 0.0
         return free >= spare + self.reserve() + self.marked - share.marked
 
     def mark(self, until: float, share: Share, amount: float) -> bool:
         """Keep the room that is freed next for a share that was refused, if it is owed any."""
         more = share.marked + amount
-        if share.held + more > share.ceiling + SLACK or not (
+        if share.in_use + more > share.ceiling + SLACK or not (
             self.entitled(share, more) or self._poorer(share, more)
         ):
             return False
--- a/snowwick/broker/contract.py
+++ b/snowwick/broker/contract.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
+from snowwick.broker.admission import BalancerLimits, ClassLimits, TeamLimits
 from snowwick.broker.fair import Claim, max_min, striped
-from snowwick.broker.ledger import Book, ClassTerms, Terms
 from snowwick.broker.pools import Match
-from snowwick.checked import Reader
+from snowwick.toml_reader import TomlReader
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Amount = Annotated[float, msgspec.Meta(ge=0.0)]
@@ -131,11 +131,11 @@
 
     ``classes`` and ``tenants`` are the settings' names, or None where there are no settings to check against.
     """
-    reader = Reader()
+    reader = TomlReader()
     raw = reader.parse(text, {"fleet", "pools", "teams"})
     if not raw:
         raise BadContracts(reader.faults)
-    fleet = reader.read("fleet", reader.table(raw, "fleet", required=True), Fleet)
+    fleet = reader.read_struct("fleet", reader.read_table(raw, "fleet", required=True), Fleet)
     pools, teams = _pools(reader, raw), _teams(reader, raw)
     if fleet is not None and not reader.faults:
         _together(reader, fleet, pools, teams)
@@ -156,10 +156,10 @@
     return parse(text, classes, tenants)
 
 
-def _pools(reader: Reader, raw: dict[str, Any]) -> dict[str, Match]:
+def _pools(reader: TomlReader, raw: dict[str, Any]) -> dict[str, Match]:
     found: dict[str, Match] = {}
-    for name, one in reader.table(raw, "pools", required=True).items():
-        pool = reader.read(f"pools.{name}", one, Pool)
+    for name, one in reader.read_table(raw, "pools", required=True).items():
+        pool = reader.read_struct(f"pools.{name}", one, Pool)
         if pool is None:
             continue
         wanted: dict[str, frozenset[str]] = {}
@@ -167,27 +167,27 @@
             path = f"pools.{name}.match.{key}"
             rows = values if isinstance(values, list) else [values]
             if key not in ("kind", "zone", "cell"):
-                reader.fault(path, "unknown key")
+                reader.add_fault(path, "unknown key")
             elif not rows or not all(isinstance(v, str | int) and not isinstance(v, bool) for v in rows):
-                reader.fault(path, "must be a name or a list of names, not empty")
+                reader.add_fault(path, "must be a name or a list of names, not empty")
             else:
                 wanted[key] = frozenset(map(str, rows))
         found[name] = Match(wanted.get("kind"), wanted.get("zone"), wanted.get("cell"))
     return found
 
 
-def _teams(reader: Reader, raw: dict[str, Any]) -> dict[str, Team]:
+def _teams(reader: TomlReader, raw: dict[str, Any]) -> dict[str, Team]:
     found: dict[str, Team] = {}
-    for name, one in reader.table(raw, "teams", required=True).items():
+    for name, one in reader.read_table(raw, "teams", required=True).items():
         path = f"teams.{name}"
         if not isinstance(one, dict):
-            reader.fault(path, "must be a table")
+            reader.add_fault(path, "must be a table")
             continue
         inner = {
-            key: reader.read(f"{path}.classes.{key}", value, Class)
-            for key, value in reader.table(one, f"{path}.classes").items()
+            key: reader.read_struct(f"{path}.classes.{key}", value, Class)
+            for key, value in reader.read_table(one, f"{path}.classes").items()
         }
-        team = reader.read(path, {key: value for key, value in one.items() if key != "classes"}, Team)
+        team = reader.read_struct(path, {key: value for key, value in one.items() if key != "classes"}, Team)
         if team is not None:
             found[name] = msgspec.structs.replace(
                 team, classes={key: value for key, value in inner.items() if value is not None}
@@ -195,50 +195,53 @@
     return found
 
 
-def _together(reader: Reader, fleet: Fleet, pools: dict[str, Match], teams: dict[str, Team]) -> None:
+def _together(reader: TomlReader, fleet: Fleet, pools: dict[str, Match], teams: dict[str, Team]) -> None:
     """What no single key can be blamed for before the others are known."""
     owner: dict[str, str] = {}
     for name, team in teams.items():
         path = f"teams.{name}"
         for tenant in team.tenants:
             if owner.setdefault(tenant, name) != name:
-                reader.fault(f"{path}.tenants", f"{tenant!r} is in teams.{owner[tenant]} already")
+                reader.add_fault(f"{path}.tenants", f"{tenant!r} is in teams.{owner[tenant]} already")
         if team.pool not in pools:
-            reader.fault(f"{path}.pool", f"no pool is named {team.pool!r}")
+            reader.add_fault(f"{path}.pool", f"no pool is named {team.pool!r}")
         if len(set(team.tenants)) < len(team.tenants):
-            reader.fault(f"{path}.tenants", "names a tenant twice")
+            reader.add_fault(f"{path}.tenants", "names a tenant twice")
         for key in ("connections", "setups_per_s", "load"):
             low, high = getattr(team.guarantee, key), getattr(team.ceiling, key)
             if key == "load" and fleet.load is None and (low or high) is not None:
-                reader.fault(
+                reader.add_fault(
                     f"{path}.{'guarantee' if low is not None else 'ceiling'}.load", "needs fleet.load"
                 )
             if low is not None and high is not None and high < low:
-                reader.fault(f"{path}.ceiling.{key}", f"{high} is under the guarantee, {low}")
+                reader.add_fault(f"{path}.ceiling.{key}", f"{high} is under the guarantee, {low}")
     for key in ("connections", "setups_per_s", "load"):
         most, asked = getattr(fleet, key), sum(getattr(team.guarantee, key) or 0 for team in teams.values())
         if most is not None and asked > most * (1 + 1e-9):
-            reader.fault(f"fleet.{key}", f"the guarantees together, {asked}, exceed it, {most}")
+            reader.add_fault(f"fleet.{key}", f"the guarantees together, {asked}, exceed it, {most}")
     names = list(pools)
     for n, one in enumerate(names):
         for other in names[:n]:
             if pools[one].overlaps(pools[other]):
-                reader.fault(f"pools.{one}.match", f"overlaps with pools.{other}.match")
+                reader.add_fault(f"pools.{one}.match", f"overlaps with pools.{other}.match")
         if all(team.pool != one for team in teams.values()):
-            reader.fault(f"pools.{one}", "no team uses it")
+            reader.add_fault(f"pools.{one}", "no team uses it")
 
 
 def _against(
-    reader: Reader, teams: dict[str, Team], classes: Collection[str] | None, tenants: Collection[str] | None
+    reader: TomlReader,
+    teams: dict[str, Team],
+    classes: Collection[str] | None,
+    tenants: Collection[str] | None,
 ) -> None:
     """What the settings must know."""
     for name, team in teams.items():
         for key in team.classes if classes is not None else ():
             if key not in (classes or ()):
-                reader.fault(f"teams.{name}.classes.{key}", "the settings have no such class")
+                reader.add_fault(f"teams.{name}.classes.{key}", "the settings have no such class")
         for tenant in team.tenants if tenants is not None else ():
             if tenant not in (tenants or ()):
-                reader.fault(f"teams.{name}.tenants", f"the settings have no tenant {tenant!r}")
+                reader.add_fault(f"teams.{name}.tenants", f"the settings have no tenant {tenant!r}")
 
 
 def explain(contracts: Contracts, balancers: int) -> list[dict[str, Any]]:
@@ -281,7 +284,7 @@
     return rows
 
 
-def limits_of(contracts: Contracts) -> dict[str, float]:
+def fleet_limits(contracts: Contracts) -> dict[str, float]:
     """The contracts' limits over the whole fleet, by the names of the budgets."""
     fleet = contracts.fleet
     found = {"fleet.connections": float(fleet.connections), "fleet.setups": fleet.setups_per_s}
@@ -292,14 +295,14 @@
     return found
 
 
-def digest_of(contracts: Contracts) -> str:
+def contracts_digest(contracts: Contracts) -> str:
     """The same for contracts that say the same, however their files are written."""
     return blake2b(
         repr(msgspec.to_builtins(contracts, order="deterministic")).encode(), digest_size=6
     ).hexdigest()
 
 
-def budgets_of(contracts: Contracts, balancers: int, index: int) -> dict[str, tuple[float, bool]]:
+def balancer_budgets(contracts: Contracts, balancers: int, index: int) -> dict[str, tuple[float, bool]]:
     """One balancer's static part of each budget that the fleet shares, and whether it counts whole things."""
     connections, of_teams = parts(contracts, balancers, index)
     found: dict[str, tuple[float, bool]] = {
@@ -312,16 +315,16 @@
     return found
 
 
-def book_of(
+def balancer_limits(
     contracts: Contracts, balancers: int, index: int, rights: Mapping[str, float] | None = None
-) -> Book:
+) -> BalancerLimits:
     """What one balancer enforces; ``rights`` holds what it has of the budgets now, where they move.
 
     A team's guarantee goes with its rights: over all balancers it is at most the contract's.
     """
     fleet = contracts.fleet
     _, of_teams = parts(contracts, balancers, index)
-    have = {key: part for key, (part, _) in budgets_of(contracts, balancers, index).items()}
+    have = {key: part for key, (part, _) in balancer_budgets(contracts, balancers, index).items()}
     static, have = have, {**have, **{key: value for key, value in (rights or {}).items() if key in have}}
 
     def moved(guarantee: float, key: str) -> float:
@@ -331,18 +334,18 @@
     for name, team in contracts.teams.items():
         part = of_teams[name]
         seats, setups = f"{name}.connections", f"{name}.setups"
-        teams[name] = Terms(
+        teams[name] = TeamLimits(
             (min(have[seats], math.floor(moved(part.connections[0], seats) + 1e-9)), have[seats]),
             (moved(part.setups[0], setups), have[setups]),
             part.load,
             team.weight,
             team.pool,
             {
-                key: ClassTerms(one.share, one.max_deadline_ms or math.inf)
+                key: ClassLimits(one.share, one.max_deadline_ms or math.inf)
                 for key, one in team.classes.items()
             },
         )
-    return Book(
+    return BalancerLimits(
         have["fleet.connections"],
         have["fleet.setups"],
         teams,
--- a/snowwick/broker/pools.py
+++ b/snowwick/broker/pools.py
@@ -43,7 +43,7 @@
         )
 
 
-class Split:
+class PoolAssignment:
     """Deals discovery's list out to pools: each gets the news of its own destinations, and of those it loses.
 
     A destination whose labels change leaves its old pool as one that is gone, so that the module there moves
@@ -53,10 +53,10 @@
     def __init__(self, matches: Mapping[str, Match]) -> None:
         self.matches = dict(matches)
         self.entries: dict[int, tuple[BackendEntry, Labels]] = {}
-        self.members: dict[str, set[int]] = {name: set() for name in matches}
-        self.usable: set[str] = set()  # pools with a destination that takes new connections
+        self.destinations: dict[str, set[int]] = {name: set() for name in matches}
+        self.available_pools: set[str] = set()  # pools with a destination that takes new connections
 
-    def news(self, update: ListUpdate, labels: Mapping[int, Labels]) -> dict[str, ListUpdate]:
+    def apply(self, update: ListUpdate, labels: Mapping[int, Labels]) -> dict[str, ListUpdate]:
         """What each pool hears of an update; ``labels`` holds those of the update's entries."""
         if update.kind is ListKind.FAILED:
             return dict.fromkeys(self.matches, update)
@@ -71,23 +71,23 @@
         changed = None if whole else {entry.backend: entry for entry in update.entries}
         return {name: self._of(name, update.kind, changed) for name in self.matches}
 
-    def rematch(self, matches: Mapping[str, Match]) -> dict[str, ListUpdate]:
+    def replace_pools(self, matches: Mapping[str, Match]) -> dict[str, ListUpdate]:
         """Other pools from now on: each hears its whole list again, and what it has lost.
 
         A pool that is gone keeps its old match as long as the caller leaves it in ``matches``.
         """
         self.matches = dict(matches)
-        self.members = {name: self.members.get(name, set()) for name in matches}
+        self.destinations = {name: self.destinations.get(name, set()) for name in matches}
         return {name: self._of(name, ListKind.FULL, None) for name in matches}
 
-    def rematch_without(self, name: str) -> None:
+    def remove_pool(self, name: str) -> None:
         """That pool is over; the others have nothing to hear of it."""
         self.matches.pop(name, None)
-        self.members.pop(name, None)
-        self.usable.discard(name)
+        self.destinations.pop(name, None)
+        self.available_pools.discard(name)
 
     def _of(self, name: str, kind: ListKind, changed: Mapping[int, BackendEntry] | None) -> ListUpdate:
-        match, before = self.matches[name], self.members[name]
+        match, before = self.matches[name], self.destinations[name]
         if changed is None:
             now = {number for number, (_, labels) in self.entries.items() if match.takes(labels)}
             rows = [self.entries[number][0] for number in sorted(now)]
@@ -103,10 +103,10 @@
                 elif number in before:
                     now.discard(number)
                     lost.append(entry)
-        self.members[name] = now
-        self.usable.discard(name)
+        self.destinations[name] = now
+        self.available_pools.discard(name)
         if any(self.entries[one][0].state is State.READY for one in now):
-            self.usable.add(name)
+            self.available_pools.add(name)
         return ListUpdate(kind, rows + [_gone(entry) for entry in lost])
 
 
--- a/snowwick/fleet/file.py
+++ b/snowwick/fleet/file.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from snowwick.checked import Reader
+from snowwick.toml_reader import TomlReader
 
 LEAST_KEY = 16  # bytes: a shorter key can be guessed
 
@@ -57,7 +57,7 @@
     digest: str  # of what should be the same at all: balancers with different files say so
 
 
-def _key(reader: Reader, path: str, name: str, folder: Path) -> bytes | None:
+def _key(reader: TomlReader, path: str, name: str, folder: Path) -> bytes | None:
     """The key in a file that only its owner may read."""
     where = folder / name
     try:
@@ -65,14 +65,14 @@
             about = os.fstat(file.fileno())
             data = file.read(4096).strip()
     except OSError as error:
-        reader.fault(path, f"cannot read {where}: {error.strerror}")
+        reader.add_fault(path, f"cannot read {where}: {error.strerror}")
         return None
     if about.st_mode & (stat.S_IRWXG | stat.S_IRWXO):
-        reader.fault(path, f"{where} may be read by others than its owner; chmod 600 it")
+        reader.add_fault(path, f"{where} may be read by others than its owner; chmod 600 it")
     elif about.st_uid != os.geteuid():
-        reader.fault(path, f"{where} belongs to another user")
+        reader.add_fault(path, f"{where} belongs to another user")
     elif len(data) < LEAST_KEY:
-        reader.fault(path, f"{where} holds {len(data)} bytes; a key has at least {LEAST_KEY}")
+        reader.add_fault(path, f"{where} holds {len(data)} bytes; a key has at least {LEAST_KEY}")
     else:
         return blake2b(data, digest_size=32, person=b"snowwick-fleet").digest()
     return None
@@ -80,10 +80,12 @@
 
 def parse(text: str, folder: Path) -> FleetFile:
     """Check a file's text; key files are named from ``folder``.  Raises BadFleet with every fault found."""
-    reader = Reader()
+    reader = TomlReader()
     raw = reader.parse(text, {"links", "share"})
-    links = reader.read("links", reader.table(raw, "links", required=True), Links) if raw else None
-    share = reader.read("share", reader.table(raw, "share"), Share) if raw else None
+    links = (
+        reader.read_struct("links", reader.read_table(raw, "links", required=True), Links) if raw else None
+    )
+    share = reader.read_struct("share", reader.read_table(raw, "share"), Share) if raw else None
     keys: list[bytes] = []
     if links is not None:
         for path, name in (("links.key_file", links.key_file), ("links.old_key_file", links.old_key_file)):
@@ -96,9 +98,9 @@
             *((f"links.routes.{n}", one) for n, one in links.routes.items()),
         ]:
             if address is not None and int(address.rpartition(":")[2]) > 65535:
-                reader.fault(path, f"{address!r} has no such port")
+                reader.add_fault(path, f"{address!r} has no such port")
         if len(keys) == 2 and keys[0] == keys[1]:
-            reader.fault("links.old_key_file", "holds the same key as links.key_file")
+            reader.add_fault("links.old_key_file", "holds the same key as links.key_file")
     if reader.faults or links is None or share is None:
         raise BadFleet(reader.faults)
     common = repr((links.period_ms, msgspec.structs.astuple(share)))  # addresses are each balancer's own
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from snowwick.broker.contract import Contracts, book_of, budgets_of
-from snowwick.broker.ledger import Lease, Ledger, Refusal
+from snowwick.broker.admission import AdmissionController, Lease, Refusal
+from snowwick.broker.contract import Contracts, balancer_budgets, balancer_limits
 from snowwick.net import lines
 from snowwick.net.decider import MoveAway
 from snowwick.net.desks import Desks
@@ -24,7 +24,7 @@
 
     lasting = True
 
-    def __init__(self, loop: Loop, ledger: Ledger) -> None:
+    def __init__(self, loop: Loop, ledger: AdmissionController) -> None:
         super().__init__(loop)
         self.ledger = ledger
         self.until: float | None = None
@@ -36,15 +36,15 @@
             self.mail.clear()
             now = self.loop.clock()
             if self.until is None or now >= self.until:
-                for lease in self.ledger.step(now):
+                for lease in self.ledger.reclaim(now):
                     front = lease.owner
                     if isinstance(front, Actor):
                         front.post(MoveAway("reclaimed"))
-                wait = self.ledger.due()
+                wait = self.ledger.reclaim_delay_s()
                 self.until = None if wait is None else now + wait
 
     def look(self) -> None:
-        if self.until is None and self.ledger.needs_step():
+        if self.until is None and self.ledger.needs_reclaim():
             self.post(Look())
 
 
@@ -65,7 +65,9 @@
         self.loop, self.contracts, self.desks = loop, contracts, desks
         self.balancers, self.index = balancers, index
         self.longest_ms, self.come_again_ms = longest_ms, come_again_ms
-        self.ledger = Ledger(book_of(contracts, balancers, index), seed, longest_ms / 1000.0)
+        self.ledger = AdmissionController(
+            balancer_limits(contracts, balancers, index), seed, longest_ms / 1000.0
+        )
         self.reclaimer = Reclaimer(loop, self.ledger)
         self.rights: dict[str, float] | None = None  # of the budgets, where balancers move them
         self.stricter: dict[str, float] = {}  # parts of budgets, where others' contracts allow less
@@ -76,14 +78,14 @@
     def apply(self, contracts: Contracts) -> None:
         """Other contracts from now on, all at once."""
         self.contracts = contracts
-        book = book_of(contracts, self.balancers, self.index, self.rights)
+        book = balancer_limits(contracts, self.balancers, self.index, self.rights)
         self.ledger.apply(book, self.loop.clock())
         self._pools(running=True)
         self.reclaimer.look()
 
     def budgets(self) -> dict[str, tuple[float, bool]]:
         """The static part of each budget, and whether it counts whole things."""
-        found = budgets_of(self.contracts, self.balancers, self.index)
+        found = balancer_budgets(self.contracts, self.balancers, self.index)
         for key, part in self.stricter.items():
             if key in found:
                 most, whole = found[key]
@@ -94,7 +96,7 @@
         """This balancer's rights from now on; what stands beyond them is moved at the ledger's pace."""
         if rights != self.rights:
             self.rights = rights
-            book = book_of(self.contracts, self.balancers, self.index, rights)
+            book = balancer_limits(self.contracts, self.balancers, self.index, rights)
             self.ledger.apply(book, self.loop.clock())
             self.reclaimer.look()
 
@@ -108,7 +110,7 @@
         wanted = dict(used)
         for name in self.contracts.teams:
             team = self.ledger.teams.get(name)
-            held = team.seats.held if team is not None else 0.0
+            held = team.connection_share.in_use if team is not None else 0.0
             for key, now, refused in (
                 ("connections", held, float(self.refused[name, "connections"])),
                 ("setups", self.let_in[name] / seconds, self.refused[name, "rate"] / seconds),
@@ -149,26 +151,26 @@
             return None
         if not self.desks.ready(pool):
             return self._busy("no-destinations", f"pool={pool}")
-        got = self.ledger.ask_of(now, ask.client, team, ask.class_name, ask.opening.key)
+        got = self.ledger.admit_for_team(now, ask.client, team, ask.class_name, ask.opening.key)
         if isinstance(got, Refusal):
             self.refused[ask.team, "rate" if got.reason == "over-rate" else "connections"] += 1
             self.reclaimer.look()
-            return self._busy(got.reason, f"limit={got.limit}", 1000.0 * got.wait)
+            return self._busy(got.reason, f"limit={got.limit}", 1000.0 * got.retry_after_s)
         self.let_in[ask.team] += 1
         ask.lease, ask.decider = got, self.desks.deciders[pool]
-        ask.wait = min(ask.wait, got.cls.max_wait)
+        ask.wait = min(ask.wait, got.class_state.max_wait_ms)
         self.reclaimer.look()
         return None
 
     def stands(self, ask: Ask) -> None:
         if isinstance(ask.lease, Lease):
-            self.ledger.stands(ask.lease)
-            if self.ledger.excess or self.ledger.misplaced:
+            self.ledger.mark_established(ask.lease)
+            if self.ledger.teams_over_ceiling or self.ledger.misplaced_leases:
                 self.reclaimer.look()
 
     def load(self, ask: Ask, figure: float) -> None:
         if isinstance(ask.lease, Lease):
-            self.ledger.load(ask.lease, figure)
+            self.ledger.update_load(ask.lease, figure)
             self.reclaimer.look()
 
     def over(self, ask: Ask) -> None:
--- a/snowwick/net/desks.py
+++ b/snowwick/net/desks.py
@@ -9,7 +9,7 @@
 from snowwick.net.decider import Decider, PoolNews, Retire, Silent, Slow
 
 if TYPE_CHECKING:
-    from snowwick.broker.pools import Labels, Match, Split
+    from snowwick.broker.pools import Labels, Match, PoolAssignment
 
 ALL = ""  # the one pool of a program without contracts
 
@@ -29,7 +29,7 @@
     ) -> None:
         self.make, self.settings, self.labels = make, settings, labels
         self.deciders: dict[str, Decider] = {}
-        self.split: Split | None = None
+        self.split: PoolAssignment | None = None
         self.current: frozenset[str] = frozenset([ALL])
 
     def start(self) -> None:
@@ -41,7 +41,7 @@
 
     def set(self, matches: Mapping[str, Match], tenants: Mapping[str, frozenset[str]], running: bool) -> None:
         """Other pools from now on, each with the tenants whose requests go there."""
-        from snowwick.broker.pools import Split
+        from snowwick.broker.pools import PoolAssignment
 
         standing = {name: one for name, one in self.deciders.items() if name not in matches and one.clients}
         for name in self.deciders.keys() - standing.keys() - matches.keys():
@@ -55,19 +55,19 @@
                 self.deciders[name].start()
         self.current = frozenset(matches)
         if self.split is None:
-            self.split = Split(matches)
+            self.split = PoolAssignment(matches)
             return
         old = {name: self.split.matches[name] for name in standing}
-        for name, news in self.split.rematch({**matches, **old}).items():
+        for name, news in self.split.replace_pools({**matches, **old}).items():
             self.deciders[name].post(news)
 
     def ready(self, pool: str) -> bool:
         """Has the pool a destination that takes new connections?"""
-        return self.split is None or pool in self.split.usable
+        return self.split is None or pool in self.split.available_pools
 
     def of_destination(self, destination: int) -> Decider:
         """The decider of the pool that a destination is in, or any where it is in none."""
-        members = self.split.members if self.split is not None else {}
+        members = self.split.destinations if self.split is not None else {}
         return next(
             (self.deciders[name] for name, held in members.items() if destination in held),
             next(iter(self.deciders.values())),
@@ -78,13 +78,13 @@
         if self.split is None:
             self.deciders[ALL].post(news)
             return
-        for name, part in self.split.news(news, self.labels()).items():
+        for name, part in self.split.apply(news, self.labels()).items():
             self.deciders[name].post(part)
         for name in [
             name for name, one in self.deciders.items() if name not in self.current and not one.clients
         ]:
             self.deciders.pop(name).post(Retire())
-            self.split.rematch_without(name)
+            self.split.remove_pool(name)
 
     def hear(self, message: Slow | Silent) -> None:
         """What the gauge has to tell."""
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -295,10 +295,12 @@
     def _revision(self, now: float) -> None:
         stage = self.host.contract_stage
         if stage is not None and stage.contracts is not self.contracts:
-            from snowwick.broker.contract import digest_of, limits_of
+            from snowwick.broker.contract import contracts_digest, fleet_limits
 
             self.contracts = stage.contracts
-            self.revision = Revision(self.file.digest, digest_of(stage.contracts), limits_of(stage.contracts))
+            self.revision = Revision(
+                self.file.digest, contracts_digest(stage.contracts), fleet_limits(stage.contracts)
+            )
         mine = self.revision = Revision(self.file.digest, self.revision.contracts, self.revision.limits)
         rows = sorted(mine.limits.items())
         parts = [dict(rows[at : at + facts.LIMITS]) for at in range(0, len(rows), facts.LIMITS)] or [{}]
--- a/snowwick/checked.py
+++ b/snowwick/toml_reader.py
@@ -18,13 +18,13 @@
 T = TypeVar("T")
 
 
-class Reader:
+class TomlReader:
     """Collects the faults of a file."""
 
     def __init__(self) -> None:
         self.faults: list[str] = []
 
-    def fault(self, path: str, text: str) -> None:
+    def add_fault(self, path: str, text: str) -> None:
         self.faults.append(f"{path}: {text}")
 
     def parse(self, text: str, keys: set[str]) -> dict[str, Any]:
@@ -42,13 +42,13 @@
             ]
             return {}
         for key in raw.keys() - keys - {"version"}:
-            self.fault(key, "unknown key")
+            self.add_fault(key, "unknown key")
         for path, number in numbers(raw):
             if not math.isfinite(number):
-                self.fault(path, f"must be a finite number, not {number}")
+                self.add_fault(path, f"must be a finite number, not {number}")
         return raw
 
-    def read(self, path: str, raw: Any, kind: type[T]) -> T | None:
+    def read_struct(self, path: str, raw: Any, kind: type[T]) -> T | None:
         """A table as that struct; None, with the fault kept, where it is not one."""
         try:
             return msgspec.convert(raw, kind)
@@ -59,18 +59,18 @@
             if missing:
                 keys.append(missing.group(1))
                 text = "unknown key" if "unknown" in text else "is missing"
-            self.fault(".".join(filter(None, keys)), text[:1].lower() + text[1:])
+            self.add_fault(".".join(filter(None, keys)), text[:1].lower() + text[1:])
             return None
 
-    def table(self, raw: dict[str, Any], path: str, required: bool = False) -> dict[str, Any]:
+    def read_table(self, raw: dict[str, Any], path: str, required: bool = False) -> dict[str, Any]:
         """The table at the path's last key, with names for keys."""
         value = raw.get(path.rpartition(".")[2], None if required else {})
         if not isinstance(value, dict):
-            self.fault(path, "must be a table" if value is not None else "is missing")
+            self.add_fault(path, "must be a table" if value is not None else "is missing")
             return {}
         for name in value:
             if not NAME.fullmatch(name):
-                self.fault(f"{path}.{name!r}", "not a name of letters, digits, '_', '.', '-'")
+                self.add_fault(f"{path}.{name!r}", "not a name of letters, digits, '_', '.', '-'")
         return value
 
 
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from crowgap.interface import BackendEntry, ListKind, ListUpdate, State
-from snowwick.broker.contract import BadContracts, book_of, explain, parse
+from snowwick.broker.contract import BadContracts, balancer_limits, explain, parse
 from snowwick.broker.fair import Claim, max_min, striped
-from snowwick.broker.pools import Labels, Match, Split
+from snowwick.broker.pools import Labels, Match, PoolAssignment
 
 GOOD = """
 version = 1
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("balancers", [1, 2, 3])
 def test_parts_of_all_balancers_make_the_contract(balancers: int) -> None:
     contracts = parse(GOOD)
-    books = [book_of(contracts, balancers, n) for n in range(balancers)]
+    books = [balancer_limits(contracts, balancers, n) for n in range(balancers)]
     assert sum(one.connections for one in books) == 100
     assert sum(one.teams["x"].connections[0] for one in books) == 40
     assert sum(one.teams["x"].connections[1] for one in books) == 80
@@ -152,23 +152,23 @@
 
 
 def test_a_destination_that_changes_its_kind_leaves_one_pool_and_enters_the_other() -> None:
-    split = Split({"a": Match(kind=frozenset({"k1"})), "b": Match(kind=frozenset({"k2"}))})
+    split = PoolAssignment({"a": Match(kind=frozenset({"k1"})), "b": Match(kind=frozenset({"k2"}))})
     one, two = BackendEntry(1, State.READY), BackendEntry(2, State.READY)
     labels = {1: Labels("k1"), 2: Labels("k2")}
 
     def told(news: dict[str, ListUpdate]) -> dict[str, list[tuple[int, str]]]:
         return {pool: [(e.backend, e.state.value) for e in part.entries] for pool, part in news.items()}
 
-    first = split.news(ListUpdate(ListKind.FULL, [one, two]), labels)
+    first = split.apply(ListUpdate(ListKind.FULL, [one, two]), labels)
     assert told(first) == {"a": [(1, "ready")], "b": [(2, "ready")]}
-    changed = split.news(ListUpdate(ListKind.CHANGES, [one]), {1: Labels("k2")})
+    changed = split.apply(ListUpdate(ListKind.CHANGES, [one]), {1: Labels("k2")})
     assert told(changed) == {"a": [(1, "gone")], "b": [(1, "ready")]}
-    assert split.usable == {"b"}
-    back = split.news(ListUpdate(ListKind.FULL, [one, two]), labels)
+    assert split.available_pools == {"b"}
+    back = split.apply(ListUpdate(ListKind.FULL, [one, two]), labels)
     assert told(back) == {"a": [(1, "ready")], "b": [(2, "ready"), (1, "gone")]}
-    gone = split.news(ListUpdate(ListKind.CHANGES, [BackendEntry(1, State.GONE)]), {})
+    gone = split.apply(ListUpdate(ListKind.CHANGES, [BackendEntry(1, State.GONE)]), {})
     assert told(gone) == {"a": [(1, "gone")], "b": []}
-    assert split.news(ListUpdate(ListKind.FAILED), {})["b"].kind is ListKind.FAILED
+    assert split.apply(ListUpdate(ListKind.FAILED), {})["b"].kind is ListKind.FAILED
 
 
 def command(*words: str) -> subprocess.CompletedProcess[str]:
