--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -82,7 +82,7 @@
             crowd.tally = Tally(up=crowd.tally.up)
         end = loop.clock() + seconds
         while (now := loop.clock()) < end:
-            loop.turn(0.05)
+            loop.run_once(0.05)
             for crowd, _ in crowds:
                 crowd.tally.standing += crowd.tally.up * (loop.clock() - now) / seconds
         found[name] = {crowd.tenant: crowd.tally for crowd, _ in crowds}
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/hollow.py
@@ -54,7 +54,7 @@
 from snowwick.log import Log
 from snowwick.net.decider import PoolNews, Silent
 from snowwick.net.fleet import FleetLink
-from snowwick.net.loop import Actor, Loop, Steps, Wait
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.pool import PoolConfig
 
 LONGEST_MS = 3_600_000  # that a histogram holds
@@ -144,9 +144,9 @@
         super().__init__(process.loop)
         self.process, self.workload, self.first, self.began = process, workload, first, began
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         for event in schedule(self.workload):
-            yield from self.sleep(self.began + event.at)
+            yield from self.sleep_until(self.began + event.at)
             self.play(event)
 
     def link(self, member: int) -> HollowLink | None:
@@ -186,10 +186,10 @@
         super().__init__(process.loop)
         self.process, self.apart = process, apart
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         for link in self.process.links.values():
             link.start()
-            yield from self.sleep(self.loop.clock() + self.apart)
+            yield from self.sleep_until(self.loop.clock() + self.apart)
 
 
 class Looker(Actor):
@@ -199,9 +199,9 @@
         super().__init__(process.loop)
         self.process = process
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         while True:
-            yield from self.sleep(self.loop.clock() + LOOK)
+            yield from self.sleep_until(self.loop.clock() + LOOK)
             link, wall = next(iter(self.process.links.values())), 1000.0 * time.time()
             for held in link.node.store.standing(facts.LOAD):
                 if held.entry.owner != link.node.name:
@@ -224,7 +224,7 @@
         self.deaths: set[tuple[str, int]] = set()  # who was found dead by any, and under which incarnation
         self.ages = HdrHistogram(1, LONGEST_MS, 3)
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         self.sock.setblocking(False)
         try:
             while True:
--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -24,8 +24,8 @@
 from snowwick.fleet.file import FleetFile, load
 from snowwick.lab.standins import ROOT, Door, Peer, listen, settings, where
 from snowwick.net.asking import ask
-from snowwick.net.loop import Actor, Loop, Steps, Wait
-from snowwick.net.peer import prepare
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
+from snowwick.net.peer import configure_socket
 
 PATIENCE = 15.0  # s that a condition may take
 
@@ -47,7 +47,7 @@
         self.frames, self.due = 0, list[tuple[float, bytes]]()
         self.next = 0.0
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         while True:
             yield Wait(self.sock, read=True, until=min((at for at, _ in self.due), default=None))
             with contextlib.suppress(BlockingIOError):
@@ -101,7 +101,7 @@
         super().__init__(loop, sock)
         self.node = node
 
-    def talk(self) -> Steps:
+    def talk(self) -> Coroutine:
         first = yield from self.line()
         if first == b"PING\r\n":
             self.sock.send(b"PONG\r\n")
@@ -146,7 +146,7 @@
         super().__init__(discovery.loop, sock)
         self.discovery, self.name = discovery, name
 
-    def talk(self) -> Steps:
+    def talk(self) -> Coroutine:
         d = self.discovery
         while request := (yield from self.line()):
             while (yield from self.line()) not in (b"\r\n", b""):
@@ -187,11 +187,11 @@
     def __init__(
         self, loop: Loop, address: tuple[str, int], answer: Answer, opening: bytes, keep: float
     ) -> None:
-        super().__init__(loop, prepare(socket.socket()))
+        super().__init__(loop, configure_socket(socket.socket()))
         self.address, self.answer, self.opening, self.keep = address, answer, opening, keep
         self.hang_up = False
 
-    def talk(self) -> Steps:
+    def talk(self) -> Coroutine:
         answer = self.answer
         try:
             with contextlib.suppress(BlockingIOError):
@@ -546,7 +546,7 @@
             assert time.monotonic() - began < patience, "the condition does not hold\n" + "\n".join(
                 f"{one.name}: {one.log[-1500:]}" for one in self.balancers if one.starts
             )
-            self.loop.turn(0.01)
+            self.loop.run_once(0.01)
         return time.monotonic() - began
 
     def turn(self, seconds: float) -> None:
@@ -554,7 +554,7 @@
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.watch()
-            self.loop.turn(min(0.01, max(0.0, end - time.monotonic())))
+            self.loop.run_once(min(0.01, max(0.0, end - time.monotonic())))
 
     def cut(self, *pairs: tuple[int, int]) -> None:
         for pair in pairs:
--- a/snowwick/lab/scale_real.py
+++ b/snowwick/lab/scale_real.py
@@ -286,7 +286,7 @@
                     if not self.fleet.balancers[n].ended:
                         self.fleet.ask(n, keep=KEEP)
             self.fleet.watch()
-            self.fleet.loop.turn(0.02)
+            self.fleet.loop.run_once(0.02)
 
     def start(self) -> None:
         fleet, left = self.fleet, self.hollow
--- a/snowwick/lab/standins.py
+++ b/snowwick/lab/standins.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any
 
-from snowwick.net.loop import READ, TIME, Actor, Loop, Steps, Wait
-from snowwick.net.peer import prepare
+from snowwick.net.loop import READABLE, TIMED_OUT, Actor, Coroutine, Loop, Wait
+from snowwick.net.peer import configure_socket
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -42,31 +42,31 @@
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         super().__init__(loop)
-        self.sock, self.inbox = prepare(sock), bytearray()
+        self.sock, self.inbox = configure_socket(sock), bytearray()
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         try:
             yield from self.talk()
         except OSError:
             pass
         finally:
-            self.loop.release(self)
+            self.loop.unregister(self)
             self.sock.close()
 
-    def talk(self) -> Steps:
+    def talk(self) -> Coroutine:
         raise NotImplementedError
 
     def line(self, until: float | None = None) -> Generator[Wait, int, bytes | None]:
         """The next line; None where the time ran out, b"" at the end."""
         while (end := self.inbox.find(b"\n") + 1) == 0:
             woke = yield Wait(self.sock, read=True, until=until)
-            if woke & READ:
+            if woke & READABLE:
                 with contextlib.suppress(BlockingIOError):
                     data = self.sock.recv(65536)
                     if not data:
                         return b""
                     self.inbox += data
-            elif woke & TIME:
+            elif woke & TIMED_OUT:
                 return None
         line = bytes(self.inbox[:end])
         del self.inbox[:end]
@@ -80,7 +80,7 @@
         super().__init__(loop)
         self.sock, self.meet = sock, meet
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         while True:
             yield Wait(self.sock, read=True)
             with contextlib.suppress(BlockingIOError):
@@ -109,14 +109,14 @@
         super().__init__(loop, sock)
         self.node = node
 
-    def talk(self) -> Steps:
+    def talk(self) -> Coroutine:
         first = yield from self.line()
         if not first or not first.startswith(b"OPEN "):
             return
-        yield from self.sleep(self.node.work(self.loop.clock(), self.node.setup))
+        yield from self.sleep_until(self.node.work(self.loop.clock(), self.node.setup))
         self.sock.send(b"UP r\r\n")
         while line := (yield from self.line()):
-            yield from self.sleep(self.node.work(self.loop.clock(), self.node.message))
+            yield from self.sleep_until(self.node.work(self.loop.clock(), self.node.message))
             self.sock.send(line)
 
 
@@ -127,13 +127,13 @@
         super().__init__(loop, sock)
         self.servers = servers
 
-    def talk(self) -> Steps:
+    def talk(self) -> Coroutine:
         while request := (yield from self.line()):
             while (yield from self.line()) not in (b"\r\n", b""):
                 pass
             fresh = b"after=" not in request or b"after=0&" in request
             if not fresh:
-                yield from self.sleep(self.loop.clock() + 3.0)
+                yield from self.sleep_until(self.loop.clock() + 3.0)
             listed = self.servers if fresh else []
             body = json.dumps({"version": 1, "full": fresh, "servers": listed}).encode()
             self.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
@@ -195,7 +195,7 @@
         self.address, self.crowd, self.name = address, crowd, name
         self.random = random.Random(seed)
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         yield from self._sleep(1.5 * self.random.random())
         honoured = False
         while True:
@@ -203,7 +203,7 @@
                 yield from self._sleep(0.1 + 0.2 * self.random.random())
                 honoured = False
             asked = self.loop.clock()
-            sock = prepare(socket.socket())
+            sock = configure_socket(socket.socket())
             peer = _Line(self.loop, sock, self)
             wait = None
             try:
@@ -211,14 +211,14 @@
             except OSError:
                 pass
             finally:
-                self.loop.release(self)
+                self.loop.unregister(self)
                 sock.close()
             honoured = wait is not None
             yield from self._sleep(wait if wait is not None else 0.1 + 0.2 * self.random.random())
             self.crowd.tally.wanted += self.loop.clock() - asked if honoured else 0.0
 
-    def _sleep(self, wait: float) -> Steps:
-        yield from self.sleep(self.loop.clock() + wait)
+    def _sleep(self, wait: float) -> Coroutine:
+        yield from self.sleep_until(self.loop.clock() + wait)
 
     def _connection(self, peer: _Line, asked: float, honoured: bool) -> Generator[Wait, int, float | None]:
         """Ask, and use the connection; returns the stated come-back time in s where there is one."""
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -11,7 +11,7 @@
 from snowwick.net import lines
 from snowwick.net.decider import MoveAway
 from snowwick.net.desks import Desks
-from snowwick.net.loop import Actor, Loop, Steps, Wait
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.path import Ask, Stage, Turned
 
 
@@ -22,18 +22,18 @@
 class Reclaimer(Actor):
     """Has clients moved, at the ledger's pace, while there is something to move."""
 
-    lasting = True
+    restart_after_fault = True
 
     def __init__(self, loop: Loop, ledger: Ledger) -> None:
         super().__init__(loop)
         self.ledger = ledger
         self.until: float | None = None
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         self.until = None
         while True:
             yield Wait(until=self.until)
-            self.mail.clear()
+            self.mailbox.clear()
             now = self.loop.clock()
             if self.until is None or now >= self.until:
                 for lease in self.ledger.step(now):
@@ -136,7 +136,7 @@
 
     def _busy(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Turned:
         wait = self.come_again_ms() if wait_ms is None else wait_ms
-        return Turned(lines.busy(min(max(1.0, wait), self.longest_ms)), reason, detail)
+        return Turned(lines.busy_line(min(max(1.0, wait), self.longest_ms)), reason, detail)
 
     def enter(self, ask: Ask) -> Turned | None:
         now, team = self.loop.clock(), self.tenants.get(ask.tenant)
--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -16,7 +16,7 @@
 from crowgap import interface as i
 from crowgap.interface import UNRUN as UNRUN
 from crowgap.policy import Balancer
-from snowwick.net.loop import Actor, Loop, Steps, Wait
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 
 Outcome = i.Outcome
 PoolNews = i.ListUpdate
@@ -149,7 +149,7 @@
 class Decider(Actor):
     """Feeds the module one event at a time on one clock and carries out what it answers."""
 
-    lasting = True
+    restart_after_fault = True
 
     def __init__(
         self,
@@ -172,13 +172,13 @@
         self.steps_out: dict[int, int] = {}  # destinations of those that have not ended, by request
         self.last = 0
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         while True:
             until = None
             if self.alarms:
                 until = self.loop.clock() + max(0.0, self.alarms[0][0] - self.now_ms()) / 1000.0
             yield Wait(until=until)
-            for message in self.take():
+            for message in self.take_messages():
                 if isinstance(message, Retire):
                     return
                 if self.observe is not None:
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -11,8 +11,8 @@
 from snowwick.net.decider import Load, MoveAway, Outcome
 from snowwick.net.gauge import Answers, Gauge, Meter
 from snowwick.net.lines import Reply
-from snowwick.net.loop import READ, TIME, Loop, Steps, Wait
-from snowwick.net.peer import End, LinePeer, Lines, connect, prepare
+from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
+from snowwick.net.peer import LinePeer, PeerEnded, RelayedLines, configure_socket, connect
 
 SILENT = 5.5  # s without a line back after which a client is moved: the protocol allows seven
 UNANSWERED = 3.0  # s that a line must have waited before silence counts
@@ -50,7 +50,7 @@
         connect_wait: float,
         gauge: Gauge,
     ) -> None:
-        super().__init__(loop, prepare(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
+        super().__init__(loop, configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
         self.front, self.number, self.address, self.opening = front, number, address, opening
         self.gauge, self.meter = gauge, Meter(front, number, Answers())  # the gauge's own once it stands
         self.began = loop.clock()
@@ -59,24 +59,24 @@
         self.last = Reply.OTHER  # what the last line from the destination was
         self.told = self.unwanted = False  # told the front of its end; the client stirred before the opening
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         outcome: Outcome | None = Outcome.RESET
         try:
             outcome = yield from self._set_up()
             if outcome is None:
                 outcome = Outcome.RESET
-                self.other = self.front
+                self.other_side = self.front
                 yield from self.relay()
         except OSError:
             outcome = ENDINGS.get(self.last, Outcome.RESET)  # what it said last holds, however it closed
-            self.tell(End(reset=True))
-        except lines.Garbled:
+            self.notify_other_side(PeerEnded(reset=True))
+        except lines.MalformedLine:
             # The destination still answers: its client is sent away politely, not cut off.
             self.front.post(MoveAway("garbled-destination"))
         finally:
             self.gauge.remove(self.meter)
             # Closed before the front hears of it: the next route step must not find this one still out.
-            self.shut()
+            self.close_socket()
             self._over(outcome or Outcome.RESET)
 
     def _elapsed(self) -> float:
@@ -93,88 +93,88 @@
             yield from self._send_opening()
         except OSError:
             return Outcome.CONNECT_FAILED  # its last byte was never written, so it never ran
-        if self.mail:
+        if self.mailbox:
             return Outcome.CANCELLED
-        if self.out:
+        if self.output_buffer:
             return Outcome.UNSENT if self.unwanted else Outcome.CONNECT_FAILED
         while True:
             woke = yield Wait(self.sock, read=True, until=self.until)
-            if self.mail:
+            if self.mailbox:
                 return Outcome.CANCELLED
             # Read once more as the time runs out: an answer that has come is no time-out.
-            if woke & (READ | TIME):
+            if woke & (READABLE | TIMED_OUT):
                 try:
                     going = self.receive()
                 except OSError:
                     return Outcome.RESET
-                while (line := lines.cut_one(self.inbox)) is not None:
-                    said = lines.reply(line)
-                    if said is Reply.UP and lines.is_receipt(line):
+                while (line := lines.take_line(self.input_buffer)) is not None:
+                    said = lines.reply_kind(line)
+                    if said is Reply.UP and lines.is_up_line(line):
                         self._stands(line)
                         return None
                     if said is not Reply.LOAD:
                         return ANSWERS.get(said, Outcome.ERROR)
                 if not going:
                     return Outcome.RESET
-            if woke & TIME:
+            if woke & TIMED_OUT:
                 return Outcome.TIMEOUT
 
-    def _send_opening(self) -> Steps:
+    def _send_opening(self) -> Coroutine:
         """Returns with ``out`` not empty where the time ran out."""
-        self.out += self.opening
+        self.output_buffer += self.opening
         if not (yield from connect(self, self.sock, self.address, self.connect_until)):
             return
         # The client may have gone while the connection came up, and its side may be resumed after this one.
-        self.unwanted = self.front.stirred()
+        self.unwanted = self.front.has_unread_input()
         if self.unwanted:
             return
         self._write()
-        while self.out and not self.mail:
+        while self.output_buffer and not self.mailbox:
             woke = yield Wait(self.sock, write=True, until=self.until)
-            if woke & TIME:
+            if woke & TIMED_OUT:
                 return
             self._write()
 
     def _write(self) -> None:
         """Unlike later, a write that fails here says that the opening never got there: raises OSError."""
         with contextlib.suppress(BlockingIOError):
-            del self.out[: self.sock.send(self.out)]
+            del self.output_buffer[: self.sock.send(self.output_buffer)]
 
     def _stands(self, line: bytes) -> None:
         self.front.post(Up(line, self._elapsed()))
         self.meter = self.gauge.add(self.front, self.number)
-        rest = lines.cut(self.inbox)
+        rest = lines.take_lines(self.input_buffer)
         if rest:
-            self.saw(rest)
-            self.front.post(Lines(rest))
+            self.on_lines(rest)
+            self.front.post(RelayedLines(rest))
 
-    def saw(self, data: bytes) -> None:
+    def on_lines(self, data: bytes) -> None:
         now = self.loop.clock()
         for line in data.splitlines(keepends=True):
-            self.last = lines.reply(line)
+            self.last = lines.reply_kind(line)
             if self.last is not Reply.LOAD:
                 self.meter.answered(now)
-            elif (load := lines.load_of(line)) is not None:
+            elif (load := lines.parse_load(line)) is not None:
                 self.front.post(Load(self.front, self.number, load))
 
-    def on_mail(self, message: object) -> None:
-        if isinstance(message, Lines):
+    def on_message(self, message: object) -> None:
+        if isinstance(message, RelayedLines):
             self.meter.sent(self.loop.clock(), message.data.count(b"\n"))
-        elif isinstance(message, End):
+        elif isinstance(message, PeerEnded):
             self._over(Outcome.CANCELLED)
-        super().on_mail(message)
+        super().on_message(message)
 
-    def ended_first(self) -> None:
+    def on_input_ended(self) -> None:
         self._over(ENDINGS.get(self.last, Outcome.RESET))
 
-    def due(self) -> float | None:
-        if self.grace is not None or not self.meter.asked:
-            return self.grace
+    def next_deadline(self) -> float | None:
+        if self.close_deadline is not None or not self.meter.asked:
+            return self.close_deadline
         return max(self.meter.heard + SILENT, self.meter.asked[0] + UNANSWERED)
 
-    def timed_out(self) -> bool:
+    def on_deadline(self) -> bool:
         """Guards against a destination that hangs or vanished: its connection stays open and says nothing."""
-        if self.grace is not None:
+        if self.close_deadline is not None:
             return False
         self.meter.asked.clear()  # asked once is enough; the front ends both sides
         self.front.post(MoveAway("silent"))
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -21,7 +21,7 @@
 from snowwick.fleet.node import CaughtUp, DuplicateName, Node
 from snowwick.fleet.rights import RENEW, Leases
 from snowwick.net.decider import Outcome, PoolNews, Silent, StepEnded, StepUp
-from snowwick.net.loop import Actor, Steps, Wait
+from snowwick.net.loop import Actor, Coroutine, Wait
 from snowwick.net.pool import parse_address
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
 class FleetLink(Actor):
     """This balancer's place in the fleet."""
 
-    lasting = True
+    restart_after_fault = True
 
     def __init__(self, host: Host, file: FleetFile, name: str, rng: random.Random) -> None:
         super().__init__(host.loop)
@@ -82,7 +82,7 @@
 
     # -- the loop ----------------------------------------------------------------------------------------
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         self.log.event(
             "fleet",
             "fleet: {name} at {address}, epoch {epoch}",
@@ -103,11 +103,11 @@
                 until = max(now, min(self.node.due(), self.next_share))
                 resting = now < rest
                 yield Wait(self.sock, read=not resting, until=min(until, rest) if resting else until)
-                self.mail.clear()
+                self.mailbox.clear()
                 if self.loop.clock() >= rest and self.read():
                     rest = self.loop.clock() + REST
         finally:
-            self.loop.release(self)
+            self.loop.unregister(self)
             if self.gone:  # after a fault it begins again, on the same socket
                 self.sock.close()
 
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -21,9 +21,9 @@
 )
 from snowwick.net.destination import Destination, Over, Up
 from snowwick.net.gauge import Gauge
-from snowwick.net.loop import READ, TIME, Loop, Steps, Wait
+from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
 from snowwick.net.path import Ask, Path, ask_of
-from snowwick.net.peer import GRACE, End, LinePeer, prepare
+from snowwick.net.peer import CLOSE_GRACE_S, LinePeer, PeerEnded, configure_socket
 
 FIRST_LINE = 2.0  # s that a front socket may stay without an opening line, whatever else it says
 LINGER = 5.0  # s at most in which the rest of what a client sends is read, once it has its answer
@@ -77,7 +77,7 @@
     """One client's connection."""
 
     def __init__(self, house: House, sock: socket.socket) -> None:
-        super().__init__(house.loop, prepare(sock))
+        super().__init__(house.loop, configure_socket(sock))
         self.house, self.reason, self.detail = house, "fault", ""
         self.ask: Ask | None = None
         self.step: Destination | None = None
@@ -86,18 +86,18 @@
         self.number = -1
         self.accepted = self.began = self.until = self.answered = self.loop.clock()
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         try:
             yield from self._serve()
         except OSError:
             self.reason = "front-reset"
-            self.tell(End(reset=True))
-        except lines.Garbled as error:
+            self.notify_other_side(PeerEnded(reset=True))
+        except lines.MalformedLine as error:
             self.reason, self.detail = "garbled", str(error)
             yield from self._answer(lines.ERR)
         finally:
             self._leave()
-            self.shut()
+            self.close_socket()
             self.house.ended(self)
 
     def _leave(self) -> None:
@@ -107,11 +107,11 @@
         if self.asked and not self.up:
             self.ask.post(Left(self, self.step is not None))
         if self.step is not None:
-            self.step.post(End())
+            self.step.post(PeerEnded())
             self._step_over(Outcome.CANCELLED, 0.0, final=True)
         self.house.path.over(self.ask)
 
-    def _serve(self) -> Steps:
+    def _serve(self) -> Coroutine:
         opening = yield from self._first_line()
         if opening is None:
             return
@@ -134,35 +134,37 @@
         self.reason = "no-opening"
         while True:
             # Who asks without reading the answers is read no further: the answers would pile up.
-            woke = yield Wait(self.sock, read=not self.full(), write=bool(self.out), until=until)
+            woke = yield Wait(
+                self.sock, read=not self.output_full(), write=bool(self.output_buffer), until=until
+            )
             ended = ""
-            for message in self.take():
+            for message in self.take_messages():
                 ended = "draining" if isinstance(message, Closing) else "made-room"
             # Whatever ends it, what lies in the socket is read first: a request there is owed its answer.
-            going = self.receive() if woke & (READ | TIME) or ended else True
-            while (line := lines.cut_one(self.inbox)) is not None:
+            going = self.receive() if woke & (READABLE | TIMED_OUT) or ended else True
+            while (line := lines.take_line(self.input_buffer)) is not None:
                 word = line.rstrip(b"\r\n")
                 if word == lines.PING:
                     self.reason = "ping"
-                    self.out += lines.PONG
+                    self.output_buffer += lines.PONG
                 elif word == lines.STATS:
-                    self.out += lines.NO
+                    self.output_buffer += lines.NO
                 else:
                     opening = lines.parse_opening(line)
                     # Who sends on top of it or goes at once shows now, before anything is decided.
                     going = going and self.receive()
-                    if self.inbox:
-                        raise lines.Garbled("more than an opening line")
+                    if self.input_buffer:
+                        raise lines.MalformedLine("more than an opening line")
                     if going:
                         return opening
                     self.reason = "left"
                     return None
             self.flush()
-            if woke & TIME and self.inbox:
-                raise lines.Garbled("no whole line in time")
-            if not going or self.broken:
+            if woke & TIMED_OUT and self.input_buffer:
+                raise lines.MalformedLine("no whole line in time")
+            if not going or self.write_failed:
                 return None
-            if ended or woke & TIME:
+            if ended or woke & TIMED_OUT:
                 self.reason = ended or self.reason
                 yield from self._answer(b"")
                 return None
@@ -185,9 +187,9 @@
             if not self.receive():
                 self.reason = "left"
                 return None
-            if self.inbox:
-                raise lines.Garbled("sent before its answer")
-            for message in self.take():
+            if self.input_buffer:
+                raise lines.MalformedLine("sent before its answer")
+            for message in self.take_messages():
                 if isinstance(message, RouteStep):
                     left = wait_left(self)
                     self._take_step(message.destination, min(message.wait or left, left))
@@ -203,20 +205,20 @@
                     self._step_over(message.outcome, message.elapsed, final=False)
                 elif isinstance(message, BusyReply):
                     self.asked, self.reason = False, "busy"
-                    return lines.busy(message.retry_after)
+                    return lines.busy_line(message.retry_after)
                 elif isinstance(message, FailReply):
                     self.asked, self.reason = False, "failed"
                     return lines.ERR
                 elif isinstance(message, Closing):
                     self.reason = "draining"
                     harmless = self.asked and self.step is None and not self.ran
-                    return lines.busy(self.house.come_again_ms()) if harmless else lines.ERR
+                    return lines.busy_line(self.house.come_again_ms()) if harmless else lines.ERR
             if late:
                 # The decider answers before this; a fault in it must not leave the client without.
                 self.reason = "overdue"
                 return lines.ERR
             # One turn more: an UP that came in this one is still on its way here.
-            late = bool(woke & TIME)
+            late = bool(woke & TIMED_OUT)
 
     def _take_step(self, destination: int, wait_ms: float) -> None:
         assert self.ask is not None
@@ -245,8 +247,8 @@
 
     def _stand(self, message: Up) -> None:
         assert self.ask is not None
-        self.up, self.other, self.reason = True, self.step, "client-ended"
-        self.out += message.line
+        self.up, self.other_side, self.reason = True, self.step, "client-ended"
+        self.output_buffer += message.line
         if self.asked:
             self.ask.post(StepUp(self, self.number, message.elapsed))
         else:
@@ -262,41 +264,45 @@
         if final:
             self.house.path.over(self.ask)
 
-    def _answer(self, line: bytes) -> Steps:
+    def _answer(self, line: bytes) -> Coroutine:
         """Send the final answer and end the connection; what the client still sends is passed over."""
         self._leave()
         self.asked = False
         self.house.asks_no_more(self)  # and is the first to end where room is wanted
-        self.inbox.clear()
-        self.out += line
-        self.closing, self.other = True, None
+        self.input_buffer.clear()
+        self.output_buffer += line
+        self.closing, self.other_side = True, None
         self.answered = self.loop.clock()
-        self.start_grace()
+        self.start_close_deadline()
         try:
             self.flush()
             yield from self.relay()
         except OSError:
             pass  # answered; the client may have gone meanwhile
 
-    def still_sending(self) -> None:
+    def on_input_discarded(self) -> None:
         """Who sends 60 MB may read the answer only after the last of them: there is more grace till then."""
-        if self.other is None:
-            self.grace = min(self.loop.clock() + GRACE, self.answered + LINGER)
+        if self.other_side is None:
+            self.close_deadline = min(self.loop.clock() + CLOSE_GRACE_S, self.answered + LINGER)
 
-    def on_mail(self, message: object) -> None:
+    def on_message(self, message: object) -> None:
         if isinstance(message, MakeRoom):
             # Only who has its answer on the wire: closed under it, the answer might be lost.
-            if self.other is None and not self.out and self.loop.clock() - self.answered >= SETTLE:
+            if (
+                self.other_side is None
+                and not self.output_buffer
+                and self.loop.clock() - self.answered >= SETTLE
+            ):
                 self.read_done = self.write_done = True
         elif isinstance(message, Closing):
-            if self.other is not None:
-                self.on_mail(MoveAway("draining"))
+            if self.other_side is not None:
+                self.on_message(MoveAway("draining"))
         elif isinstance(message, MoveAway):
             if not self.closing:
                 self.reason, self.closing = message.reason, True
-                self.out += lines.MOVE  # `out` holds whole lines only
-                self.tell(End())
-                self.start_grace()
+                self.output_buffer += lines.MOVE  # `out` holds whole lines only
+                self.notify_other_side(PeerEnded())
+                self.start_close_deadline()
         elif isinstance(message, Load):
             if self.ask is not None:
                 self.ask.post(message)
@@ -307,9 +313,9 @@
                     self.reason = f"destination-{message.outcome.value}"
                 self._step_over(message.outcome, message.elapsed, final=True)
         else:
-            if isinstance(message, End) and message.reset and not self.closing:
+            if isinstance(message, PeerEnded) and message.reset and not self.closing:
                 self.reason = "destination-reset"
-            super().on_mail(message)
+            super().on_message(message)
 
 
 def wait_left(front: Front) -> float:
--- a/snowwick/net/gauge.py
+++ b/snowwick/net/gauge.py
@@ -8,7 +8,7 @@
 from itertools import takewhile
 
 from snowwick.net.decider import Client, Silent, Slow
-from snowwick.net.loop import Actor, Loop, Steps, Wait
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 
 PERIOD = 1.0  # s between notes of one destination, and how long an answered line counts
 LOOK = 0.25  # s between looks: a hang must show well before the next note of a delay
@@ -84,7 +84,7 @@
     """Tells the decider, once a second, of each destination whose messages take long or do not come back,
     and once of recovery."""
 
-    lasting = True
+    restart_after_fault = True
 
     def __init__(self, loop: Loop, tell: Callable[[Slow | Silent], None], shortest_aim_ms: float) -> None:
         super().__init__(loop)
@@ -112,7 +112,7 @@
             self.slow.discard(meter.destination)
             self.silent.pop(meter.destination, None)
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         due = self.loop.clock() + PERIOD
         while True:
             look = self.loop.clock() + LOOK
--- a/snowwick/net/loop.py
+++ b/snowwick/net/loop.py
@@ -19,8 +19,10 @@
 from snowwick.log import Log
 from snowwick.net.timers import Timers
 
-READ, WRITE, MAIL, TIME = 1, 2, 4, 8
-ROUNDS = 4  # of mail that a turn carries on before it looks at sockets again: a line passes in two, and what
+READABLE, WRITABLE, MAIL, TIMED_OUT = 1, 2, 4, 8
+MAX_MAIL_ROUNDS = (
+    4  # of mail that a turn carries on before it looks at sockets again: a line passes in two, and what
+)
 # makes room for the next in one more; bounded, so that actors that write to each other hold up nobody
 
 
@@ -34,45 +36,45 @@
     until: float | None = None
 
 
-Steps = Generator[Wait, int, None]
+Coroutine = Generator[Wait, int, None]
 
 
 class Actor:
     """A coroutine with a mailbox.  It owns at most one socket at a time."""
 
-    lasting = False  # begins again after a fault: the program is of no use without it
+    restart_after_fault = False  # begins again after a fault: the program is of no use without it
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.mail: deque[Any] = deque()
-        self.steps: Steps | None = None
+        self.mailbox: deque[Any] = deque()
+        self.coroutine: Coroutine | None = None
         self.timer: int | None = None
-        self.fresh, self.waiting, self.woke = True, False, 0
-        self.fd, self.mask = -1, 0
+        self.not_started, self.waiting, self.wake_flags = True, False, 0
+        self.registered_fd, self.registered_events = -1, 0
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         raise NotImplementedError
 
     def start(self) -> None:
-        self.steps, self.fresh = self.run(), True
+        self.coroutine, self.not_started = self.run(), True
         self.loop.actors.add(self)
         self.loop.ready.append(self)
 
     def post(self, message: object) -> None:
         """Leave a message; an actor that has ended takes no more."""
-        if self.steps is not None:
-            self.mail.append(message)
+        if self.coroutine is not None:
+            self.mailbox.append(message)
             self.loop.wake(self, MAIL)
 
-    def sleep(self, until: float) -> Steps:
+    def sleep_until(self, until: float) -> Coroutine:
         """Wait for a time, whatever mail comes meanwhile."""
         while self.loop.clock() < until:
             yield Wait(until=until)
 
-    def take(self) -> Generator[Any, None, None]:
+    def take_messages(self) -> Generator[Any, None, None]:
         """The messages in the mailbox, oldest first."""
-        while self.mail:
-            yield self.mail.popleft()
+        while self.mailbox:
+            yield self.mailbox.popleft()
 
 
 class Loop:
@@ -80,43 +82,43 @@
 
     def __init__(self, log: Log | None = None, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock, self.log = clock, log or Log()
-        self.timers: Timers[Actor] = Timers(clock, self._time_is_up)
+        self.timers: Timers[Actor] = Timers(clock, self._on_timeout)
         self.epoll = select.epoll()
-        self.owners: dict[int, Actor] = {}
+        self.actors_by_fd: dict[int, Actor] = {}
         self.actors: set[Actor] = set()
         self.ready: deque[Actor] = deque()
-        self.sockets = 0  # held by peers, whatever they do with them: what descriptors are counted by
+        self.open_sockets = 0  # held by peers, whatever they do with them: what descriptors are counted by
         self.stopped = False
 
     def run(self) -> None:
         while not self.stopped:
-            self.turn()
+            self.run_once()
 
     def stop(self) -> None:
         self.stopped = True
 
-    def turn(self, longest: float | None = None) -> None:
+    def run_once(self, longest: float | None = None) -> None:
         """Wait for what comes first, ``longest`` seconds at most, and resume the actors that it concerns."""
         delay = self.timers.run()
         waits = [w for w in (0.0 if self.ready else None, delay, longest) if w is not None]
         for fd, events in self.epoll.poll(min(waits) if waits else None):
-            actor = self.owners.get(fd)
+            actor = self.actors_by_fd.get(fd)
             if actor is not None:
                 broken = events & (select.EPOLLHUP | select.EPOLLERR)
                 self.wake(
                     actor,
-                    (READ if events & select.EPOLLIN or broken else 0)
-                    | (WRITE if events & select.EPOLLOUT or broken else 0),
+                    (READABLE if events & select.EPOLLIN or broken else 0)
+                    | (WRITABLE if events & select.EPOLLOUT or broken else 0),
                 )
         self.timers.run()
-        for _ in range(ROUNDS):
+        for _ in range(MAX_MAIL_ROUNDS):
             for _ in range(len(self.ready)):
                 self._resume(self.ready.popleft())
             if not self.ready:
                 break
 
     def wake(self, actor: Actor, why: int) -> None:
-        actor.woke |= why
+        actor.wake_flags |= why
         if actor.waiting:
             actor.waiting = False
             if actor.timer is not None:
@@ -124,19 +126,19 @@
                 actor.timer = None
             self.ready.append(actor)
 
-    def _time_is_up(self, actor: Actor) -> None:
+    def _on_timeout(self, actor: Actor) -> None:
         actor.timer = None
-        self.wake(actor, TIME)
+        self.wake(actor, TIMED_OUT)
 
     def _resume(self, actor: Actor) -> None:
-        if actor.steps is None:
+        if actor.coroutine is None:
             return
-        why, actor.woke = actor.woke, 0
+        why, actor.wake_flags = actor.wake_flags, 0
         try:
-            fresh, actor.fresh = actor.fresh, False
-            wait = next(actor.steps) if fresh else actor.steps.send(why)
+            fresh, actor.not_started = actor.not_started, False
+            wait = next(actor.coroutine) if fresh else actor.coroutine.send(why)
         except StopIteration:
-            self._forget(actor)
+            self._remove(actor)
             return
         except Exception:
             # One peer's fault must not end the connections of all the others.
@@ -146,60 +148,60 @@
                 where=type(actor).__name__,
                 error=traceback.format_exc(limit=-4),
             )
-            self._forget(actor)
-            if actor.lasting:
+            self._remove(actor)
+            if actor.restart_after_fault:
                 actor.start()
             return
-        self._park(actor, wait)
+        self._suspend(actor, wait)
 
-    def _park(self, actor: Actor, wait: Wait) -> None:
+    def _suspend(self, actor: Actor, wait: Wait) -> None:
         fd = wait.sock.fileno() if wait.sock is not None else -1
         mask = (select.EPOLLIN if wait.read else 0) | (select.EPOLLOUT if wait.write else 0)
-        self._watch(actor, fd, mask if fd >= 0 else 0)
+        self._update_registration(actor, fd, mask if fd >= 0 else 0)
         actor.waiting = True
-        if actor.mail:
+        if actor.mailbox:
             self.wake(actor, MAIL)
         elif wait.until is not None:
             actor.timer = self.timers.set(wait.until, actor)
 
-    def _watch(self, actor: Actor, fd: int, mask: int) -> None:
+    def _update_registration(self, actor: Actor, fd: int, mask: int) -> None:
         """Tell epoll what the actor waits for.
 
         Without interest the socket is taken out: epoll reports a hang-up even where nothing is asked for,
         and a paused peer that resets would then keep the loop spinning.
         """
-        if actor.fd != fd or not mask:
-            self.release(actor)
+        if actor.registered_fd != fd or not mask:
+            self.unregister(actor)
         if not mask:
             return
-        if actor.fd < 0:
+        if actor.registered_fd < 0:
             self.epoll.register(fd, mask)
-            self.owners[fd] = actor
-            actor.fd = fd
-        elif actor.mask != mask:
+            self.actors_by_fd[fd] = actor
+            actor.registered_fd = fd
+        elif actor.registered_events != mask:
             self.epoll.modify(fd, mask)
-        actor.mask = mask
+        actor.registered_events = mask
 
-    def release(self, actor: Actor) -> None:
+    def unregister(self, actor: Actor) -> None:
         """Take the actor's socket out of epoll; needed before the socket is closed."""
-        if actor.fd >= 0:
-            self.epoll.unregister(actor.fd)
-            del self.owners[actor.fd]
-            actor.fd, actor.mask = -1, 0
+        if actor.registered_fd >= 0:
+            self.epoll.unregister(actor.registered_fd)
+            del self.actors_by_fd[actor.registered_fd]
+            actor.registered_fd, actor.registered_events = -1, 0
 
-    def _forget(self, actor: Actor) -> None:
-        self.release(actor)
+    def _remove(self, actor: Actor) -> None:
+        self.unregister(actor)
         if actor.timer is not None:  # closed while it waited
             self.timers.cancel(actor.timer, actor)
             actor.timer = None
-        actor.steps = None
-        actor.mail.clear()
+        actor.coroutine = None
+        actor.mailbox.clear()
         self.actors.discard(actor)
 
     def close(self) -> None:
         """End what still runs, each actor by way of its own clean-up."""
         for actor in list(self.actors):
-            if actor.steps is not None:
-                actor.steps.close()
-            self._forget(actor)
+            if actor.coroutine is not None:
+                actor.coroutine.close()
+            self._remove(actor)
         self.epoll.close()
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -121,7 +121,7 @@
     def enter(self, ask: Ask) -> Turned | None:
         try:
             lines.check_opening(ask.opening, self.deadlines, self.tenants)
-        except lines.Garbled as error:
+        except lines.MalformedLine as error:
             return Turned(lines.ERR, "garbled", str(error))
         if ask.opening.id in self.open:
             return Turned(lines.ERR, "garbled", "id is open already")
@@ -140,7 +140,7 @@
 
     def enter(self, ask: Ask) -> Turned | None:
         reason = self.full()
-        return Turned(lines.busy(self.come_again_ms()), reason) if reason else None
+        return Turned(lines.busy_line(self.come_again_ms()), reason) if reason else None
 
 
 class Decisions(Stage):
--- a/snowwick/net/peer.py
+++ b/snowwick/net/peer.py
@@ -9,34 +9,36 @@
 from dataclasses import dataclass
 
 from snowwick.net import lines
-from snowwick.net.loop import MAIL, READ, TIME, WRITE, Actor, Loop, Steps, Wait
+from snowwick.net.loop import MAIL, READABLE, TIMED_OUT, WRITABLE, Actor, Coroutine, Loop, Wait
 
-CHUNK = 16384  # bytes read at a time
-HIGH = 16384  # bytes waiting to be written at which the other side is no longer read
-GRACE = 0.5  # s that one side may stay open once the other has ended: the protocol allows one second
-UNSENT = 0.4  # s beyond that while its last lines are not written yet: still within that second
-DRAINS = 4  # times that a socket is read out before its close: bounded, since a peer may never stop sending
+READ_SIZE_BYTES = 16384  # bytes read at a time
+HIGH_WATER_BYTES = 16384  # bytes waiting to be written at which the other side is no longer read
+CLOSE_GRACE_S = 0.5  # s that one side may stay open once the other has ended: the protocol allows one second
+UNSENT_GRACE_S = 0.4  # s beyond that while its last lines are not written yet: still within that second
+MAX_DRAIN_READS = (
+    4  # times that a socket is read out before its close: bounded, since a peer may never stop sending
+)
 
 
 @dataclass(slots=True)
-class Lines:
+class RelayedLines:
     """Whole lines for the other side."""
 
     data: bytes
 
 
 @dataclass(slots=True)
-class End:
+class PeerEnded:
     """The other side has ended, by a reset or in an orderly way."""
 
     reset: bool = False
 
 
-class GoOn:
+class OutputDrained:
     """The other side has written what was waiting."""
 
 
-SCRATCH = bytearray(65536)  # what is read only to be passed over
+DISCARD_BUFFER = bytearray(65536)  # what is read only to be passed over
 
 
 class LinePeer(Actor):
@@ -45,20 +47,20 @@
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         super().__init__(loop)
         self.sock = sock
-        loop.sockets += 1
-        self.inbox, self.out = bytearray(), bytearray()
-        self.other: LinePeer | None = None
-        self.closing = self.read_done = self.write_done = self.broken = False
-        self.grace: float | None = None
-        self.extended = False  # the grace, for what is still to be written
+        loop.open_sockets += 1
+        self.input_buffer, self.output_buffer = bytearray(), bytearray()
+        self.other_side: LinePeer | None = None
+        self.closing = self.read_done = self.write_done = self.write_failed = False
+        self.close_deadline: float | None = None
+        self.close_deadline_extended = False  # the grace, for what is still to be written
 
     def receive(self) -> bool:
         """Read what is there; False at the end."""
         try:
-            data = self.sock.recv(CHUNK)
+            data = self.sock.recv(READ_SIZE_BYTES)
         except BlockingIOError:
             return True
-        self.inbox += data
+        self.input_buffer += data
         return bool(data)
 
     def flush(self) -> None:
@@ -67,113 +69,115 @@
         A socket that can be written no more may still hold what its other end said last, as a server's BYE
         before a reset: only reading tells how it ended.
         """
-        was_full = self.full()
+        was_full = self.output_full()
         try:
-            if self.out:
+            if self.output_buffer:
                 with contextlib.suppress(BlockingIOError):
-                    del self.out[: self.sock.send(self.out)]
-            if self.closing and not self.out and not self.write_done:
+                    del self.output_buffer[: self.sock.send(self.output_buffer)]
+            if self.closing and not self.output_buffer and not self.write_done:
                 self.sock.shutdown(socket.SHUT_WR)
                 self.write_done = True
         except OSError:
-            self.out.clear()
-            self.broken = self.write_done = True
-        if was_full and not self.full() and self.other is not None:
-            self.other.post(GoOn())
+            self.output_buffer.clear()
+            self.write_failed = self.write_done = True
+        if was_full and not self.output_full() and self.other_side is not None:
+            self.other_side.post(OutputDrained())
 
-    def full(self) -> bool:
-        return len(self.out) >= HIGH
+    def output_full(self) -> bool:
+        return len(self.output_buffer) >= HIGH_WATER_BYTES
 
-    def tell(self, message: object) -> None:
-        if self.other is not None:
-            self.other.post(message)
+    def notify_other_side(self, message: object) -> None:
+        if self.other_side is not None:
+            self.other_side.post(message)
 
-    def relay(self) -> Steps:
+    def relay(self) -> Coroutine:
         """Pass lines on, both ways, until both directions of this socket have ended or the grace is over.
 
         A side that has ended its sending may still be read from, so that an end passes through as it came,
         and what a client sends on top of a MOVE does not turn the close into a reset that eats the MOVE.
         """
         while not (self.read_done and self.write_done):
-            room = self.other is None or not self.other.full()
-            woke = yield Wait(self.sock, not self.read_done and room, bool(self.out), self.due())
-            if woke & TIME and not self.timed_out() and not self._more_time():
+            room = self.other_side is None or not self.other_side.output_full()
+            woke = yield Wait(
+                self.sock, not self.read_done and room, bool(self.output_buffer), self.next_deadline()
+            )
+            if woke & TIMED_OUT and not self.on_deadline() and not self._extend_close_deadline():
                 return
-            if woke & READ and not self.read_done:
-                self.pass_on()
+            if woke & READABLE and not self.read_done:
+                self.forward_input()
             if woke & MAIL:
-                for message in self.take():
-                    self.on_mail(message)
+                for message in self.take_messages():
+                    self.on_message(message)
             self.flush()
 
-    def _more_time(self) -> bool:
+    def _extend_close_deadline(self) -> bool:
         """Once, where the last lines are still to be written: a MOVE that is not sent is a cut-off."""
-        if self.extended or not self.out or self.grace is None:
+        if self.close_deadline_extended or not self.output_buffer or self.close_deadline is None:
             return False
-        self.extended, self.grace = True, self.grace + UNSENT
+        self.close_deadline_extended, self.close_deadline = True, self.close_deadline + UNSENT_GRACE_S
         return True
 
-    def due(self) -> float | None:
-        return self.grace
+    def next_deadline(self) -> float | None:
+        return self.close_deadline
 
-    def timed_out(self) -> bool:
+    def on_deadline(self) -> bool:
         """The time of ``due`` has come; False ends the relay."""
         return False
 
-    def pass_on(self) -> None:
+    def forward_input(self) -> None:
         if self.closing:
-            going = self.pass_over()
+            going = self.discard_input()
         else:
             going = self.receive()
-            data = lines.cut(self.inbox) if going else bytes(self.inbox)
+            data = lines.take_lines(self.input_buffer) if going else bytes(self.input_buffer)
             if data:
-                self.saw(data)
-                self.tell(Lines(data))
+                self.on_lines(data)
+                self.notify_other_side(RelayedLines(data))
         if not going:
             self.read_done = True
-            self.ended_first()
-            self.tell(End(reset=self.broken))
-            self.start_grace()
+            self.on_input_ended()
+            self.notify_other_side(PeerEnded(reset=self.write_failed))
+            self.start_close_deadline()
 
-    def pass_over(self) -> bool:
+    def discard_input(self) -> bool:
         """Read what nobody wants any more; False at the end.
 
         Guards against a close that becomes a reset and eats the last line sent: a client may send far more
         than it should before it reads.
         """
         with contextlib.suppress(BlockingIOError):
-            if not self.sock.recv_into(SCRATCH):
+            if not self.sock.recv_into(DISCARD_BUFFER):
                 return False
-            self.still_sending()
+            self.on_input_discarded()
         return True
 
-    def still_sending(self) -> None:
+    def on_input_discarded(self) -> None:
         """The other end goes on sending after this side has said its last."""
 
-    def saw(self, data: bytes) -> None:
+    def on_lines(self, data: bytes) -> None:
         """Lines came in on this side."""
 
-    def ended_first(self) -> None:
+    def on_input_ended(self) -> None:
         """This side has ended before the other, perhaps."""
 
-    def on_mail(self, message: object) -> None:
-        if isinstance(message, Lines):
+    def on_message(self, message: object) -> None:
+        if isinstance(message, RelayedLines):
             if not self.closing:
-                self.out += message.data
-        elif isinstance(message, End):
+                self.output_buffer += message.data
+        elif isinstance(message, PeerEnded):
             if message.reset:
                 self.flush()
                 # Linger of zero: the close sends a reset, as the other side did.
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 self.read_done = self.write_done = True
             self.closing = True
-            self.start_grace()
+            self.start_close_deadline()
 
-    def start_grace(self) -> None:
-        if self.grace is None:
-            self.grace = self.loop.clock() + GRACE
+    def start_close_deadline(self) -> None:
+        if self.close_deadline is None:
+            self.close_deadline = self.loop.clock() + CLOSE_GRACE_S
 
-    def stirred(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Is there something to read on the socket, bytes, an end or a reset?  It stays there."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -183,19 +187,19 @@
             pass
         return True
 
-    def shut(self) -> None:
+    def close_socket(self) -> None:
         """Close, read out first: a close over unread bytes is a reset, which may overtake the last line."""
         if self.sock.fileno() >= 0:
-            self.loop.release(self)
+            self.loop.unregister(self)
             with contextlib.suppress(OSError):
-                for _ in range(DRAINS):
-                    if not self.sock.recv_into(SCRATCH):
+                for _ in range(MAX_DRAIN_READS):
+                    if not self.sock.recv_into(DISCARD_BUFFER):
                         break
             self.sock.close()
-            self.loop.sockets -= 1
+            self.loop.open_sockets -= 1
 
 
-def prepare(sock: socket.socket) -> socket.socket:
+def configure_socket(sock: socket.socket) -> socket.socket:
     """Lines are short and wanted at once."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -212,4 +216,4 @@
     error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if error:
         raise OSError(error, "connect")
-    return bool(woke & WRITE) and not actor.mail
+    return bool(woke & WRITABLE) and not actor.mailbox
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -15,8 +15,8 @@
 
 from crowgap import interface as i
 from snowwick.broker.pools import Labels
-from snowwick.net.loop import READ, TIME, WRITE, Actor, Loop, Steps, Wait
-from snowwick.net.peer import CHUNK, prepare
+from snowwick.net.loop import READABLE, TIMED_OUT, WRITABLE, Actor, Coroutine, Loop, Wait
+from snowwick.net.peer import READ_SIZE_BYTES, configure_socket
 
 TOLD = 6.0  # s after which the protocol counts as told whatever discovery has, whether it arrived or not
 # What may pass until it has arrived: a watch falls silent with the news and is given up, the call on a new
@@ -160,7 +160,7 @@
 class Pool(Actor):
     """Watches discovery while the decider wants it, and tells the decider in order what changed."""
 
-    lasting = True
+    restart_after_fault = True
 
     def __init__(
         self,
@@ -197,13 +197,13 @@
     def address(self, destination: int) -> tuple[str, int] | None:
         return self.config.addresses.get(destination)
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         due = self.loop.clock() if self.pushed else None  # else the decider says when to begin
         try:
             while True:
-                while not self.mail and (due is None or self.loop.clock() < due):
+                while not self.mailbox and (due is None or self.loop.clock() < due):
                     yield Wait(until=due)
-                for message in self.take():
+                for message in self.take_messages():
                     self._heed(message)
                 due = yield from self._watch()
         finally:
@@ -263,7 +263,7 @@
                 # Guards against calls without end where the answer does not wait for news.
                 if self.loop.clock() < asked + 0.5 * self.watch:
                     self._hang_up()  # no answer to this call: one that came twice
-                yield from self.sleep(asked + self.pace)
+                yield from self.sleep_until(asked + self.pace)
 
     def _call(self) -> Generator[Wait, int, Any]:
         # Held from the first on: asked for at once and then again, all new watches cost discovery twice.
@@ -307,15 +307,15 @@
             raise CallFailed(f"status {status}")
         return json.loads(body)
 
-    def _connect(self, until: float) -> Steps:
+    def _connect(self, until: float) -> Coroutine:
         self._hang_up()
-        self.sock = prepare(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+        self.sock = configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
         sock = self.sock
         with contextlib.suppress(BlockingIOError):
             sock.connect(self.where)
-        while not (woke := (yield Wait(sock, write=True, until=until))) & WRITE:
-            if woke & TIME:
+        while not (woke := (yield Wait(sock, write=True, until=until))) & WRITABLE:
+            if woke & TIMED_OUT:
                 raise TimedOut("no connection in time")
             self._read_mail()
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -327,24 +327,24 @@
         while True:
             woke = yield Wait(self.sock, read=True, until=until)
             self._read_mail()  # first: nothing that the old discovery still says counts after a move
-            if woke & READ:
+            if woke & READABLE:
                 try:
-                    return self.sock.recv(CHUNK)
+                    return self.sock.recv(READ_SIZE_BYTES)
                 except BlockingIOError:
                     continue
-            if woke & TIME:
+            if woke & TIMED_OUT:
                 raise TimedOut("timed out")
 
     def _read_mail(self) -> None:
         """During a call: who asks to watch is served already; a new address ends the call that is out."""
         self.moved = False
-        for message in self.take():
+        for message in self.take_messages():
             self._heed(message)
         if self.moved:
             raise Moved
 
     def _hang_up(self) -> None:
         if self.sock is not None:
-            self.loop.release(self)
+            self.loop.unregister(self)
             self.sock.close()
         self.sock = self.http = None
--- a/snowwick/net/probe.py
+++ b/snowwick/net/probe.py
@@ -6,8 +6,8 @@
 
 from snowwick.net import lines
 from snowwick.net.decider import Decider, Probed
-from snowwick.net.loop import READ, TIME, Loop, Steps, Wait
-from snowwick.net.peer import LinePeer, connect, prepare
+from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
+from snowwick.net.peer import LinePeer, configure_socket, connect
 
 
 class Probe(LinePeer):
@@ -27,30 +27,30 @@
         decider: Decider,
         field: str = "",
     ) -> None:
-        super().__init__(loop, prepare(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
+        super().__init__(loop, configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
         self.number, self.address, self.wait, self.decider = number, address, wait, decider
         self.field, self.elapsed, self.load = field, -1.0, -1.0
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         try:
             until = self.loop.clock() + self.wait
             if (yield from connect(self, self.sock, self.address, until)):
                 sent = self.loop.clock()
-                self.out += (lines.STATS if self.field else lines.PING) + b"\r\n"
+                self.output_buffer += (lines.STATS if self.field else lines.PING) + b"\r\n"
                 self.flush()
                 while not self._answered(sent):
                     woke = yield Wait(self.sock, read=True, until=until)
-                    if woke & TIME or (woke & READ and not self.receive()):
+                    if woke & TIMED_OUT or (woke & READABLE and not self.receive()):
                         break
-        except (OSError, lines.Garbled):
+        except (OSError, lines.MalformedLine):
             pass  # refused, broken or no line: no answer
         finally:
-            self.shut()
+            self.close_socket()
             self.decider.post(Probed(self.number, self.elapsed, self.load))
 
     def _answered(self, sent: float) -> bool:
         """Has all come that is waited for?  The report stands behind the word, or in a line of its own."""
-        while (line := lines.cut_one(self.inbox)) is not None:
+        while (line := lines.take_line(self.input_buffer)) is not None:
             words = line.split(None, 1)
             if self.elapsed < 0.0:
                 if words[:1] != [b"PONG"]:
@@ -58,7 +58,7 @@
                 self.elapsed = 1000.0 * (self.loop.clock() - sent)
                 words = words[1:]
             if words or not self.field:
-                figures = lines.report_of(words[0].strip()) if words else None
+                figures = lines.parse_report(words[0].strip()) if words else None
                 self.load = (figures or {}).get(self.field, -1.0)
                 return True
         return False
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -21,9 +21,9 @@
 from snowwick.net.desks import Desks
 from snowwick.net.front import SETTLE, Closing, Front, MakeRoom
 from snowwick.net.gauge import Gauge
-from snowwick.net.loop import Actor, Loop, Steps, Wait
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.path import Ask, Decisions, Openings, Path, Room
-from snowwick.net.peer import CHUNK
+from snowwick.net.peer import READ_SIZE_BYTES
 from snowwick.net.pool import CallFailed, NewAddress, Pool, PoolConfig, WatchPool
 from snowwick.net.probe import Probe
 from snowwick.net.signals import CaughtSignals
@@ -51,13 +51,13 @@
 class Acceptor(Actor):
     """Takes connections off the listening socket."""
 
-    lasting = True
+    restart_after_fault = True
 
     def __init__(self, service: Service, sock: socket.socket) -> None:
         super().__init__(service.loop)
         self.service, self.sock = service, sock
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         while True:
             yield Wait(self.sock, read=True)
             for _ in range(ACCEPTS):
@@ -73,9 +73,9 @@
                     yield from self._pause(PAUSE)
                     break
 
-    def _pause(self, wait: float) -> Steps:
+    def _pause(self, wait: float) -> Coroutine:
         """Guards against spinning: where accept fails or must wait, the listening socket stays readable."""
-        yield from self.sleep(self.loop.clock() + wait)
+        yield from self.sleep_until(self.loop.clock() + wait)
 
 
 class Signals(Actor):
@@ -85,10 +85,10 @@
         super().__init__(service.loop)
         self.service, self.sock = service, sock
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         while True:
             yield Wait(self.sock, read=True)
-            numbers = self.sock.recv(CHUNK)
+            numbers = self.sock.recv(READ_SIZE_BYTES)
             if set(numbers) & {signal.SIGTERM, signal.SIGINT}:
                 break
             if signal.SIGHUP in numbers:  # several at once are one: the file is read as it is now
@@ -305,7 +305,7 @@
         if fleet is not None and self.fleet is not None:
             self.fleet.apply(fleet)
 
-    def drain(self) -> Steps:
+    def drain(self) -> Coroutine:
         """Answer whoever still comes, have every client move, leave once nothing is owed to anybody.
 
         Guards against sending clients away while new connections are still dealt out to this balancer: they
@@ -385,7 +385,7 @@
 
     def short_of_sockets(self) -> bool:
         """Is there no room for a route step?"""
-        return self.loop.sockets >= self.limit - ANSWERING
+        return self.loop.open_sockets >= self.limit - ANSWERING
 
     def make_room(self) -> bool:
         """May one more be accepted?  Else the fronts that wait longest without a request have to go.
@@ -393,8 +393,8 @@
         Guards against floods of clients that connect and say nothing: usual clients, who ask at once, must
         find both a front socket and one for the route step.
         """
-        free = self.limit - (self.loop.sockets - len(self.idle))
-        if len(self.idle) < max(ANSWERING, WAITING_PART * free) and self.loop.sockets < self.limit:
+        free = self.limit - (self.loop.open_sockets - len(self.idle))
+        if len(self.idle) < max(ANSWERING, WAITING_PART * free) and self.loop.open_sockets < self.limit:
             return True
         for front in islice(self.idle, ACCEPTS):
             if self.loop.clock() - front.accepted >= SETTLE:
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -141,7 +141,7 @@
     world.settle()
     assert held(world) == {"x": 0, "y": 0} and stage(world).ledger.seats.total == 0
     assert f" {reason} " in world.sink.getvalue() and "team=x" in world.sink.getvalue()
-    assert not world.loop.sockets
+    assert not world.loop.open_sockets
 
 
 def test_what_is_held_is_free_as_soon_as_its_destination_has_ended(world: World) -> None:
@@ -159,7 +159,7 @@
     def fault(_: object) -> None:
         raise RuntimeError("on purpose")
 
-    monkeypatch.setattr(front, "on_mail", fault)
+    monkeypatch.setattr(front, "on_message", fault)
     world.play("d1 send M\nc1 end\nd1 end")
     assert held(world) == {"x": 0, "y": 0} and "on purpose" in world.sink.getvalue()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -150,7 +150,7 @@
     crowded.called("pool")
     crowded.answer_call("pool", listing(crowded, 2, "s-3"))
     assert told[-1].entries[0].backend == number_of("s-3")
-    assert crowded.loop.sockets <= crowded.service.limit
+    assert crowded.loop.open_sockets <= crowded.service.limit
     crowded.close()
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,7 @@
 from snowwick.net.decider import MoveAway, RouteStep
 from snowwick.net.destination import Destination
 from snowwick.net.front import Closing, Front, MakeRoom
-from snowwick.net.loop import Actor, Steps
+from snowwick.net.loop import Actor, Coroutine
 from snowwick.net.pool import number_of
 from snowwick.net.service import Service
 
@@ -61,7 +61,7 @@
     world.until(lambda: not world.service.fronts)
     world.settle()
     balancer = world.service.decider.balancer
-    assert world.loop.sockets == 0 and not balancer.flows and not world.service.decider.held()
+    assert world.loop.open_sockets == 0 and not balancer.flows and not world.service.decider.held()
     assert "fault" not in world.sink.getvalue(), world.sink.getvalue()
 
 
@@ -198,7 +198,7 @@
     rests(world)
     world.put("c1", OPEN)
     while not any(isinstance(one, Destination) for one in world.loop.actors):
-        world.loop.turn(0.0)
+        world.loop.run_once(0.0)
     if how == "close":
         world.leave("c1")
     else:
@@ -335,7 +335,7 @@
     world.before(
         front,
         "close",
-        lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK)) if front.stirred() else 0),
+        lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK)) if front.has_unread_input() else 0),
     )
     client.sendall(b"M 1\r\n")
     world.clock.now += 0.6
@@ -350,10 +350,10 @@
     world.play(UP)
     front, client, server = front_of(world), world.socks.pop("c1"), world.socks["d1"]
     line, sent = b"M " + b"x" * 4000 + b"\r\n", 0
-    while len(front.out) < 16384:
+    while len(front.output_buffer) < 16384:
         with contextlib.suppress(BlockingIOError):
             sent += server.send(line[sent % len(line) :])
-        world.loop.turn(0.0)
+        world.loop.run_once(0.0)
     front.post(MoveAway("test"))
     world.wait(600)
     got = bytearray()
@@ -402,7 +402,7 @@
         self.service, self.over = service, False
         self.start()
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         yield from self.service.drain()
         self.over = True
 
@@ -425,7 +425,7 @@
     ending = Ending(world.service)
     front = rests(world)
     passes(world, lambda: world.clock.now >= 1001.3, 2.0)
-    assert not front.mail
+    assert not front.mailbox
     front.post(Closing())
     world.put("c1", OPEN)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from snowwick.net.loop import ROUNDS, Actor, Loop, Steps, Wait
+from snowwick.net.loop import MAX_MAIL_ROUNDS, Actor, Coroutine, Loop, Wait
 
 
 class Relay(Actor):
@@ -14,10 +14,10 @@
         super().__init__(loop)
         self.sock, self.next, self.seen = sock, self, 0
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         while True:
             yield Wait(self.sock, read=self.sock is not None)
-            for message in self.take() if self.sock is None else [self.sock.recv(16)]:
+            for message in self.take_messages() if self.sock is None else [self.sock.recv(16)]:
                 self.seen += 1
                 if self.next is not self:
                     self.next.post(message)
@@ -31,9 +31,9 @@
         first.next = second
         for actor in (first, second):
             actor.start()
-        loop.turn(0.0)
+        loop.run_once(0.0)
         far.send(b"line\r\n")
-        loop.turn(1.0)
+        loop.run_once(1.0)
         assert second.seen == 1
         loop.close()
 
@@ -44,8 +44,8 @@
     one.next, two.next = two, one
     for actor in (one, two):
         actor.start()
-    loop.turn(0.0)
+    loop.run_once(0.0)
     one.post("again")
-    loop.turn(0.0)
-    assert one.seen + two.seen == ROUNDS
+    loop.run_once(0.0)
+    assert one.seen + two.seen == MAX_MAIL_ROUNDS
     loop.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -152,7 +152,7 @@
     for _ in range(20):
         world.wait(60)
     world.play("".join(f"d{n} expect OPEN *\n" for n in range(1, 13)))
-    assert world.loop.sockets <= 52
+    assert world.loop.open_sockets <= 52
     for sock in mute:
         sock.close()
     world.close()
@@ -235,8 +235,8 @@
     for _ in range(3000):
         with contextlib.suppress(BlockingIOError):
             client.send(b"PING\r\n" * 2000)
-        world.loop.turn(0)
-    assert len(front.out) < 200000
+        world.loop.run_once(0)
+    assert len(front.output_buffer) < 200000
 
 
 def test_step_without_a_descriptor_is_a_failed_connect(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -246,7 +246,7 @@
         raise OSError(errno.EMFILE, "too many open files")
 
     world.play("c1 send PING\nc1 expect PONG")
-    monkeypatch.setattr("snowwick.net.destination.prepare", none_left)
+    monkeypatch.setattr("snowwick.net.destination.configure_socket", none_left)
     world.play("c1 send OPEN 1 k1 d=1200,c=feed,t=n\nwait 1130\nc1 expect BUSY *\nc1 end")
 
 
@@ -298,7 +298,7 @@
 def test_probe_is_timed_and_closed_whatever_comes_back(world: World, answer: str, elapsed: float) -> None:
     heard: list[object] = []
     decider = world.service.decider
-    sockets, told = world.loop.sockets, decider.post
+    sockets, told = world.loop.open_sockets, decider.post
     decider.post = lambda message: heard.append(message) if isinstance(message, Probed) else told(message)  # type: ignore[method-assign]
     world.service.probe(number_of("s-1"), decider)
     world.play("d1 expect PING")
@@ -307,7 +307,7 @@
     world.until(lambda: heard)
     (probed,) = heard
     assert isinstance(probed, Probed) and probed.elapsed == pytest.approx(elapsed, abs=0.01)
-    assert world.loop.sockets == sockets
+    assert world.loop.open_sockets == sockets
     world.service.probe(number_of("nobody"), decider)  # not in the list: nothing is asked
 
 
@@ -322,11 +322,11 @@
         nonlocal left
         with contextlib.suppress(BlockingIOError):
             left = left[destination.send(left) :]
-        world.loop.turn(0)
+        world.loop.run_once(0)
 
     for _ in range(400):
         push()
-    assert left and len(front.out) < 200000
+    assert left and len(front.output_buffer) < 200000
 
     def drained() -> bool:
         push()
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -171,7 +171,7 @@
 
     def turn(self) -> None:
         """One turn of the balancer's loop, then whatever has come in at the other ends."""
-        self.loop.turn(0.001)
+        self.loop.run_once(0.001)
         try:
             self.arrived += 1
             self.meet(f"d{self.arrived}", self.servers.accept()[0])
@@ -263,7 +263,7 @@
         while left and who not in self.ended:
             with contextlib.suppress(BlockingIOError):
                 left = left[self.socks[who].send(left) :]
-            self.loop.turn(0.001)
+            self.loop.run_once(0.001)
 
     def part(self, who: str, what: str) -> None:
         """The beginning of a line."""
