--- a/snowwick/net/delay_monitor.py
+++ b/snowwick/net/delay_monitor.py
@@ -8,7 +8,7 @@
 from itertools import takewhile
 
 from snowwick.net.decider import Client, DestinationSilent, MessageDelay
-from snowwick.net.loop import Actor, Loop, Steps, Wait
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 
 PERIOD = 1.0  # s between notes of one destination, and how long an answered line counts
 LOOK = 0.25  # s between looks: a hang must show well before the next note of a delay
@@ -94,7 +94,7 @@
     """Tells the decider, once a second, of each destination whose messages take long or do not come back,
     and once of recovery."""
 
-    lasting = True
+    restart_after_fault = True
 
     def __init__(
         self, loop: Loop, report: Callable[[MessageDelay | DestinationSilent], None], shortest_aim_ms: float
@@ -124,7 +124,7 @@
             self.slow.discard(connection.destination)
             self.silence_reported.pop(connection.destination, None)
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         due = self.loop.clock() + PERIOD
         while True:
             look = self.loop.clock() + LOOK
--- a/snowwick/net/pool_deciders.py
+++ b/snowwick/net/pool_deciders.py
@@ -9,7 +9,7 @@
 from snowwick.net.decider import Decider, DestinationSilent, MessageDelay, PoolUpdate, StopDecider
 
 if TYPE_CHECKING:
-    from snowwick.broker.pools import Labels, Match, Split
+    from snowwick.broker.pools import Labels, Match, PoolAssignment
 
 ALL = ""  # the one pool of a program without contracts
 
@@ -29,7 +29,7 @@
     ) -> None:
         self.make, self.settings, self.labels = make, settings, labels
         self.by_pool: dict[str, Decider] = {}
-        self.split: Split | None = None
+        self.split: PoolAssignment | None = None
         self.current: frozenset[str] = frozenset([ALL])
 
     def start(self) -> None:
@@ -43,7 +43,7 @@
         self, matches: Mapping[str, Match], tenants: Mapping[str, frozenset[str]], running: bool
     ) -> None:
         """Other pools from now on, each with the tenants whose requests go there."""
-        from snowwick.broker.pools import Split
+        from snowwick.broker.pools import PoolAssignment
 
         standing = {name: one for name, one in self.by_pool.items() if name not in matches and one.clients}
         for name in self.by_pool.keys() - standing.keys() - matches.keys():
@@ -57,19 +57,19 @@
                 self.by_pool[name].start()
         self.current = frozenset(matches)
         if self.split is None:
-            self.split = Split(matches)
+            self.split = PoolAssignment(matches)
             return
         old = {name: self.split.matches[name] for name in standing}
-        for name, update in self.split.rematch({**matches, **old}).items():
+        for name, update in self.split.replace_pools({**matches, **old}).items():
             self.by_pool[name].post(update)
 
     def has_destination(self, pool: str) -> bool:
         """Has the pool a destination that takes new connections?"""
-        return self.split is None or pool in self.split.usable
+        return self.split is None or pool in self.split.available_pools
 
     def for_destination(self, destination: int) -> Decider:
         """The decider of the pool that a destination is in, or any where it is in none."""
-        members = self.split.members if self.split is not None else {}
+        members = self.split.destinations if self.split is not None else {}
         return next(
             (self.by_pool[name] for name, held in members.items() if destination in held),
             next(iter(self.by_pool.values())),
@@ -80,13 +80,13 @@
         if self.split is None:
             self.by_pool[ALL].post(update)
             return
-        for name, part in self.split.news(update, self.labels()).items():
+        for name, part in self.split.apply(update, self.labels()).items():
             self.by_pool[name].post(part)
         for name in [
             name for name, one in self.by_pool.items() if name not in self.current and not one.clients
         ]:
             self.by_pool.pop(name).post(StopDecider())
-            self.split.rematch_without(name)
+            self.split.remove_pool(name)
 
     def forward(self, message: MessageDelay | DestinationSilent) -> None:
         """What the gauge has to tell."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,7 @@
 from snowwick.net.decider import MoveAway, RouteStep
 from snowwick.net.destination import Destination
 from snowwick.net.front import Closing, Front, MakeRoom
-from snowwick.net.loop import Actor, Steps
+from snowwick.net.loop import Actor, Coroutine
 from snowwick.net.pool import destination_number
 from snowwick.net.service import Service
 
@@ -61,7 +61,9 @@
     world.until(lambda: not world.service.fronts)
     world.settle()
     balancer = world.service.decider.balancer
-    assert world.loop.sockets == 0 and not balancer.flows and not world.service.decider.connection_counts()
+    assert (
+        world.loop.open_sockets == 0 and not balancer.flows and not world.service.decider.connection_counts()
+    )
     assert "fault" not in world.sink.getvalue(), world.sink.getvalue()
 
 
@@ -145,7 +147,7 @@
 
 def waits(world: World, monkeypatch: pytest.MonkeyPatch) -> Front:
     """A request that the module holds."""
-    monkeypatch.setattr(world.service.decider.balancer, "_choose", lambda flow: None)
+    monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
     world.play(f"c1 send {OPEN}\nc1 quiet")
     return front_of(world)
 
@@ -173,11 +175,11 @@
     world.leave("c1")
     (flow,) = balancer.flows.values()
     world.first(front)
-    world.after_look(lambda: setattr(balancer, "pump_at", 0.0))
+    world.after_look(lambda: setattr(balancer, "buffer_check_at", 0.0))
     balancer.throttle.waiting = []
-    balancer.now, balancer.out = world.service.now_ms(), []
-    assert balancer._send(flow, asked=True)
-    for action in balancer.out:
+    balancer.now, balancer.pending_actions = world.service.now_ms(), []
+    assert balancer._start_attempt(flow, probed=True)
+    for action in balancer.pending_actions:
         world.service.decider._carry_out(action)
     nothing_is_left(world)
     assert not world.arrived
@@ -198,7 +200,7 @@
     rests(world)
     world.put("c1", OPEN)
     while not any(isinstance(one, Destination) for one in world.loop.actors):
-        world.loop.turn(0.0)
+        world.loop.run_once(0.0)
     if how == "close":
         world.leave("c1")
     else:
@@ -335,7 +337,7 @@
     world.before(
         front,
         "close",
-        lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK)) if front.stirred() else 0),
+        lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK)) if front.has_unread_input() else 0),
     )
     client.sendall(b"M 1\r\n")
     world.clock.now += 0.6
@@ -350,10 +352,10 @@
     world.play(UP)
     front, client, server = front_of(world), world.socks.pop("c1"), world.socks["d1"]
     line, sent = b"M " + b"x" * 4000 + b"\r\n", 0
-    while len(front.out) < 16384:
+    while len(front.output_buffer) < 16384:
         with contextlib.suppress(BlockingIOError):
             sent += server.send(line[sent % len(line) :])
-        world.loop.turn(0.0)
+        world.loop.run_once(0.0)
     front.post(MoveAway("test"))
     world.wait(600)
     got = bytearray()
@@ -402,7 +404,7 @@
         self.service, self.over = service, False
         self.start()
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         yield from self.service.drain()
         self.over = True
 
@@ -425,7 +427,7 @@
     ending = Ending(world.service)
     front = rests(world)
     passes(world, lambda: world.clock.now >= 1001.3, 2.0)
-    assert not front.mail
+    assert not front.mailbox
     front.post(Closing())
     world.put("c1", OPEN)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
@@ -452,7 +454,7 @@
     classes = [{"name": "feed", "aim": 300.0, "deadline": 9000.0, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     if not ran:
-        monkeypatch.setattr(world.service.decider.balancer, "_choose", lambda flow: None)
+        monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
     world.play("c1 send OPEN 1 k1 d=9000,c=feed,t=n\nc1 quiet" + "\nd1 expect OPEN *" * ran)
     ending = Ending(world.service)
     assert passes(world, lambda: world.got["c1"], 3.5) >= 3.0
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -159,7 +159,7 @@
     for _ in range(20):
         world.wait(60)
     world.play("".join(f"d{n} expect OPEN *\n" for n in range(1, 13)))
-    assert world.loop.sockets <= 52
+    assert world.loop.open_sockets <= 52
     for sock in mute:
         sock.close()
     world.close()
@@ -242,8 +242,8 @@
     for _ in range(3000):
         with contextlib.suppress(BlockingIOError):
             client.send(b"PING\r\n" * 2000)
-        world.loop.turn(0)
-    assert len(front.out) < 200000
+        world.loop.run_once(0)
+    assert len(front.output_buffer) < 200000
 
 
 def test_step_without_a_descriptor_is_a_failed_connect(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -253,7 +253,7 @@
         raise OSError(errno.EMFILE, "too many open files")
 
     world.play("c1 send PING\nc1 expect PONG")
-    monkeypatch.setattr("snowwick.net.destination.prepare", none_left)
+    monkeypatch.setattr("snowwick.net.destination.configure_socket", none_left)
     world.play("c1 send OPEN 1 k1 d=1200,c=feed,t=n\nwait 1130\nc1 expect BUSY *\nc1 end")
 
 
@@ -289,12 +289,12 @@
 ) -> None:
     balancer = world.service.decider.balancer
     with monkeypatch.context() as patched:
-        patched.setattr(balancer, "_choose", lambda flow: 1 / 0)
-        patched.setattr(balancer, "_fetch", lambda: 1 / 0)
+        patched.setattr(balancer, "_choose_backend", lambda flow: 1 / 0)
+        patched.setattr(balancer, "_move_to_new_backends", lambda: 1 / 0)
         world.play("c1 send OPEN 1 k1 d=1200,c=feed,t=n\nc1 expect ERR\nc1 end")
         world.wait(2000)
     looks = iter(range(9))
-    monkeypatch.setattr(balancer, "_fetch", lambda: next(looks) and None)
+    monkeypatch.setattr(balancer, "_move_to_new_backends", lambda: next(looks) and None)
     world.wait(2000)
     assert next(looks) == 1 and not balancer.flows, "the monitor looks on, and nothing is left of the request"
 
@@ -305,7 +305,7 @@
 def test_probe_is_timed_and_closed_whatever_comes_back(world: World, answer: str, elapsed: float) -> None:
     heard: list[object] = []
     decider = world.service.decider
-    sockets, told = world.loop.sockets, decider.post
+    sockets, told = world.loop.open_sockets, decider.post
     decider.post = lambda message: (  # type: ignore[method-assign]
         heard.append(message) if isinstance(message, ProbeAnswer) else told(message)
     )
@@ -316,7 +316,7 @@
     world.until(lambda: heard)
     (probed,) = heard
     assert isinstance(probed, ProbeAnswer) and probed.elapsed_ms == pytest.approx(elapsed, abs=0.01)
-    assert world.loop.sockets == sockets
+    assert world.loop.open_sockets == sockets
     world.service.probe(destination_number("nobody"), decider)  # not in the list: nothing is asked
 
 
@@ -331,11 +331,11 @@
         nonlocal left
         with contextlib.suppress(BlockingIOError):
             left = left[destination.send(left) :]
-        world.loop.turn(0)
+        world.loop.run_once(0)
 
     for _ in range(400):
         push()
-    assert left and len(front.out) < 200000
+    assert left and len(front.output_buffer) < 200000
 
     def drained() -> bool:
         push()
