--- a/snowwick/broker/admission.py
+++ b/snowwick/broker/admission.py
@@ -1,8 +1,8 @@
-"""The broker's decisions: what each team holds, what it may have more of, who gives back what was lent.
+"""Admission control between teams: what is admitted, borrowed and reclaimed.
 
-Free of I/O; times are seconds on the caller's clock.  A connection that was let in is a ``Lease``; whoever
-keeps it gives it back once.  State is kept for each team and class and for each standing connection, never
-for a client that was refused.
+The module does no I/O; times are seconds on the caller's clock.  An admitted connection is a ``Lease``, which
+the caller releases once.  State is kept for each team, class and established connection; of refused clients
+only a fingerprint is kept, in a table of fixed size.
 """
 
 from __future__ import annotations
@@ -13,35 +13,41 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from snowwick.broker.budget import Budget, Share
+from snowwick.broker.budget import Budget, TeamShare
 from snowwick.broker.gcra import Gcra
-from snowwick.broker.retry_queue import AGAIN, EARLY, Promises, Queue
-
-LONGEST = 60.0  # s told at the most where the settings set no bound
-KEPT_FOR = 1.0  # s beyond the longest come-back time that freed room is kept for whom it was freed
-STEP = 0.05  # s between looks while something has to be moved
-FAIR_GAIN, FAIR_STEP = 0.5, 0.25  # how fast the fair rate follows, a second; s at most between two looks
-IDLE = 0.9  # of the fleet's burst that is unused while nobody has to care for fairness
-KEEP = 0.5  # of a burst that those leave who were promised nothing, or who borrow beyond their fair rate
-LEAST_LENT = 0.25  # of the connections: the pace serves those who share beyond guarantees too
-SPARE, MOST_SPARE = 0.03, 4  # of a ceiling that those leave who were promised nothing, while others were
-SPARE_FROM = 20  # connections: a smaller ceiling leaves none
+from snowwick.broker.retry_queue import EARLY_TOLERANCE_S, SLOTS_AFTER_MISS, RetryQueue, RetryTable
+
+DEFAULT_MAX_RETRY_AFTER_S = 60.0  # where the settings set no bound
+RESERVATION_GRACE_S = 1.0  # how long a reservation outlasts the longest retry time
+RECLAIM_INTERVAL_S = 0.05  # between reclaim rounds while connections have to be moved
+FAIR_RATE_GAIN_PER_S = 0.5  # how fast the fair rate follows the use of the burst
+MAX_FAIR_RATE_STEP_S = 0.25  # most time that one update of the fair rate accounts for
+IDLE_BURST_FRACTION = 0.9  # unused part of the fleet's burst from which borrowing is not limited
+# Part of a burst that is left for clients with a retry slot by clients without one.
+RETRY_BURST_FRACTION = 0.5
+# The reclaim rate is sized for at least this part of all connections, since it also serves the teams that
+# share what lies beyond the guarantees.
+MIN_LENT_FRACTION = 0.25
+# Part of a ceiling that is left for clients with a retry slot by clients without one.
+RETRY_CONNECTION_FRACTION = 0.03
+MAX_RETRY_CONNECTIONS = 4  # most connections that are left for clients with a retry slot
+MIN_CEILING_FOR_RETRY_CONNECTIONS = 20  # connections: under a smaller ceiling none is left
 
 
 @dataclass(slots=True, frozen=True)
 class ClassLimits:
-    """A class inside a team: the part of the team's ceiling it may fill, its longest wait in ms."""
+    """The limits of a request class: its part of the team's ceilings, and the longest wait of a request."""
 
-    share: float = 1.0
+    ceiling_fraction: float = 1.0
     max_wait_ms: float = math.inf
 
 
 @dataclass(slots=True, frozen=True)
 class TeamLimits:
-    """What this balancer enforces for a team: (guarantee, ceiling) pairs; no classes means any class."""
+    """A team's limits at this balancer as (guarantee, ceiling); without ``classes`` any class is admitted."""
 
     connections: tuple[float, float]
-    setups: tuple[float, float]
+    setups_per_s: tuple[float, float]
     load: tuple[float, float] = (0.0, math.inf)
     weight: float = 1.0
     pool: str = ""
@@ -50,74 +56,84 @@
 
 @dataclass(slots=True, frozen=True)
 class BalancerLimits:
-    """Everything that this balancer enforces."""
+    """All limits that this balancer enforces."""
 
     connections: float
-    setups: float
+    setups_per_s: float
     teams: Mapping[str, TeamLimits]
     load: float = math.inf
-    burst: float = 1.0  # s
-    within: float = 10.0  # s in which a whole guarantee comes back
-    reserve: float = 0.1  # of the unused guarantees
+    burst_s: float = 1.0  # seconds' worth of a rate that may pass at once
+    reclaim_within_s: float = 10.0  # time in which a team gets its whole guarantee back
+    reserve_fraction: float = 0.1  # part of the unused guarantees that is not lent
 
 
-class ClassState(Queue):
-    """One class of one team, and the places that are booked for its clients."""
+class ClassState(RetryQueue):
+    """One request class of a team: its limits, its connections, and the retry slots of its clients."""
 
     __slots__ = ("connections", "fingerprint_salt", "max_connections", "max_wait_ms", "rate_limit")
 
     def __init__(self, team: str, name: str) -> None:
         super().__init__()
-        self.connections, self.max_connections, self.max_wait_ms = 0, math.inf, math.inf
-        self.rate_limit: Gcra | None = None  # none where the class may use all that the team may
+        self.connections = 0
+        self.max_connections = math.inf
+        self.max_wait_ms = math.inf
+        self.rate_limit: Gcra | None = None  # None where the class may use the whole of the team's rate
         self.fingerprint_salt = crc32(f"{team}\0{name}\0".encode())
 
 
 class TeamState:
-    """One team: its shares of the resources, its rates, its classes, and what stands, oldest first."""
+    """One team: its shares, rates and classes, and its established connections, oldest first."""
 
     __slots__ = (
-        "any_class",
+        "accepts_any_class",
+        "borrowed_arrival",
+        "borrowed_interval_s",
         "classes",
-        "committed",
         "connection_share",
-        "gone",
-        "lent",
-        "lent_step",
+        "established",
+        "guaranteed_rate",
+        "leases_with_load",
         "load_share",
         "name",
         "pool",
         "rate_limit",
-        "standing",
-        "told",
+        "removed",
     )
 
     def __init__(self, name: str) -> None:
-        self.name, self.pool, self.gone, self.any_class, self.told = name, "", False, True, 0
-        self.connection_share, self.load_share = Share(self), Share(self)
-        self.committed, self.rate_limit = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
-        self.lent, self.lent_step = -math.inf, 0.0  # as Gcra.arrival and .step, of a rate that always changes
+        self.name, self.pool, self.removed, self.accepts_any_class, self.leases_with_load = (
+            name,
+            "",
+            False,
+            True,
+            0,
+        )
+        self.connection_share, self.load_share = TeamShare(self), TeamShare(self)
+        self.guaranteed_rate, self.rate_limit = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
+        # Like Gcra.theoretical_arrival and Gcra.interval_s, for the borrowed rate, which always changes.
+        self.borrowed_arrival = -math.inf
+        self.borrowed_interval_s = 0.0
         self.classes: dict[str, ClassState] = {}
-        self.standing: dict[Lease, None] = {}
+        self.established: dict[Lease, None] = {}
 
 
 @dataclass(slots=True, eq=False)
 class Lease:
-    """One connection that was let in; ``owner`` means something to the caller only."""
+    """One admitted connection.  ``owner`` is the caller's object and is not used here."""
 
     owner: object
     team: TeamState
     class_state: ClassState
     pool: str
     load: float = 0.0
-    told: bool = False
+    load_reported: bool = False
     active: bool = True
-    leaving: bool = False
+    draining: bool = False  # its client has been asked to move
 
 
 @dataclass(slots=True)
 class Refusal:
-    """Not let in: the reason code, which limit it was, and the seconds after which to come back."""
+    """A refused request: the reason code, the name of the limit, and the time after which to retry."""
 
     reason: str
     limit: str
@@ -125,348 +141,416 @@
 
 
 class AdmissionController:
-    """One balancer's books."""
-
-    def __init__(self, book: BalancerLimits, seed: int = 0, longest: float = LONGEST) -> None:
-        self.random, self.longest = random.Random(seed), longest if longest > 0 else LONGEST
+    """Admits or refuses the requests of one balancer, and selects the connections to reclaim."""
+
+    def __init__(
+        self, limits: BalancerLimits, seed: int = 0, max_retry_after_s: float = DEFAULT_MAX_RETRY_AFTER_S
+    ) -> None:
+        self.random, self.max_retry_after_s = (
+            random.Random(seed),
+            max_retry_after_s if max_retry_after_s > 0 else DEFAULT_MAX_RETRY_AFTER_S,
+        )
         self.teams: dict[str, TeamState] = {}
         self.connection_budget, self.load_budget = Budget(0.0, 0.0, True), Budget(0.0, 0.0, False)
-        self.rate, self.pace = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
-        self.promises = Promises()
-        self.fair = self.fair_at = 0.0  # setups a second that a weight of 1 may borrow while all do; when set
-        self.misplaced_leases: dict[Lease, None] = {}  # stand in a pool that is no longer their team's
-        self.teams_over_ceiling: dict[TeamState, None] = {}  # may be over a ceiling
+        self.fleet_rate, self.reclaim_rate = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
+        self.retry_table = RetryTable()
+        # Setups a second that a team of weight 1 may borrow while all teams borrow, and when it was updated.
+        self.fair_rate = self.fair_rate_updated_at = 0.0
+        self.misplaced_leases: dict[Lease, None] = {}  # in a pool that is no longer their team's
+        self.teams_over_ceiling: dict[TeamState, None] = {}  # to be checked: these may exceed a ceiling
         self.now = 0.0
-        self.apply(book, 0.0)
+        self.apply(limits, 0.0)
 
-    # -- contracts ---------------------------------------------------------------------------------------
+    # -- limits ------------------------------------------------------------------------------------------
 
-    def apply(self, book: BalancerLimits, now: float) -> None:
-        """Take other contracts at once.  What stands stays counted; what is too much now is moved in time.
+    def apply(self, limits: BalancerLimits, now: float) -> None:
+        """Enforce other limits from now on.
 
-        The pace of moves goes on where it was: two changes in a row allow no more moves than one.
+        Admitted connections stay counted; those over the new limits are moved at the reclaim rate.  The state
+        of that rate is kept: two changes in a row allow no more moves than one.
         """
-        self.book, now = book, self._at(now)
-        self.by_load = book.load < math.inf or any(one.load[1] < math.inf for one in book.teams.values())
-        self.connection_budget.limit, self.connection_budget.reserve_part = book.connections, book.reserve
-        self.load_budget.limit, self.load_budget.reserve_part = book.load, book.reserve
-        self.rate.change(now, book.setups, book.setups * book.burst)
+        self.limits, now = limits, self._advance_clock(now)
+        self.limits_load = limits.load < math.inf or any(
+            team_limits.load[1] < math.inf for team_limits in limits.teams.values()
+        )
+        self.connection_budget.limit = limits.connections
+        self.connection_budget.reserve_fraction = limits.reserve_fraction
+        self.load_budget.limit = limits.load
+        self.load_budget.reserve_fraction = limits.reserve_fraction
+        self.fleet_rate.change_rate(now, limits.setups_per_s, limits.setups_per_s * limits.burst_s)
         lent = max(
-            1.0, sum(terms.connections[0] for terms in book.teams.values()), LEAST_LENT * book.connections
+            1.0,
+            sum(team_limits.connections[0] for team_limits in limits.teams.values()),
+            MIN_LENT_FRACTION * limits.connections,
         )
-        self.pace.change(now, lent / book.within, max(1.0, lent / book.within * STEP))
-        weights = sum(terms.weight for terms in book.teams.values())
-        self.fair = min(max(self.fair, book.setups / max(1.0, weights)), book.setups)
-        for name in [*self.teams.keys() - book.teams.keys()]:
-            self._drop(self.teams[name])
-        for name, terms in book.teams.items():
-            self._set(self.teams.setdefault(name, TeamState(name)), terms, now)
-        self.connection_budget.shares = self.load_budget.shares = len(self.teams)
+        self.reclaim_rate.change_rate(
+            now,
+            lent / limits.reclaim_within_s,
+            max(1.0, lent / limits.reclaim_within_s * RECLAIM_INTERVAL_S),
+        )
+        total_weight = sum(team_limits.weight for team_limits in limits.teams.values())
+        self.fair_rate = min(
+            max(self.fair_rate, limits.setups_per_s / max(1.0, total_weight)), limits.setups_per_s
+        )
+        for name in [*self.teams.keys() - limits.teams.keys()]:
+            self._remove_team(self.teams[name])
+        for name, team_limits in limits.teams.items():
+            self._set_team_limits(self.teams.setdefault(name, TeamState(name)), team_limits, now)
+        self.connection_budget.share_count = self.load_budget.share_count = len(self.teams)
         for budget in (self.connection_budget, self.load_budget):
-            budget.ease()
+            budget.update_uncontended_total()
 
-    def _set(self, team: TeamState, terms: TeamLimits, now: float) -> None:
-        burst = self.book.burst
-        if terms.pool != team.pool:
+    def _set_team_limits(self, team: TeamState, team_limits: TeamLimits, now: float) -> None:
+        burst_s = self.limits.burst_s
+        if team_limits.pool != team.pool:
             self.misplaced_leases.update(
-                dict.fromkeys(one for one in team.standing if one.pool != terms.pool)
+                dict.fromkeys(lease for lease in team.established if lease.pool != team_limits.pool)
             )
-        team.pool, team.gone, team.any_class = terms.pool, False, not terms.classes
-        self.connection_budget.set(team.connection_share, *terms.connections, terms.weight)
-        self.load_budget.set(team.load_share, *terms.load, terms.weight)
-        team.committed.change(now, terms.setups[0], terms.setups[0] * burst)
-        team.rate_limit.change(now, terms.setups[1], terms.setups[1] * burst)
-        for name in terms.classes:
+        team.pool, team.removed, team.accepts_any_class = team_limits.pool, False, not team_limits.classes
+        self.connection_budget.set_limits(team.connection_share, *team_limits.connections, team_limits.weight)
+        self.load_budget.set_limits(team.load_share, *team_limits.load, team_limits.weight)
+        team.guaranteed_rate.change_rate(
+            now, team_limits.setups_per_s[0], team_limits.setups_per_s[0] * burst_s
+        )
+        team.rate_limit.change_rate(now, team_limits.setups_per_s[1], team_limits.setups_per_s[1] * burst_s)
+        for name in team_limits.classes:
             team.classes.setdefault(name, ClassState(team.name, name))
-        for name in [name for name in team.classes if name not in terms.classes and terms.classes]:
-            del team.classes[name]  # its leases hold on to it
-        for name, cls in team.classes.items():
-            self._set_class(cls, terms, terms.classes.get(name, ClassLimits()), now)
+        for name in [
+            name for name in team.classes if name not in team_limits.classes and team_limits.classes
+        ]:
+            del team.classes[name]  # its leases still refer to its state
+        for name, class_state in team.classes.items():
+            self._set_class_limits(
+                class_state, team_limits, team_limits.classes.get(name, ClassLimits()), now
+            )
         self.teams_over_ceiling[team] = None
 
-    def _set_class(self, cls: ClassState, terms: TeamLimits, own: ClassLimits, now: float) -> None:
-        cls.max_wait_ms = own.max_wait_ms
-        if own.share >= 1.0:
-            cls.rate_limit, cls.max_connections = None, math.inf
+    def _set_class_limits(
+        self, class_state: ClassState, team_limits: TeamLimits, class_limits: ClassLimits, now: float
+    ) -> None:
+        class_state.max_wait_ms = class_limits.max_wait_ms
+        if class_limits.ceiling_fraction >= 1.0:
+            class_state.rate_limit = None
+            class_state.max_connections = math.inf
             return
-        rate = own.share * terms.setups[1]
-        cls.max_connections = max(1.0, math.floor(own.share * terms.connections[1] + 1e-9))
-        cls.rate_limit = cls.rate_limit or Gcra(rate, rate * self.book.burst)
-        cls.rate_limit.change(now, rate, rate * self.book.burst)
-
-    def _drop(self, team: TeamState) -> None:
-        """A removed team keeps its name in the books until the last that it holds has gone."""
-        team.gone = True
-        self.connection_budget.set(team.connection_share, 0.0, 0.0, 1.0)
-        self.load_budget.set(team.load_share, 0.0, 0.0, 1.0)
+        rate = class_limits.ceiling_fraction * team_limits.setups_per_s[1]
+        class_state.max_connections = max(
+            1.0, math.floor(class_limits.ceiling_fraction * team_limits.connections[1] + 1e-9)
+        )
+        class_state.rate_limit = class_state.rate_limit or Gcra(rate, rate * self.limits.burst_s)
+        class_state.rate_limit.change_rate(now, rate, rate * self.limits.burst_s)
+
+    def _remove_team(self, team: TeamState) -> None:
+        """Take a team's limits away; its state stays until its last connection has ended."""
+        team.removed = True
+        self.connection_budget.set_limits(team.connection_share, 0.0, 0.0, 1.0)
+        self.load_budget.set_limits(team.load_share, 0.0, 0.0, 1.0)
         self.teams_over_ceiling[team] = None
-        self._forget(team)
+        self._delete_if_unused(team)
 
-    def _forget(self, team: TeamState) -> None:
-        if team.gone and not team.connection_share.in_use and self.teams.get(team.name) is team:
+    def _delete_if_unused(self, team: TeamState) -> None:
+        if team.removed and not team.connection_share.in_use and self.teams.get(team.name) is team:
             del self.teams[team.name]
             self.teams_over_ceiling.pop(team, None)
 
-    def _at(self, now: float) -> float:
-        """A clock that steps back stands still."""
+    def _advance_clock(self, now: float) -> float:
+        """The time to go by: a clock that steps back counts as standing still."""
         if now > self.now:
             self.now = now
         return self.now
 
-    # -- asks --------------------------------------------------------------------------------------------
+    # -- admission ---------------------------------------------------------------------------------------
 
     def admit(self, now: float, owner: object, team_name: str, class_name: str, key: str) -> Lease | Refusal:
-        """A client of a team asks for a connection; ``key`` is the client's, the same each time it asks."""
+        """Admit or refuse a client's connection; ``key`` identifies the client, also when it retries."""
         team = self.teams.get(team_name)
         if team is None:
-            return Refusal("no-contract", "team", self._spread(self.longest))
+            return Refusal("no-contract", "team", self._retry_without_slot_s(self.max_retry_after_s))
         return self.admit_for_team(now, owner, team, class_name, key)
 
     def admit_for_team(
         self, now: float, owner: object, team: TeamState, class_name: str, key: str
     ) -> Lease | Refusal:
-        """The same for who has looked the team up."""
-        now = self._at(now)
-        if team.gone:
-            return Refusal("no-contract", "team", self._spread(self.longest))
-        cls = team.classes.get(class_name) or self._class(team, class_name)
-        if cls is None:
-            return Refusal("no-contract", "class", self._spread(self.longest))
-        if self.connection_budget.marks or self.load_budget.marks:
-            self.connection_budget.expire(now)
-            self.load_budget.expire(now)
-        busy, mark, due = cls.next > now, 0, None
-        if busy:
-            mark = self.promises.fingerprint(cls.fingerprint_salt, key)
-            due = self.promises.find(mark, now)
-        load = self._expected(team) if self.by_load else 0.0
-        called = due is not None and now >= due - EARLY
-        # Who is owed room need not leave any for those who were promised a place.
-        leave = (
-            busy
-            and not called
+        """Like ``admit``, for a caller that has looked up the team."""
+        now = self._advance_clock(now)
+        if team.removed:
+            return Refusal("no-contract", "team", self._retry_without_slot_s(self.max_retry_after_s))
+        class_state = team.classes.get(class_name) or self._find_class(team, class_name)
+        if class_state is None:
+            return Refusal("no-contract", "class", self._retry_without_slot_s(self.max_retry_after_s))
+        if self.connection_budget.reservations or self.load_budget.reservations:
+            self.connection_budget.expire_reservations(now)
+            self.load_budget.expire_reservations(now)
+        slots_pending = class_state.next_slot_at > now
+        fingerprint = 0
+        retry_at = None
+        if slots_pending:
+            fingerprint = self.retry_table.fingerprint(class_state.fingerprint_salt, key)
+            retry_at = self.retry_table.find(fingerprint, now)
+        load = self._expected_load(team) if self.limits_load else 0.0
+        slot_reached = retry_at is not None and now >= retry_at - EARLY_TOLERANCE_S
+        # A client without a slot leaves room for those with one, unless its team is within its guarantee.
+        leave_room = (
+            slots_pending
+            and not slot_reached
             and not (
-                self.connection_budget.entitled(team.connection_share, 1.0)
-                and team.committed.conforms(now)
-                and self.load_budget.entitled(team.load_share, load)
+                self.connection_budget.within_guarantee(team.connection_share, 1.0)
+                and team.guaranteed_rate.conforms(now)
+                and self.load_budget.within_guarantee(team.load_share, load)
             )
         )
-        limit = self._limit(now, team, cls, load, leave)
-        if limit is None:
-            if due is not None:
-                self.promises.drop(mark)
-            if called:
-                cls.came(True)
-            cls.let_in(now)
-            return self._take(now, owner, team, cls)
-        reason, which, rate = limit
-        if which == "fleet":
-            self._owe(now, team, load, reason)
-        if due is not None and not called:
-            # The same time as before: who asks sooner is not let in sooner, nor booked twice.
-            return Refusal(reason, which, due - now)
-        mark = mark or self.promises.fingerprint(cls.fingerprint_salt, key)
+        exceeded = self._exceeded_limit(now, team, class_state, load, leave_room)
+        if exceeded is None:
+            if retry_at is not None:
+                self.retry_table.remove(fingerprint)
+            if slot_reached:
+                class_state.record_retry(True)
+            class_state.record_admission(now)
+            return self._admit(now, owner, team, class_state)
+        reason, limit, rate = exceeded
+        if limit == "fleet":
+            self._reserve_room(now, team, load, reason)
+        if retry_at is not None and not slot_reached:
+            # A client that retries early keeps its slot: it is not admitted sooner and gets no second slot.
+            return Refusal(reason, limit, retry_at - now)
+        fingerprint = fingerprint or self.retry_table.fingerprint(class_state.fingerprint_salt, key)
         if not rate:
-            rate = cls.rate(now)  # what frees room is not known, but how often there was some
-        if called:  # its place came up without room: soon again, not at the end
-            cls.came(False)
-            place: float | None = now + self.random.uniform(*AGAIN) / max(rate, 1.0 / self.longest)
+            # This limit has no rate of its own; the rate of past admissions stands in for it.
+            rate = class_state.slot_rate(now)
+        if slot_reached:  # no room at its slot: the client gets another soon, not one at the end of the queue
+            class_state.record_retry(False)
+            slot_at: float | None = now + self.random.uniform(*SLOTS_AFTER_MISS) / max(
+                rate, 1.0 / self.max_retry_after_s
+            )
         else:
-            place = cls.book(now, rate, self.longest)
-        if place is None or place - now > self.longest:
-            return Refusal(reason, which, self._spread(self.longest))
-        self.promises.set(mark, place)
-        return Refusal(reason, which, place - now)
+            slot_at = class_state.book_slot(now, rate, self.max_retry_after_s)
+        if slot_at is None or slot_at - now > self.max_retry_after_s:
+            return Refusal(reason, limit, self._retry_without_slot_s(self.max_retry_after_s))
+        self.retry_table.set(fingerprint, slot_at)
+        return Refusal(reason, limit, slot_at - now)
 
     def adopt(self, now: float, owner: object, team_name: str, class_name: str) -> Lease | None:
-        """Count a connection that stood before this program started, whatever the limits say."""
-        now, team = self._at(now), self.teams.get(team_name)
-        if team is None or team.gone or (cls := self._class(team, class_name)) is None:
+        """Count a connection from before this program's start, whatever the limits are."""
+        now, team = self._advance_clock(now), self.teams.get(team_name)
+        if team is None or team.removed or (class_state := self._find_class(team, class_name)) is None:
             return None
-        return self._hold(owner, team, cls)
+        return self._create_lease(owner, team, class_state)
 
-    def _class(self, team: TeamState, name: str) -> ClassState | None:
-        if name not in team.classes and team.any_class:
+    def _find_class(self, team: TeamState, name: str) -> ClassState | None:
+        """The state of a class; it is created where the team's contract names no classes."""
+        if name not in team.classes and team.accepts_any_class:
             team.classes[name] = ClassState(team.name, name)
         return team.classes.get(name)
 
-    def _expected(self, team: TeamState) -> float:
-        """The load that one more connection will bring: that of the team's others, else of all."""
-        if team.told:
-            return team.load_share.in_use / team.told
-        told = sum(one.told for one in self.teams.values())
-        return self.load_budget.total / told if told else 0.0
+    def _expected_load(self, team: TeamState) -> float:
+        """The load to expect of one more connection: the mean of the team's connections, else of all."""
+        if team.leases_with_load:
+            return team.load_share.in_use / team.leases_with_load
+        leases_with_load = sum(other.leases_with_load for other in self.teams.values())
+        return self.load_budget.total_in_use / leases_with_load if leases_with_load else 0.0
 
-    def _limit(
-        self, now: float, team: TeamState, cls: ClassState, load: float, leave: bool
+    def _exceeded_limit(
+        self, now: float, team: TeamState, class_state: ClassState, load: float, leave_room: bool
     ) -> tuple[str, str, float] | None:
-        """The limit in the way, if any: reason code, which one, and the rate it allows where that is known.
+        """The limit that refuses a request, if any: reason code, name, and its rate (0 where it has none).
 
-        With ``leave`` the ask has to leave something over, for those who were promised a place.
+        With ``leave_room`` the request also has to leave some room for clients with a retry slot.
         """
-        peak = cls.rate_limit
-        if peak is not None and not (peak.leaves(now, KEEP) if leave else peak.conforms(now)):
-            return "over-class", "rate", peak.rate
-        peak = team.rate_limit
-        if not (peak.leaves(now, KEEP) if leave else peak.conforms(now)):
-            return "over-rate", "team", peak.rate
-        if not team.committed.conforms(now) and not self._may_borrow(now, team, leave):
+        rate_limit = class_state.rate_limit
+        if rate_limit is not None and not (
+            rate_limit.conforms_leaving(now, RETRY_BURST_FRACTION) if leave_room else rate_limit.conforms(now)
+        ):
+            return "over-class", "rate", rate_limit.rate
+        rate_limit = team.rate_limit
+        if not (
+            rate_limit.conforms_leaving(now, RETRY_BURST_FRACTION) if leave_room else rate_limit.conforms(now)
+        ):
+            return "over-rate", "team", rate_limit.rate
+        if not team.guaranteed_rate.conforms(now) and not self._may_borrow_rate(now, team, leave_room):
             return "over-rate", "fleet", 0.0
-        spare = self._spare(team) if leave else 0
-        if cls.connections + 1 + spare > cls.max_connections:
+        spare = self._connections_for_retries(team) if leave_room else 0
+        if class_state.connections + 1 + spare > class_state.max_connections:
             return "over-class", "connections", 0.0
         if team.connection_share.in_use + 1 + spare > team.connection_share.ceiling:
             return "over-connections", "team", 0.0
-        if not self.connection_budget.room(team.connection_share, 1.0, spare):
+        if not self.connection_budget.has_room(team.connection_share, 1.0, spare):
             return "over-connections", "fleet", 0.0
-        if self.by_load and team.load_share.in_use + load > team.load_share.ceiling + 1e-9:
+        if self.limits_load and team.load_share.in_use + load > team.load_share.ceiling + 1e-9:
             return "over-load", "team", 0.0
-        if self.by_load and not self.load_budget.room(team.load_share, load):
+        if self.limits_load and not self.load_budget.has_room(team.load_share, load):
             return "over-load", "fleet", 0.0
         return None
 
-    def _spare(self, team: TeamState) -> int:
-        """Connections that are left for those who were promised a place."""
-        most = min(team.connection_share.ceiling, self.connection_budget.limit)
-        return min(MOST_SPARE, math.ceil(SPARE * most)) if most >= SPARE_FROM else 0
+    def _connections_for_retries(self, team: TeamState) -> int:
+        """How many connections are left for clients with a retry slot."""
+        ceiling = min(team.connection_share.ceiling, self.connection_budget.limit)
+        return (
+            min(MAX_RETRY_CONNECTIONS, math.ceil(RETRY_CONNECTION_FRACTION * ceiling))
+            if ceiling >= MIN_CEILING_FOR_RETRY_CONNECTIONS
+            else 0
+        )
 
-    def _may_borrow(self, now: float, team: TeamState, leave: bool) -> bool:
-        """May a setup beyond the team's guaranteed rate pass?
+    def _may_borrow_rate(self, now: float, team: TeamState, leave_room: bool) -> bool:
+        """Whether a setup beyond the team's guaranteed rate may pass.
 
-        Whoever asks, while next to nothing of the fleet's burst is used; else each up to the fair rate for
-        its weight, which rises while half of the burst is unused and falls while less is (the fair share of
-        core-stateless fair queueing, Stoica et al. 1998, found by feedback).
+        While almost none of the fleet's burst is used, any setup may.  Otherwise each team may borrow up to
+        the fair rate times its weight.  The fair rate rises while more than half of the burst is unused and
+        falls while less is (the fair share of core-stateless fair queueing, Stoica et al. 1998, found by
+        feedback).
         """
-        limit = self.rate
-        ahead = limit.arrival - now
-        unused = 1.0 if ahead <= 0.0 or limit.rate == math.inf else 1.0 - ahead / (limit.burst * limit.step)
-        # By time, not by asks: a thousand refused at once say no more than one.
-        passed = now - self.fair_at
-        if passed > 0.0:
-            self.fair_at, setups = now, self.book.setups
-            fair = self.fair * (1.0 + FAIR_GAIN * min(FAIR_STEP, passed) * (2.0 * max(0.0, unused) - 1.0))
-            self.fair = min(max(fair, 1e-4 * setups), setups)
-        if unused >= IDLE:
+        fleet_rate = self.fleet_rate
+        used_s = fleet_rate.theoretical_arrival - now
+        unused_fraction = (
+            1.0
+            if used_s <= 0.0 or fleet_rate.rate == math.inf
+            else 1.0 - used_s / (fleet_rate.burst * fleet_rate.interval_s)
+        )
+        # The update counts elapsed time, not requests: a thousand refusals at once weigh no more than one.
+        elapsed_s = now - self.fair_rate_updated_at
+        if elapsed_s > 0.0:
+            self.fair_rate_updated_at, setups_per_s = now, self.limits.setups_per_s
+            fair_rate = self.fair_rate * (
+                1.0
+                + FAIR_RATE_GAIN_PER_S
+                * min(MAX_FAIR_RATE_STEP_S, elapsed_s)
+                * (2.0 * max(0.0, unused_fraction) - 1.0)
+            )
+            self.fair_rate = min(max(fair_rate, 1e-4 * setups_per_s), setups_per_s)
+        if unused_fraction >= IDLE_BURST_FRACTION:
             return True
-        # The fair rate holds the burst about half used: those with no promise must find their share there.
-        if not (limit.leaves(now, KEEP / 2.0) if leave else limit.conforms(now)):
+        # The fair rate keeps the burst about half used: clients without a slot need room within that half.
+        if not (
+            fleet_rate.conforms_leaving(now, RETRY_BURST_FRACTION / 2.0)
+            if leave_room
+            else fleet_rate.conforms(now)
+        ):
             return False
-        # What is unused counts at once as well, or the rate and what it leaves would swing round each other.
-        rate = self.fair * team.connection_share.weight * (0.5 + unused)
-        team.lent_step = 1.0 / rate
-        return team.lent - now <= max(0.0, self.book.burst - team.lent_step) + 1e-9
-
-    def _take(self, now: float, owner: object, team: TeamState, cls: ClassState) -> Lease:
-        if team.committed.conforms(now):
-            team.committed.take(now)
+        # The unused part also counts directly: through the fair rate alone the feedback would oscillate.
+        borrowed_rate = self.fair_rate * team.connection_share.weight * (0.5 + unused_fraction)
+        team.borrowed_interval_s = 1.0 / borrowed_rate
+        return team.borrowed_arrival - now <= max(0.0, self.limits.burst_s - team.borrowed_interval_s) + 1e-9
+
+    def _admit(self, now: float, owner: object, team: TeamState, class_state: ClassState) -> Lease:
+        """Count an admitted request against every limit that it is held to."""
+        if team.guaranteed_rate.conforms(now):
+            team.guaranteed_rate.consume(now)
         else:
-            team.lent = (team.lent if team.lent > now else now) + team.lent_step
-        if cls.rate_limit is not None:
-            cls.rate_limit.take(now)
-        team.rate_limit.take(now)
-        self.rate.take(now)
-        self.connection_budget.used(team.connection_share, 1.0)
-        return self._hold(owner, team, cls)
-
-    def _hold(self, owner: object, team: TeamState, cls: ClassState) -> Lease:
-        cls.connections += 1
-        self.connection_budget.add(team.connection_share, 1.0)
-        return Lease(owner, team, cls, team.pool)
-
-    def _owe(self, now: float, team: TeamState, load: float, reason: str) -> None:
-        until = now + self.longest + KEPT_FOR
+            team.borrowed_arrival = (
+                team.borrowed_arrival if team.borrowed_arrival > now else now
+            ) + team.borrowed_interval_s
+        if class_state.rate_limit is not None:
+            class_state.rate_limit.consume(now)
+        team.rate_limit.consume(now)
+        self.fleet_rate.consume(now)
+        self.connection_budget.claim_reservation(team.connection_share, 1.0)
+        return self._create_lease(owner, team, class_state)
+
+    def _create_lease(self, owner: object, team: TeamState, class_state: ClassState) -> Lease:
+        class_state.connections += 1
+        self.connection_budget.adjust_usage(team.connection_share, 1.0)
+        return Lease(owner, team, class_state, team.pool)
+
+    def _reserve_room(self, now: float, team: TeamState, load: float, reason: str) -> None:
+        """Reserve the room that is freed next for a team that was refused, if it is entitled to it."""
+        until = now + self.max_retry_after_s + RESERVATION_GRACE_S
         if reason == "over-connections":
-            self.connection_budget.mark(until, team.connection_share, 1.0)
+            self.connection_budget.reserve_room(until, team.connection_share, 1.0)
         elif reason == "over-load" and load > 0.0:
-            self.load_budget.mark(until, team.load_share, load)
+            self.load_budget.reserve_room(until, team.load_share, load)
 
-    def _spread(self, longest: float) -> float:
-        return longest * (0.75 + 0.25 * self.random.random())
+    def _retry_without_slot_s(self, max_retry_after_s: float) -> float:
+        """A retry time near the longest, drawn at random so that such clients do not all retry at once."""
+        return max_retry_after_s * (0.75 + 0.25 * self.random.random())
 
     # -- leases ------------------------------------------------------------------------------------------
 
     def mark_established(self, lease: Lease) -> None:
-        """The connection is up: from now on it can be moved."""
+        """Note that the connection is established: from now on it can be moved."""
         if lease.active:
             team = lease.team
-            team.standing[lease] = None
-            if team.gone or team.connection_share.exceeds_ceiling():
+            team.established[lease] = None
+            if team.removed or team.connection_share.exceeds_ceiling():
                 self.teams_over_ceiling[team] = None
             if lease.pool != team.pool:
                 self.misplaced_leases[lease] = None
 
-    def update_load(self, lease: Lease, figure: float) -> None:
-        """The load that it brings now."""
+    def update_load(self, lease: Lease, reported_load: float) -> None:
+        """Set the load that a connection causes now."""
         if not lease.active:
             return
-        team, change = lease.team, figure - lease.load
-        team.told += not lease.told
-        lease.told, lease.load = True, figure
-        self.load_budget.add(team.load_share, change)
-        if lease.leaving:
-            self.load_budget.leave(team.load_share, change)
+        team, change = lease.team, reported_load - lease.load
+        team.leases_with_load += not lease.load_reported
+        lease.load_reported = True
+        lease.load = reported_load
+        self.load_budget.adjust_usage(team.load_share, change)
+        if lease.draining:
+            self.load_budget.adjust_draining(team.load_share, change)
         if team.load_share.exceeds_ceiling():
             self.teams_over_ceiling[team] = None
 
     def release(self, lease: Lease) -> None:
-        """Give it back; a second time nothing happens."""
+        """Release a lease; a second release does nothing."""
         if not lease.active:
             return
         lease.active, team = False, lease.team
-        if lease.leaving:
-            self.connection_budget.leave(team.connection_share, -1.0)
-            self.load_budget.leave(team.load_share, -lease.load)
+        if lease.draining:
+            self.connection_budget.adjust_draining(team.connection_share, -1.0)
+            self.load_budget.adjust_draining(team.load_share, -lease.load)
         lease.class_state.connections -= 1
-        self.connection_budget.add(team.connection_share, -1.0)
-        if lease.told:
-            self.load_budget.add(team.load_share, -lease.load)
-            team.told -= 1
-        team.standing.pop(lease, None)
+        self.connection_budget.adjust_usage(team.connection_share, -1.0)
+        if lease.load_reported:
+            self.load_budget.adjust_usage(team.load_share, -lease.load)
+            team.leases_with_load -= 1
+        team.established.pop(lease, None)
         if self.misplaced_leases:
             self.misplaced_leases.pop(lease, None)
-        if team.gone:
-            self._forget(team)
+        if team.removed:
+            self._delete_if_unused(team)
 
     # -- reclaiming --------------------------------------------------------------------------------------
 
     def reclaim_delay_s(self) -> float | None:
-        """Seconds until ``step`` should be called, None while nothing has to be moved."""
-        return max(STEP, self.pace.wait(self.now)) if self.needs_reclaim() else None
+        """Time until ``reclaim`` should be called, or None while no connection has to be moved."""
+        return max(RECLAIM_INTERVAL_S, self.reclaim_rate.wait_s(self.now)) if self.needs_reclaim() else None
 
     def needs_reclaim(self) -> bool:
-        """Has anything to be moved?"""
+        """Whether any connection has to be moved."""
         return (
             bool(self.misplaced_leases or self.teams_over_ceiling)
-            or self.connection_budget.victim() is not None
-            or (self.by_load and self.load_budget.victim() is not None)
+            or self.connection_budget.share_to_reclaim_from() is not None
+            or (self.limits_load and self.load_budget.share_to_reclaim_from() is not None)
         )
 
     def reclaim(self, now: float) -> list[Lease]:
-        """The leases whose clients have to be moved now, as many as the pace allows."""
-        now = self._at(now)
-        self.connection_budget.expire(now)
-        self.load_budget.expire(now)
+        """The leases whose clients have to be moved now, as many as the reclaim rate allows."""
+        now = self._advance_clock(now)
+        self.connection_budget.expire_reservations(now)
+        self.load_budget.expire_reservations(now)
         moved: list[Lease] = []
-        while self.pace.conforms(now) and (lease := next(self._victims(), None)) is not None:
-            self.pace.take(now)
-            lease.leaving = True
-            lease.team.standing.pop(lease, None)
+        while self.reclaim_rate.conforms(now) and (lease := next(self._leases_to_move(), None)) is not None:
+            self.reclaim_rate.consume(now)
+            lease.draining = True
+            lease.team.established.pop(lease, None)
             self.misplaced_leases.pop(lease, None)
-            self.connection_budget.leave(lease.team.connection_share, 1.0)
-            self.load_budget.leave(lease.team.load_share, lease.load)
+            self.connection_budget.adjust_draining(lease.team.connection_share, 1.0)
+            self.load_budget.adjust_draining(lease.team.load_share, lease.load)
             moved.append(lease)
         return moved
 
-    def _victims(self) -> Iterator[Lease]:
-        """Who moves next: what is too much by a contract first, then the newest of the richest borrower."""
+    def _leases_to_move(self) -> Iterator[Lease]:
+        """Leases in the order in which they are moved.
+
+        Those over a ceiling come first, then those in a wrong pool, then the newest of the team that borrows
+        most.
+        """
         for team in list(self.teams_over_ceiling):
-            over = team.connection_share.exceeds_ceiling() or team.load_share.exceeds_ceiling()
-            if over and team.standing:
-                yield next(reversed(team.standing))
-            if not over or not team.connection_share.in_use:
+            over_ceiling = team.connection_share.exceeds_ceiling() or team.load_share.exceeds_ceiling()
+            if over_ceiling and team.established:
+                yield next(reversed(team.established))
+            if not over_ceiling or not team.connection_share.in_use:
                 self.teams_over_ceiling.pop(team, None)
         yield from self.misplaced_leases
         for budget in (self.connection_budget, self.load_budget):
-            share = budget.victim()
-            if share is not None and share.owner.standing:
-                yield next(reversed(share.owner.standing))
+            share = budget.share_to_reclaim_from()
+            if share is not None and share.owner.established:
+                yield next(reversed(share.owner.established))
--- a/snowwick/broker/budget.py
+++ b/snowwick/broker/budget.py
@@ -1,10 +1,11 @@
-"""What is held and what is lent of one resource: standing connections, or the load that they bring.
-
-Every team has a guarantee, a ceiling and a weight.  Room that its owner does not use is lent to whoever asks,
-but for a reserve; when an owner, or a team with less in proportion to its weight, finds no room, a mark keeps
-for it the room that is then freed by moving what the richest borrower took last.  Stealing from the richest
-until nobody who asks is poorer by a unit is weighted max-min fairness, reached step by step without ever
-computing it, so that the cost of an ask does not grow with the number of teams.
+"""Usage and lending of one resource: connections, or the load that they cause.
+
+Every team has a guarantee, a ceiling and a weight.  Room that a team does not use is lent to any other team,
+except for a reserve.  A refused team that is within its guarantee, or that has borrowed less for its weight
+than another, gets a reservation of the room that is freed next by moving the newest connections of the
+largest borrower.  Moving from the largest borrower until no refused team has less by a unit is weighted
+max-min fairness.  It is reached step by step and never computed as a whole, so the cost of a request does
+not grow with the number of teams.
 """
 
 from __future__ import annotations
@@ -15,180 +16,203 @@
 from itertools import count
 from typing import Any
 
-SLACK = 1e-9  # guards against rounding where loads are summed and subtracted for hours
+ROUNDING_TOLERANCE = 1e-9  # loads are summed and subtracted for hours
+
 
+class TeamShare:
+    """One team's part of one resource at this balancer.
 
-class Share:
-    """One team's part of one resource at this balancer.  ``leaving`` is held, but has been asked to go."""
+    ``draining`` is the part in use whose clients have been asked to move.  ``claimed`` is what the team has
+    taken out of reservations that have not expired yet.  ``ranked_level`` is the level of its valid entry in
+    the budget's heap of borrowers.
+    """
 
-    __slots__ = ("ceiling", "guarantee", "in_use", "leaving", "marked", "owner", "ranked", "spent", "weight")
+    __slots__ = (
+        "ceiling",
+        "claimed",
+        "draining",
+        "guarantee",
+        "in_use",
+        "owner",
+        "ranked_level",
+        "reserved",
+        "weight",
+    )
 
     def __init__(self, owner: Any = None) -> None:
         self.owner = owner
-        self.guarantee = self.ceiling = self.in_use = self.leaving = self.marked = 0.0
-        self.weight, self.spent, self.ranked = 1.0, 0.0, 0.0
+        self.guarantee = self.ceiling = self.in_use = self.draining = self.reserved = 0.0
+        self.weight = 1.0
+        self.claimed = 0.0
+        self.ranked_level = 0.0
 
     @property
-    def staying(self) -> float:
-        return self.in_use - self.leaving
+    def retained(self) -> float:
+        """The part in use that is not draining."""
+        return self.in_use - self.draining
 
     @property
-    def level(self) -> float:
-        """What it has beyond its guarantee, in proportion to its weight."""
-        return (self.staying - self.guarantee) / self.weight
+    def borrowed_per_weight(self) -> float:
+        """Use beyond the guarantee in proportion to the weight; negative below the guarantee."""
+        return (self.retained - self.guarantee) / self.weight
 
     @property
-    def unused(self) -> float:
+    def unused_guarantee(self) -> float:
         return max(0.0, self.guarantee - self.in_use)
 
     def exceeds_ceiling(self) -> bool:
-        return self.staying > self.ceiling + SLACK
+        return self.retained > self.ceiling + ROUNDING_TOLERANCE
 
 
 class Budget:
-    """One resource of the fleet, this balancer's part."""
-
-    def __init__(self, limit: float, reserve_part: float, whole: bool) -> None:
-        self.limit, self.reserve_part, self.whole = limit, reserve_part, whole
-        # With no marks there is room up to this total whatever is reserved: most asks need to know no more.
-        self.easy, self.guaranteed = limit, 0.0
-        self.total = self.leaving = self.unused = self.marked = 0.0
-        self.marks: deque[tuple[float, Share, float]] = deque()  # until when, whose, how much; oldest first
-        # Borrowers by a level that each has had: never under the one it has now.  ``ranked`` names the entry
-        # that counts; who falls is put right when its entry comes up, who rises gets a new one.
-        self._heap: list[tuple[float, int, Share]] = []
-        self._count = count()
-        self.shares = 0  # how many there are, for the heap's bound
-
-    def reserve(self) -> float:
-        """Room that is never lent: an owner's first asks find it before anything has been moved."""
-        kept = self.reserve_part * self.unused
-        return math.ceil(kept - SLACK) if self.whole else kept
-
-    def set(self, share: Share, guarantee: float, ceiling: float, weight: float) -> None:
-        """Other limits for a share; what it holds stays."""
-        self.unused -= share.unused
-        self.guaranteed += guarantee - share.guarantee
+    """This balancer's part of one resource of the fleet, and how the teams share it."""
+
+    def __init__(self, limit: float, reserve_fraction: float, whole_units: bool) -> None:
+        self.limit, self.reserve_fraction, self.whole_units = limit, reserve_fraction, whole_units
+        # Up to this total there is room whatever the reserve is, as long as there are no reservations: most
+        # requests need no other check.
+        self.uncontended_total = limit
+        self.total_guaranteed = 0.0
+        self.total_in_use = self.draining = self.unused_guarantees = self.reserved = 0.0
+        # (expiry, share, amount), oldest first.
+        self.reservations: deque[tuple[float, TeamShare, float]] = deque()
+        # A heap of (negated level, sequence number, share), in which no share has a level below its present
+        # one.  The valid entry of a share is the one at its ``ranked_level``.  A share whose level has fallen
+        # is corrected when its entry comes up; one whose level rises gets a new entry.
+        self._borrowers: list[tuple[float, int, TeamShare]] = []
+        self._sequence = count()
+        self.share_count = 0  # bounds the size of the heap
+
+    def lending_reserve(self) -> float:
+        """Room that is never lent: a team's first requests use it before any connection has been moved."""
+        reserve = self.reserve_fraction * self.unused_guarantees
+        return math.ceil(reserve - ROUNDING_TOLERANCE) if self.whole_units else reserve
+
+    def set_limits(self, share: TeamShare, guarantee: float, ceiling: float, weight: float) -> None:
+        """Change the limits of a share; what it uses stays."""
+        self.unused_guarantees -= share.unused_guarantee
+        self.total_guaranteed += guarantee - share.guarantee
         share.guarantee, share.ceiling, share.weight = guarantee, ceiling, weight
-        self.unused += share.unused
-        self._rank(share)
+        self.unused_guarantees += share.unused_guarantee
+        self._rank_borrower(share)
 
-    def ease(self) -> None:
-        """Call after ``limit`` or shares were set."""
-        self.easy = self.limit - math.ceil(self.reserve_part * self.guaranteed)
+    def update_uncontended_total(self) -> None:
+        """Has to be called after ``limit`` or the limits of shares have changed."""
+        self.uncontended_total = self.limit - math.ceil(self.reserve_fraction * self.total_guaranteed)
 
-    def add(self, share: Share, amount: float) -> None:
-        """It holds more, or less."""
+    def adjust_usage(self, share: TeamShare, amount: float) -> None:
+        """Add an amount to what a share uses; a negative amount is released."""
         before = share.in_use
         after = share.in_use = before + amount
-        self.total += amount
+        self.total_in_use += amount
         guarantee = share.guarantee
         if before < guarantee or after < guarantee:
-            self.unused += (guarantee - after if after < guarantee else 0.0) - (
+            self.unused_guarantees += (guarantee - after if after < guarantee else 0.0) - (
                 guarantee - before if before < guarantee else 0.0
             )
         if after > guarantee:
-            self._rank(share)
-
-    def leave(self, share: Share, amount: float) -> None:
-        """So much of what it holds has been asked to go; a negative amount has gone."""
-        share.leaving += amount
-        self.leaving += amount
-        self._rank(share)
-
-    def _rank(self, share: Share) -> None:
-        level = share.level
-        if level > share.ranked + SLACK:
-            share.ranked = level
-            heapq.heappush(self._heap, (-level, next(self._count), share))
-            if len(self._heap) > 64 + 4 * self.shares:
-                self._heap = [row for row in self._heap if -row[0] == row[2].ranked]
-                heapq.heapify(self._heap)
-
-    def richest(self) -> Share | None:
-        """The share with most beyond its guarantee, for its weight."""
-        heap = self._heap
+            self._rank_borrower(share)
+
+    def adjust_draining(self, share: TeamShare, amount: float) -> None:
+        """Add an amount to the draining part of a share; a negative amount has been released."""
+        share.draining += amount
+        self.draining += amount
+        self._rank_borrower(share)
+
+    def _rank_borrower(self, share: TeamShare) -> None:
+        """Add a heap entry for a share whose level has risen."""
+        level = share.borrowed_per_weight
+        if level > share.ranked_level + ROUNDING_TOLERANCE:
+            share.ranked_level = level
+            heapq.heappush(self._borrowers, (-level, next(self._sequence), share))
+            if len(self._borrowers) > 64 + 4 * self.share_count:
+                self._borrowers = [entry for entry in self._borrowers if -entry[0] == entry[2].ranked_level]
+                heapq.heapify(self._borrowers)
+
+    def largest_borrower(self) -> TeamShare | None:
+        """The share with the most beyond its guarantee in proportion to its weight."""
+        heap = self._borrowers
         while heap:
-            level, _, share = heap[0]
-            if -level != share.ranked:
+            negated_level, _, share = heap[0]
+            if -negated_level != share.ranked_level:
                 heapq.heappop(heap)
                 continue
-            now = share.level
-            if now >= share.ranked - SLACK:
+            level = share.borrowed_per_weight
+            if level >= share.ranked_level - ROUNDING_TOLERANCE:
                 return share
-            share.ranked = max(0.0, now)
-            if now > SLACK:
-                heapq.heapreplace(heap, (-now, next(self._count), share))
+            share.ranked_level = max(0.0, level)
+            if level > ROUNDING_TOLERANCE:
+                heapq.heapreplace(heap, (-level, next(self._sequence), share))
             else:
                 heapq.heappop(heap)
         return None
 
-    def entitled(self, share: Share, amount: float) -> bool:
-        """Is it still within its guarantee with so much more?"""
-        return share.in_use + amount <= share.guarantee + SLACK
+    def within_guarantee(self, share: TeamShare, amount: float) -> bool:
+        """Whether a share is still within its guarantee with this amount more."""
+        return share.in_use + amount <= share.guarantee + ROUNDING_TOLERANCE
 
-    def room(self, share: Share, amount: float, spare: float = 0.0) -> bool:
-        """Is there room for so much more, ``spare`` left over?  The ceiling is another question."""
-        if self.total + amount + spare <= self.easy and not self.marked:
+    def has_room(self, share: TeamShare, amount: float, spare: float = 0.0) -> bool:
+        """Whether there is room for this amount with ``spare`` left over.  Does not check the ceiling."""
+        if self.total_in_use + amount + spare <= self.uncontended_total and not self.reserved:
             return True
-        free = self.limit + SLACK - self.total - amount
-        if free < 0.0 or share.in_use + amount <= share.guarantee + SLACK:
+        free = self.limit + ROUNDING_TOLERANCE - self.total_in_use - amount
+        if free < 0.0 or share.in_use + amount <= share.guarantee + ROUNDING_TOLERANCE:
             return free >= 0.0
-        return free >= spare + self.reserve() + self.marked - share.marked
+        return free >= spare + self.lending_reserve() + self.reserved - share.reserved
 
-    def mark(self, until: float, share: Share, amount: float) -> bool:
-        """Keep the room that is freed next for a share that was refused, if it is owed any."""
-        more = share.marked + amount
-        if share.in_use + more > share.ceiling + SLACK or not (
-            self.entitled(share, more) or self._poorer(share, more)
+    def reserve_room(self, until: float, share: TeamShare, amount: float) -> bool:
+        """Reserve the room that is freed next for a share that was refused, if it is entitled to any."""
+        new_reserved = share.reserved + amount
+        if share.in_use + new_reserved > share.ceiling + ROUNDING_TOLERANCE or not (
+            self.within_guarantee(share, new_reserved) or self._entitled_to_borrowed(share, new_reserved)
         ):
             return False
-        self.marks.append((until, share, amount))
-        share.marked += amount
-        self.marked += amount
+        self.reservations.append((until, share, amount))
+        share.reserved += amount
+        self.reserved += amount
         return True
 
-    def _poorer(self, share: Share, more: float) -> bool:
-        """Would it, with so much more, still have no more than the richest has with as much less?"""
-        rich = self.richest()
-        if rich is None or rich is share:
+    def _entitled_to_borrowed(self, share: TeamShare, amount: float) -> bool:
+        """Whether a share would not exceed the largest borrower's level if it got this amount from it."""
+        largest = self.largest_borrower()
+        if largest is None or largest is share:
             return False
-        level = (share.staying + more - share.guarantee) / share.weight
-        return level <= (rich.staying - more - rich.guarantee) / rich.weight + SLACK
+        level = (share.retained + amount - share.guarantee) / share.weight
+        return level <= (largest.retained - amount - largest.guarantee) / largest.weight + ROUNDING_TOLERANCE
 
-    def used(self, share: Share, amount: float) -> None:
-        """A share for which room was kept has taken some."""
-        if not share.marked:
+    def claim_reservation(self, share: TeamShare, amount: float) -> None:
+        """Note that a share has taken up room, out of what is reserved for it as far as that goes."""
+        if not share.reserved:
             return
-        amount = min(amount, share.marked)
-        share.marked -= amount
-        share.spent += amount
-        self.marked -= amount
-
-    def expire(self, now: float) -> None:
-        """Room is kept for a while only: who was refused may never come back."""
-        while self.marks and self.marks[0][0] <= now:
-            _, share, amount = self.marks.popleft()
-            spent = min(amount, share.spent)
-            share.spent -= spent
-            lost = min(amount - spent, share.marked)
-            share.marked -= lost
-            self.marked -= lost
-        if not self.marks:
-            self.marked = 0.0
-
-    def victim(self) -> Share | None:
-        """The share that must give something up now, if any.
-
-        The reserve is brought back once half of it is gone: an owner whose connections come and go must not
-        have a borrower moved for each.
+        amount = min(amount, share.reserved)
+        share.reserved -= amount
+        share.claimed += amount
+        self.reserved -= amount
+
+    def expire_reservations(self, now: float) -> None:
+        """Drop expired reservations: a refused client may never retry."""
+        while self.reservations and self.reservations[0][0] <= now:
+            _, share, amount = self.reservations.popleft()
+            claimed = min(amount, share.claimed)
+            share.claimed -= claimed
+            expired = min(amount - claimed, share.reserved)
+            share.reserved -= expired
+            self.reserved -= expired
+        if not self.reservations:
+            self.reserved = 0.0
+
+    def share_to_reclaim_from(self) -> TeamShare | None:
+        """The share that has to give up a part now, if any.
+
+        The reserve is restored only once half of it is used: otherwise each connection that a team opens and
+        closes within its guarantee would move one of a borrower's.
         """
-        return self.richest() if self.short() else None
+        return self.largest_borrower() if self.is_short() else None
 
-    def short(self) -> bool:
-        """Is less free than is to be kept?"""
-        if self.total <= self.easy and not self.marked:
+    def is_short(self) -> bool:
+        """Whether less is free than the reserve and the reservations need."""
+        if self.total_in_use <= self.uncontended_total and not self.reserved:
             return False
-        free = self.limit - self.total + self.leaving + SLACK
-        reserve = self.reserve()
-        return free < reserve / 2.0 or (self.marked > 0.0 and free < self.marked + reserve)
+        free = self.limit - self.total_in_use + self.draining + ROUNDING_TOLERANCE
+        reserve = self.lending_reserve()
+        return free < reserve / 2.0 or (self.reserved > 0.0 and free < self.reserved + reserve)
--- a/snowwick/broker/contract.py
+++ b/snowwick/broker/contract.py
@@ -99,7 +99,7 @@
     """What one balancer enforces of a team's contract."""
 
     connections: tuple[int, int]  # guarantee, ceiling
-    setups: tuple[float, float]
+    setups_per_s: tuple[float, float]
     load: tuple[float, float]
 
 
@@ -265,18 +265,18 @@
         )
 
     seats = shared(fleet, [of_teams[n].connections for n in names])
-    setups = shared(rate, [of_teams[n].setups for n in names])
+    setups = shared(rate, [of_teams[n].setups_per_s for n in names])
     loads = shared(load, [of_teams[n].load for n in names])
     rows = []
     for at, name in enumerate(names):
         one = of_teams[name]
-        refill = one.connections[0] / one.setups[0] if one.setups[0] else 0.0
+        refill = one.connections[0] / one.setups_per_s[0] if one.setups_per_s[0] else 0.0
         rows.append(
             {
                 "team": name,
                 "pool": contracts.teams[name].pool,
                 "connections": (one.connections[0], min(fleet, one.connections[1]), int(seats[at] + 1e-9)),
-                "setups_per_s": (one.setups[0], min(rate, one.setups[1]), setups[at]),
+                "setups_per_s": (one.setups_per_s[0], min(rate, one.setups_per_s[1]), setups[at]),
                 "load": (one.load[0], min(load, one.load[1]), loads[at]),
                 "guarantee_after_s": max(contracts.fleet.reclaim.within_s, refill),
             }
@@ -311,7 +311,7 @@
     }
     for name, part in of_teams.items():
         found[f"{name}.connections"] = part.connections[1], True
-        found[f"{name}.setups"] = part.setups[1], False
+        found[f"{name}.setups"] = part.setups_per_s[1], False
     return found
 
 
@@ -336,7 +336,7 @@
         seats, setups = f"{name}.connections", f"{name}.setups"
         teams[name] = TeamLimits(
             (min(have[seats], math.floor(moved(part.connections[0], seats) + 1e-9)), have[seats]),
-            (moved(part.setups[0], setups), have[setups]),
+            (moved(part.setups_per_s[0], setups), have[setups]),
             part.load,
             team.weight,
             team.pool,
--- a/snowwick/broker/gcra.py
+++ b/snowwick/broker/gcra.py
@@ -9,51 +9,59 @@
 
 
 class Gcra:
-    """``rate`` units a second, ``burst`` units at once; all times are seconds on the caller's clock.
+    """Passes ``rate`` units a second and ``burst`` units at once; times are seconds on the caller's clock.
 
-    A clock that stands still lets a burst out and no more; one that jumps ahead refills to a full burst and
-    no further; one that steps back counts as standing still.
+    A clock that stands still passes one burst and no more, one that jumps ahead refills at most a full burst,
+    and one that steps back counts as standing still.
     """
 
-    __slots__ = ("arrival", "burst", "rate", "slack", "step")
+    __slots__ = ("burst", "interval_s", "rate", "theoretical_arrival", "tolerance_s")
 
     def __init__(self, rate: float, burst: float) -> None:
-        self.arrival = -math.inf
-        self.set(rate, burst)
+        self.theoretical_arrival = -math.inf
+        self.set_rate(rate, burst)
 
-    def set(self, rate: float, burst: float) -> None:
-        """Go on at another rate; what has passed keeps the time it has used."""
+    def set_rate(self, rate: float, burst: float) -> None:
+        """Set another rate; the theoretical arrival time stays."""
         self.rate, self.burst = rate, max(1.0, burst)
-        self.step = 1.0 / rate if rate > 0.0 else math.inf  # s that a unit takes
-        # How far ahead of the clock a unit may arrive: never, where nothing may pass.
-        self.slack = (
-            (self.burst - 1.0) * self.step + 1e-9
+        self.interval_s = 1.0 / rate if rate > 0.0 else math.inf  # between units at the full rate
+        # How far the theoretical arrival time may lie ahead of the clock; at rate 0 no unit may pass.
+        self.tolerance_s = (
+            (self.burst - 1.0) * self.interval_s + 1e-9
             if 0.0 < rate < math.inf
             else (math.inf if rate > 0.0 else -math.inf)
         )
 
     def conforms(self, now: float) -> bool:
-        """May one unit pass now?"""
-        return self.arrival - now <= self.slack and self.rate > 0.0
+        """Whether one unit may pass now."""
+        return self.theoretical_arrival - now <= self.tolerance_s and self.rate > 0.0
 
-    def leaves(self, now: float, part: float) -> bool:
-        """May one unit pass now and leave that part of the burst unused?"""
-        return self.rate > 0.0 and self.arrival - now <= self.slack - part * self.burst * self.step
+    def conforms_leaving(self, now: float, burst_fraction: float) -> bool:
+        """Whether one unit may pass now with this part of the burst left unused."""
+        return (
+            self.rate > 0.0
+            and self.theoretical_arrival - now
+            <= self.tolerance_s - burst_fraction * self.burst * self.interval_s
+        )
 
-    def take(self, now: float) -> None:
-        """One unit passes, conforming or not."""
-        if self.step < math.inf:
-            self.arrival = (self.arrival if self.arrival > now else now) + self.step
+    def consume(self, now: float) -> None:
+        """Count one unit that passes, whether it conforms or not."""
+        if self.interval_s < math.inf:
+            self.theoretical_arrival = (
+                self.theoretical_arrival if self.theoretical_arrival > now else now
+            ) + self.interval_s
 
-    def wait(self, now: float) -> float:
-        """Seconds until one unit conforms."""
+    def wait_s(self, now: float) -> float:
+        """Time until one unit conforms."""
         if self.rate <= 0.0:
             return math.inf
-        return max(0.0, self.arrival - now - self.slack) if self.rate < math.inf else 0.0
-
-    def change(self, now: float, rate: float, burst: float) -> None:
-        """Go on at another rate with as many units of the burst used as before."""
-        used = max(0.0, self.arrival - now) * self.rate if 0.0 < self.rate < math.inf else 0.0
-        self.set(rate, burst)
-        if used and 0.0 < rate < math.inf:
-            self.arrival = now + min(used, self.burst) / rate
+        return max(0.0, self.theoretical_arrival - now - self.tolerance_s) if self.rate < math.inf else 0.0
+
+    def change_rate(self, now: float, rate: float, burst: float) -> None:
+        """Set another rate with as many units of the burst used as before."""
+        used_units = (
+            max(0.0, self.theoretical_arrival - now) * self.rate if 0.0 < self.rate < math.inf else 0.0
+        )
+        self.set_rate(rate, burst)
+        if used_units and 0.0 < rate < math.inf:
+            self.theoretical_arrival = now + min(used_units, self.burst) / rate
--- a/snowwick/broker/retry_queue.py
+++ b/snowwick/broker/retry_queue.py
@@ -1,14 +1,15 @@
-"""When the refused may come back: places in a queue that nobody stands in.
-
-A class that refuses books the next place for the client, at the rate at which it has been letting clients in,
-and tells it when that place comes up.  The queue is one number a class, the time of its next free place.  Who
-was promised a place is kept as a fingerprint in one table of fixed size for the whole program, however many
-clients there are: a promise that another has overwritten is lost, its client asks again like a new one.
-
-Who comes before its time is told the same time again and gains nothing; who comes when it was told goes
-before those who were promised nothing.  (A ring of hashed places with a moving pointer needs no table, but
-its speed has to be learned from clients that return a whole round later, and in simulation a third to a half
-of the times it stated were right; see docs/broker.md.)
+"""Retry times for refused clients: a queue of time slots in which no client has to wait on a connection.
+
+A class that refuses a client books the next slot for it, at the rate at which the class has been admitting
+clients, and sends the slot's time as the retry time.  The queue is one number a class: the time of its next
+free slot.  The clients with a slot are kept as fingerprints in one table for the whole program, of a fixed
+size however many clients there are.  A client whose entry has been overwritten is treated as new when it
+retries.
+
+A client that retries before its slot is sent the same time again and gains nothing.  One that retries at its
+slot goes before clients without one.  (A ring of hashed slots with a moving pointer needs no table, but its
+speed has to be learned from clients that return a whole round later, and in simulation a third to a half of
+the times that it stated were right; see docs/broker.md.)
 """
 
 from __future__ import annotations
@@ -17,87 +18,108 @@
 from array import array
 from zlib import crc32
 
-WAYS = 4  # entries of the table that a fingerprint may be in
-EARLY, LATE = 0.05, 2.0  # s that a client may come before its time, and after it
-RATE_OVER = 8.0  # s over which the rate of those let in is taken
-MISSES, STEP = 0.05, 0.03  # part of the promised that may find no room; how far each lowers the pace
-SLOWEST, FASTEST, FIRST = 0.4, 0.95, 0.7  # bounds of the pace and its start, in parts of the rate let in
-AGAIN = 2.0, 12.0  # places after which one who found no room is to come again, at least and at most
+ENTRIES_PER_ROW = 4  # table entries in which a fingerprint may be stored
+EARLY_TOLERANCE_S = 0.05  # how long before its slot a client may retry
+LATE_TOLERANCE_S = 2.0  # how long after its slot a client may retry
+RATE_WINDOW_S = 8.0  # over which the rate of admissions is averaged
+TARGET_MISS_FRACTION = 0.05  # part of the clients that may find no room at their slot
+PACING_STEP = 0.03  # part by which each such miss lowers the pacing factor
+# Bounds and start of the pacing factor, the part of the admission rate at which slots are booked.
+MIN_PACING_FACTOR = 0.4
+MAX_PACING_FACTOR = 0.95
+INITIAL_PACING_FACTOR = 0.7
+SLOTS_AFTER_MISS = 2.0, 12.0  # least and most slots until the next retry of a client that found no room
 
 
-class Promises:
-    """The table: when each of those who were promised a place may come."""
+class RetryTable:
+    """A set-associative table of the slots of refused clients."""
 
     def __init__(self, size: int = 1 << 15) -> None:
-        self.mask = size // WAYS - 1
-        self.prints = array("L", bytes(array("L").itemsize * size))
-        self.due = array("d", bytes(8 * size))
+        self.row_mask = size // ENTRIES_PER_ROW - 1
+        self.fingerprints = array("L", bytes(array("L").itemsize * size))
+        self.retry_times = array("d", bytes(8 * size))
 
     @staticmethod
     def fingerprint(salt: int, key: str) -> int:
-        """Of a client's key; the salt tells one class of one team from another.  Never 0, which is free."""
+        """The fingerprint of a client's key, never 0, which marks a free entry.
+
+        The salt differs between teams and classes.
+        """
         return crc32(key.encode(), salt) or 1
 
-    def find(self, mark: int, now: float) -> float | None:
-        """When that client was told to come, unless it has let the time pass."""
-        base = (mark & self.mask) * WAYS
-        for at in range(base, base + WAYS):
-            if self.prints[at] == mark:
-                return self.due[at] if now <= self.due[at] + LATE else None
+    def find(self, fingerprint: int, now: float) -> float | None:
+        """The time of a client's slot, or None where it has none or is too late."""
+        row = (fingerprint & self.row_mask) * ENTRIES_PER_ROW
+        for entry in range(row, row + ENTRIES_PER_ROW):
+            if self.fingerprints[entry] == fingerprint:
+                return self.retry_times[entry] if now <= self.retry_times[entry] + LATE_TOLERANCE_S else None
         return None
 
-    def set(self, mark: int, due: float) -> None:
-        """Promise; in a full row the one whose time is nearest, or past, gives way."""
-        base = (mark & self.mask) * WAYS
-        at, soonest = base, math.inf
-        for n in range(base, base + WAYS):
-            if self.prints[n] == mark:
-                at = n
+    def set(self, fingerprint: int, retry_at: float) -> None:
+        """Store a client's slot; in a full row it replaces the earliest slot."""
+        row = (fingerprint & self.row_mask) * ENTRIES_PER_ROW
+        chosen, earliest = row, math.inf
+        for entry in range(row, row + ENTRIES_PER_ROW):
+            if self.fingerprints[entry] == fingerprint:
+                chosen = entry
                 break
-            if self.due[n] < soonest:
-                at, soonest = n, self.due[n]
-        self.prints[at], self.due[at] = mark, due
+            if self.retry_times[entry] < earliest:
+                chosen, earliest = entry, self.retry_times[entry]
+        self.fingerprints[chosen], self.retry_times[chosen] = fingerprint, retry_at
 
-    def drop(self, mark: int) -> None:
-        """The promise is kept."""
-        base = (mark & self.mask) * WAYS
-        for at in range(base, base + WAYS):
-            if self.prints[at] == mark:
-                self.prints[at], self.due[at] = 0, 0.0
+    def remove(self, fingerprint: int) -> None:
+        """Remove a client that has been admitted."""
+        row = (fingerprint & self.row_mask) * ENTRIES_PER_ROW
+        for entry in range(row, row + ENTRIES_PER_ROW):
+            if self.fingerprints[entry] == fingerprint:
+                self.fingerprints[entry], self.retry_times[entry] = 0, 0.0
 
 
-class Queue:
-    """One class's places.  Times are seconds on the caller's clock; ``next`` ahead of it: some wait."""
+class RetryQueue:
+    """The retry slots of one class, in seconds on the caller's clock.
 
-    __slots__ = ("at", "count", "next", "pace")
+    Clients wait for their slots as long as ``next_slot_at`` lies in the future.  ``admission_count`` decays
+    exponentially and is valid at ``last_admission_at``.
+    """
 
-    def __init__(self) -> None:
-        self.next, self.count, self.at, self.pace = -math.inf, 0.0, 0.0, FIRST
-
-    def let_in(self, now: float) -> None:
-        """One more has been let in."""
-        self.count = self.count * math.exp((self.at - now) / RATE_OVER) + 1.0
-        self.at = now
+    __slots__ = ("admission_count", "last_admission_at", "next_slot_at", "pacing_factor")
 
-    def came(self, served: bool) -> None:
-        """One who was promised a place has come, and found room or none.
-
-        The pace falls with each miss and rises a little with each hit, so that in the long run ``MISSES`` of
-        them miss (stochastic approximation, Robbins and Monro 1951): rooms free up at random, and places
-        booked as fast as they do would find none half of the time.
+    def __init__(self) -> None:
+        self.next_slot_at = -math.inf
+        self.admission_count = 0.0
+        self.last_admission_at = 0.0
+        self.pacing_factor = INITIAL_PACING_FACTOR
+
+    def record_admission(self, now: float) -> None:
+        self.admission_count = (
+            self.admission_count * math.exp((self.last_admission_at - now) / RATE_WINDOW_S) + 1.0
+        )
+        self.last_admission_at = now
+
+    def record_retry(self, admitted: bool) -> None:
+        """Record whether a client that retried at its slot was admitted.
+
+        The pacing factor falls with each miss and rises a little with each hit, so that in the long run
+        ``TARGET_MISS_FRACTION`` of the retries miss (stochastic approximation, Robbins and Monro 1951).
+        Connections end at random times: slots booked at the full admission rate would find no room half of
+        the time.
         """
-        step = STEP * MISSES / (1.0 - MISSES) if served else -STEP
-        self.pace = min(FASTEST, max(SLOWEST, self.pace * (1.0 + step)))
-
-    def rate(self, now: float) -> float:
-        """Places a second, by how many have been let in of late."""
-        let_in = self.count * math.exp(min(0.0, self.at - now) / RATE_OVER) / RATE_OVER
-        return let_in * self.pace
-
-    def book(self, now: float, rate: float, longest: float) -> float | None:
-        """The time of the next free place at that rate, or None where it is further off than ``longest``."""
-        place = max(self.next, now) + 1.0 / max(rate, 1.0 / longest)
-        if place - now > longest:
+        step = PACING_STEP * TARGET_MISS_FRACTION / (1.0 - TARGET_MISS_FRACTION) if admitted else -PACING_STEP
+        self.pacing_factor = min(MAX_PACING_FACTOR, max(MIN_PACING_FACTOR, self.pacing_factor * (1.0 + step)))
+
+    def slot_rate(self, now: float) -> float:
+        """Slots a second, from the rate of recent admissions."""
+        admission_rate = (
+            self.admission_count
+            * math.exp(min(0.0, self.last_admission_at - now) / RATE_WINDOW_S)
+            / RATE_WINDOW_S
+        )
+        return admission_rate * self.pacing_factor
+
+    def book_slot(self, now: float, rate: float, max_retry_after_s: float) -> float | None:
+        """Book the next free slot at a rate; None where it is later than ``max_retry_after_s`` from now."""
+        slot_at = max(self.next_slot_at, now) + 1.0 / max(rate, 1.0 / max_retry_after_s)
+        if slot_at - now > max_retry_after_s:
             return None
-        self.next = place
-        return place
+        self.next_slot_at = slot_at
+        return slot_at
--- a/snowwick/rebalance/plan.py
+++ b/snowwick/rebalance/plan.py
@@ -267,8 +267,8 @@
         source.changed[group], target.changed[group] = False, True
         reason = "joins its group" if joins else "crowded"
         for one in members:
-            self.pace.take(now)
-            self.reception[target.place.number].take(now)
+            self.pace.consume(now)
+            self.reception[target.place.number].consume(now)
             self.moved.pop(one.client, None)
             self.moved[one.client] = now
         return [
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -23,12 +23,15 @@
     TeamLimits,
 )
 from snowwick.broker.gcra import Gcra
-from snowwick.broker.retry_queue import WAYS, Promises
+from snowwick.broker.retry_queue import ENTRIES_PER_ROW, RetryTable
 
 FREE = (0.0, 1e6)  # setups a second that are no limit
 QUIET, LOUD = "quiet", "loud"
 TWO = BalancerLimits(
-    300.0, 1e6, {QUIET: TeamLimits((100.0, 200.0), FREE), LOUD: TeamLimits((100.0, 300.0), FREE)}, within=5.0
+    300.0,
+    1e6,
+    {QUIET: TeamLimits((100.0, 200.0), FREE), LOUD: TeamLimits((100.0, 300.0), FREE)},
+    reclaim_within_s=5.0,
 )
 
 
@@ -55,10 +58,10 @@
     for gap in gaps:
         now += gap
         if limit.conforms(now):
-            limit.take(now)
+            limit.consume(now)
             passed.append(now)
         else:
-            assert limit.wait(now) > 0.0 and limit.conforms(now + limit.wait(now) + 1e-6)
+            assert limit.wait_s(now) > 0.0 and limit.conforms(now + limit.wait_s(now) + 1e-6)
     for n, first in enumerate(passed):
         for m in range(n, len(passed)):
             assert m - n + 1 <= rate * (passed[m] - first) + burst + 1e-6
@@ -66,8 +69,8 @@
 
 @pytest.mark.parametrize("jump", [0.0, 600.0, -50.0])
 def test_time_that_stands_still_or_jumps_lets_one_burst_out(jump: float) -> None:
-    book = BalancerLimits(1000.0, 10.0, {QUIET: TeamLimits((0.0, 1000.0), (5.0, 10.0))}, burst=2.0)
-    ledger = AdmissionController(book, longest=1.0)
+    book = BalancerLimits(1000.0, 10.0, {QUIET: TeamLimits((0.0, 1000.0), (5.0, 10.0))}, burst_s=2.0)
+    ledger = AdmissionController(book, max_retry_after_s=1.0)
     first = len(fill(ledger, 100.0, QUIET))
     assert first == 20
     again = len(fill(ledger, 100.0 + jump, QUIET))
@@ -78,7 +81,7 @@
     ledger = AdmissionController(TWO)
     assert len(fill(ledger, 0.0, LOUD)) == 290
     assert len(fill(ledger, 0.0, QUIET)) == 10  # the reserve: the first asks succeed before anything moved
-    assert ledger.connection_budget.total == 300
+    assert ledger.connection_budget.total_in_use == 300
 
 
 @pytest.mark.parametrize("balancers", [1, 2, 3])
@@ -92,9 +95,9 @@
             )
             for name, terms in TWO.teams.items()
         },
-        within=TWO.within,
+        reclaim_within_s=TWO.reclaim_within_s,
     )
-    ledger = AdmissionController(parted, longest=0.6)
+    ledger = AdmissionController(parted, max_retry_after_s=0.6)
     held = fill(ledger, 0.0, LOUD)
     mine, back, now, moved, gone = 0, 0, 0.0, list[Lease](), list[tuple[float, Lease]]()
     while mine < parted.teams[QUIET].connections[0]:
@@ -107,10 +110,10 @@
             ledger.release(gone.pop(0)[1])
             # A client that was moved off borrowed room comes back and must not get it again.
             back += isinstance(ask(ledger, now, LOUD, "returned"), Lease)
-        assert now <= TWO.within + 0.7, (mine, len(moved))
+        assert now <= TWO.reclaim_within_s + 0.7, (mine, len(moved))
     assert moved == list(reversed(held))[: len(moved)]
     assert len(moved) <= parted.teams[QUIET].connections[0] + 1 and back <= 2
-    assert len(moved) <= 200 / balancers / TWO.within * now + 2  # at the bounded rate
+    assert len(moved) <= 200 / balancers / TWO.reclaim_within_s * now + 2  # at the bounded rate
 
 
 def test_an_owner_whose_connections_come_and_go_moves_nobody() -> None:
@@ -135,9 +138,9 @@
             "b": TeamLimits((0.0, 400.0), FREE, weight=3.0),
             "c": TeamLimits((0.0, 30.0), FREE),
         },
-        within=5.0,
+        reclaim_within_s=5.0,
     )
-    ledger = AdmissionController(book, longest=0.6)
+    ledger = AdmissionController(book, max_retry_after_s=0.6)
     fill(ledger, 0.0, "a")
     moves = 0
     for n in range(2500):
@@ -156,7 +159,7 @@
     book = BalancerLimits(
         1e6, 100.0, {QUIET: TeamLimits((0.0, 1e6), (30.0, 60.0)), LOUD: TeamLimits((0.0, 1e6), (30.0, 100.0))}
     )
-    ledger, let_in, now = AdmissionController(book, longest=0.6), Counter[str](), 0.0
+    ledger, let_in, now = AdmissionController(book, max_retry_after_s=0.6), Counter[str](), 0.0
     rng = random.Random(3)
     for n in range(40000):
         now += 0.001
@@ -176,7 +179,7 @@
 
 def test_a_burst_of_all_teams_at_once_passes_the_fleet_s_burst_and_their_own() -> None:
     book = BalancerLimits(1e6, 100.0, {name: TeamLimits((0.0, 1e6), (5.0, 100.0)) for name in "abcdef"})
-    ledger = AdmissionController(book, longest=0.6)
+    ledger = AdmissionController(book, max_retry_after_s=0.6)
     let_in = sum(
         isinstance(ledger.admit(0.0005 * n, n, "abcdef"[n % 6], "c", str(n)), Lease) for n in range(2000)
     )
@@ -192,7 +195,7 @@
             "b": TeamLimits((0.0, 1e6), (0.0, 100.0), weight=3.0),
         },
     )
-    ledger, let_in = AdmissionController(book, longest=0.6), Counter[str]()
+    ledger, let_in = AdmissionController(book, max_retry_after_s=0.6), Counter[str]()
     for n in range(60000):
         team = "b" if n % 6 == 0 else "a"  # a asks five times as often
         let_in[team] += isinstance(ledger.admit(0.002 * n, n, team, "c", f"{n}"), Lease)
@@ -273,18 +276,18 @@
 
 
 def test_the_table_of_promises_is_of_one_size_and_forgets_the_nearest_first() -> None:
-    table = Promises(64)
+    table = RetryTable(64)
     marks = [1 + 16 * n for n in range(8)]  # all of one row
     for n, mark in enumerate(marks):
         table.set(mark, 10.0 + n)
-    assert [table.find(mark, 0.0) for mark in marks[-WAYS + 1 :]] == [15.0, 16.0, 17.0]
-    assert sum(table.find(mark, 0.0) is not None for mark in marks) == WAYS
-    table.drop(marks[-1])
-    assert table.find(marks[-1], 0.0) is None and len(table.prints) == 64
+    assert [table.find(mark, 0.0) for mark in marks[-ENTRIES_PER_ROW + 1 :]] == [15.0, 16.0, 17.0]
+    assert sum(table.find(mark, 0.0) is not None for mark in marks) == ENTRIES_PER_ROW
+    table.remove(marks[-1])
+    assert table.find(marks[-1], 0.0) is None and len(table.fingerprints) == 64
 
 
 def test_contracts_change_under_what_stands() -> None:
-    ledger = AdmissionController(TWO, longest=0.6)
+    ledger = AdmissionController(TWO, max_retry_after_s=0.6)
     held = {name: fill(ledger, 0.0, name, 100) for name in (QUIET, LOUD)}
     small = replace(TWO, teams={QUIET: TeamLimits((10.0, 20.0), FREE)})  # one shrunk, one removed
     ledger.apply(small, 1.0)
@@ -297,8 +300,8 @@
         for lease in ledger.reclaim(now):
             moved += 1
             ledger.release(lease)
-        assert moved <= ledger.pace.rate * (now - 1.0) + ledger.pace.burst + 1
-    assert ledger.connection_budget.total == 20 and set(ledger.teams) == {QUIET} and moved == 180
+        assert moved <= ledger.reclaim_rate.rate * (now - 1.0) + ledger.reclaim_rate.burst + 1
+    assert ledger.connection_budget.total_in_use == 20 and set(ledger.teams) == {QUIET} and moved == 180
     ledger.apply(TWO, now)
     assert len(fill(ledger, now, LOUD)) == 200 - 20 + 100 - 8
     for lease in held[QUIET]:
@@ -307,7 +310,7 @@
 
 
 def test_a_team_that_gets_another_pool_has_its_connections_moved_there() -> None:
-    book = BalancerLimits(100.0, 1e6, {QUIET: TeamLimits((50.0, 50.0), FREE, pool="a")}, within=1.0)
+    book = BalancerLimits(100.0, 1e6, {QUIET: TeamLimits((50.0, 50.0), FREE, pool="a")}, reclaim_within_s=1.0)
     ledger = AdmissionController(book)
     fill(ledger, 0.0, QUIET, 10)
     ledger.apply(replace(book, teams={QUIET: TeamLimits((50.0, 50.0), FREE, pool="b")}), 0.0)
@@ -324,7 +327,7 @@
             LOUD: TeamLimits((10.0, 90.0), FREE, (20.0, 100.0)),
         },
         load=100.0,
-        within=1.0,
+        reclaim_within_s=1.0,
     )
     ledger = AdmissionController(book)
     held = fill(ledger, 0.0, QUIET, 10)
@@ -336,7 +339,7 @@
     assert len(moved) == 4  # 48 of 50 is what six bring
     for lease in moved:
         ledger.release(lease)
-    assert math.isclose(ledger.load_budget.total, 48.0)
+    assert math.isclose(ledger.load_budget.total_in_use, 48.0)
 
 
 class Traffic(RuleBasedStateMachine):
@@ -355,9 +358,9 @@
                 "b": TeamLimits((5.0, 30.0), FREE),
                 "z": TeamLimits((0.0, 30.0), FREE),
             },
-            within=2.0,
+            reclaim_within_s=2.0,
         )
-        self.ledger, self.forced = AdmissionController(self.book, longest=0.6), False
+        self.ledger, self.forced = AdmissionController(self.book, max_retry_after_s=0.6), False
         self.leases: list[Lease] = []
 
     def held(self, team: str) -> int:
@@ -385,8 +388,8 @@
             unused = sum(max(0.0, one.connections[0] - before[name]) for name, one in self.book.teams.items())
             kept = (
                 math.ceil(0.1 * unused)
-                + self.ledger.connection_budget.marked
-                - self.ledger.teams[team].connection_share.marked
+                + self.ledger.connection_budget.reserved
+                - self.ledger.teams[team].connection_share.reserved
             )
             own = before[team] < terms.connections[0]
             promised = 1  # for those who were promised a place, of at least 20 connections
@@ -436,11 +439,11 @@
     def wants_its_guarantee(self, team: str) -> None:
         """Whoever asks for its guarantee again and again has it in the stated time."""
         terms = self.book.teams.get(team)
-        end = self.now + self.book.within + 0.8
+        end = self.now + self.book.reclaim_within_s + 0.8
         while terms is not None and self.held(team) < terms.connections[0] and self.now < end:
             self.ask(team, "c", True)
             self.time_passes(0.03)
-        pending = sum(lease.active and lease not in lease.team.standing for lease in self.leases)
+        pending = sum(lease.active and lease not in lease.team.established for lease in self.leases)
         assert terms is None or self.held(team) >= terms.connections[0] or pending
 
     @invariant()
@@ -454,10 +457,13 @@
                 sum(one.load for one in self.leases if one.active and one.team is team),
                 abs_tol=1e-6,
             )
-        assert self.ledger.connection_budget.total == sum(by_team.values())
+        assert self.ledger.connection_budget.total_in_use == sum(by_team.values())
         assert set(by_team) <= set(self.ledger.teams)
-        unused = sum(team.connection_share.unused for team in self.ledger.teams.values())
-        assert self.ledger.connection_budget.unused == unused and self.ledger.connection_budget.leaving == 0
+        unused = sum(team.connection_share.unused_guarantee for team in self.ledger.teams.values())
+        assert (
+            self.ledger.connection_budget.unused_guarantees == unused
+            and self.ledger.connection_budget.draining == 0
+        )
 
 
 TestTraffic = Traffic.TestCase
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -141,7 +141,7 @@
     assert sum(one.connections for one in books) == 100
     assert sum(one.teams["x"].connections[0] for one in books) == 40
     assert sum(one.teams["x"].connections[1] for one in books) == 80
-    assert abs(sum(one.teams["x"].setups[0] for one in books) - 10.0) < 1e-9
+    assert abs(sum(one.teams["x"].setups_per_s[0] for one in books) - 10.0) < 1e-9
     for book in books:
         assert sum(terms.connections[0] for terms in book.teams.values()) <= book.connections
         assert all(low <= high for low, high in (terms.connections for terms in book.teams.values()))
