--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from benchmarks.figures import Figure, options, report
-from snowwick.fleet.members import DEAD, Change
+from snowwick.fleet.members import DEAD, MemberChange
 from snowwick.fleet.node import Node
 from snowwick.lab.network import KEY, Faults, Network
 from snowwick.lab.rig import Fleet
@@ -57,7 +57,7 @@
         news.member.name
         for one in net.live()
         for _, news in one.news
-        if isinstance(news, Change) and news.member.state >= DEAD
+        if isinstance(news, MemberChange) and news.member.state >= DEAD
     }
     return max(taken) / (4 * math.ceil(math.log2(count))), sent, float(len(deaths))
 
@@ -70,33 +70,33 @@
         for n, name in enumerate("ab", 1)
     )
     for node in (one, other):
-        node.store.most_entries, node.store.most_bytes = 10 * entries, 1 << 30
+        node.store.max_entries, node.store.max_bytes = 10 * entries, 1 << 30
     nodes = {"a": one, "b": other}
 
     def play(enough: float) -> None:
         nonlocal now
-        while not one.same_as(other) and now < enough:
+        while not one.has_same_registers(other) and now < enough:
             for node in nodes.values():
                 node.tick(now)
-            while any(node.out for node in nodes.values()):
+            while any(node.outbox for node in nodes.values()):
                 for node in nodes.values():
-                    for to, datagram in node.take_out():
+                    for to, datagram in node.take_datagrams():
                         nodes[to].receive(datagram, now)
             now += 0.05
 
     for n in range(entries):
         one.write(1, f"key{n:06}", b"value%06d" % n, now)
-    one.store.rumours.clear()
+    one.store.gossip_queue.clear()
     play(600.0)
-    assert one.same_as(other)
+    assert one.has_same_registers(other)
     changed, before = int(entries * part), 0
     for n in range(changed):
         one.write(1, f"key{n:06}", b"other%06d" % n, now)
-    one.store.rumours.clear()
-    bytes_changed = sum(one.store.owners["a"].entries[1, f"key{n:06}"].bytes for n in range(changed))
+    one.store.gossip_queue.clear()
+    bytes_changed = sum(one.store.owners["a"].entries[1, f"key{n:06}"].size_bytes for n in range(changed))
     before = sum(node.counts.bytes_out for node in nodes.values())
     play(now + 600.0)
-    assert one.same_as(other)
+    assert one.has_same_registers(other)
     sent = sum(node.counts.bytes_out for node in nodes.values()) - before
     return sent / (2.0 * bytes_changed + 65536.0)
 
--- a/snowwick/fleet/clock.py
+++ b/snowwick/fleet/clock.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-LOGICAL = 16  # bits of a stamp that count events within a ms
-AHEAD = 30_000  # ms by which a stamp that was heard may lead this machine's clock and still move ours
+LOGICAL_BITS = 16  # bits of a stamp that count events within a ms
+MAX_AHEAD_MS = 30_000  # ms by which a stamp that was heard may lead this machine's clock and still move ours
 
 
 @dataclass(slots=True)
@@ -18,19 +18,19 @@
 
     last: int = 0
 
-    def stamp(self, wall_ms: float) -> int:
+    def next_timestamp(self, wall_ms: float) -> int:
         """A stamp for an event here, after all stamps given and heard before."""
-        self.last = max(self.last + 1, int(wall_ms) << LOGICAL)
+        self.last = max(self.last + 1, int(wall_ms) << LOGICAL_BITS)
         return self.last
 
-    def hear(self, stamp: int, wall_ms: float) -> bool:
+    def observe(self, stamp: int, wall_ms: float) -> bool:
         """Take another's stamp into account; False where it lies too far ahead to be believed."""
-        if stamp >> LOGICAL > wall_ms + AHEAD:
+        if stamp >> LOGICAL_BITS > wall_ms + MAX_AHEAD_MS:
             return False
         self.last = max(self.last, stamp)
         return True
 
 
-def ms_of(stamp: int) -> int:
+def timestamp_ms(stamp: int) -> int:
     """The wall clock's ms of a stamp."""
-    return stamp >> LOGICAL
+    return stamp >> LOGICAL_BITS
--- a/snowwick/fleet/facts.py
+++ b/snowwick/fleet/facts.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from snowwick.fleet.members import Members
+from snowwick.fleet.members import Membership
 from snowwick.fleet.rights import Ask, Grant
-from snowwick.fleet.store import Store, hash_of
+from snowwick.fleet.store import Store, hash_text
 from snowwick.fleet.wire import Entry
 
 HEALTH, LIST, LOAD, RIGHTS, REVISION = 1, 2, 3, 4, 5
@@ -65,18 +65,18 @@
 class View:
     """Reads a node's registers; ``members`` says whose still count."""
 
-    def __init__(self, store: Store, members: Members) -> None:
+    def __init__(self, store: Store, members: Membership) -> None:
         self.store, self.members = store, members
 
     def theirs(self, kind: int, now: float) -> Iterator[tuple[Entry, bytes]]:
         """The others' registers that may be acted on, with their values."""
-        for held in self.store.standing(kind):
+        for held in self.store.live_entries(kind):
             e = held.entry
             if (
                 e.owner != self.store.name
-                and self.members.is_there(e.owner)
+                and self.members.is_member(e.owner)
                 and e.value is not None
-                and self.store.left(held, now) > 0.0
+                and self.store.remaining_s(held, now) > 0.0
             ):
                 yield e, e.value
 
@@ -242,7 +242,7 @@
             served = self.watched[one].served if one in self.watched else -math.inf
             if one not in self.own and len(bad) > len(well) and now - served >= FRESH:
                 # Kept a little longer than the verdict, each balancer by its own time.
-                self.believed[one] = now + SAID * (hash_of(self.name, one) % 1000) / 1000.0
+                self.believed[one] = now + SAID * (hash_text(self.name, one) % 1000) / 1000.0
             elif well or now - served < FRESH:
                 self.believed.pop(one, None)
         self.believed = {one: until for one, until in self.believed.items() if now < until}
--- a/snowwick/fleet/file.py
+++ b/snowwick/fleet/file.py
@@ -12,13 +12,13 @@
 
 from snowwick.checked import Reader
 
-LEAST_KEY = 16  # bytes: a shorter key can be guessed
+MIN_KEY_BYTES = 16  # bytes: a shorter key can be guessed
 
 Address = Annotated[str, msgspec.Meta(pattern=r"^[^:\s]+:\d{1,5}$")]
 Positive = Annotated[float, msgspec.Meta(gt=0.0)]
 
 
-class BadFleet(ValueError):
+class FleetFileError(ValueError):
     """The file cannot be used; ``faults`` holds a line for each fault, its full key path first."""
 
     def __init__(self, faults: list[str]) -> None:
@@ -71,8 +71,8 @@
         reader.fault(path, f"{where} may be read by others than its owner; chmod 600 it")
     elif about.st_uid != os.geteuid():
         reader.fault(path, f"{where} belongs to another user")
-    elif len(data) < LEAST_KEY:
-        reader.fault(path, f"{where} holds {len(data)} bytes; a key has at least {LEAST_KEY}")
+    elif len(data) < MIN_KEY_BYTES:
+        reader.fault(path, f"{where} holds {len(data)} bytes; a key has at least {MIN_KEY_BYTES}")
     else:
         return blake2b(data, digest_size=32, person=b"snowwick-fleet").digest()
     return None
@@ -100,7 +100,7 @@
         if len(keys) == 2 and keys[0] == keys[1]:
             reader.fault("links.old_key_file", "holds the same key as links.key_file")
     if reader.faults or links is None or share is None:
-        raise BadFleet(reader.faults)
+        raise FleetFileError(reader.faults)
     common = repr((links.period_ms, msgspec.structs.astuple(share)))  # addresses are each balancer's own
     return FleetFile(links, share, tuple(keys), blake2b(common.encode(), digest_size=6).hexdigest())
 
@@ -110,5 +110,5 @@
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise BadFleet([f"cannot read {path}: {error}"]) from error
+        raise FleetFileError([f"cannot read {path}: {error}"]) from error
     return parse(text, Path(path).parent)
--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -15,27 +15,29 @@
 from typing import Any
 
 from snowwick.fleet import wire
-from snowwick.fleet.clock import HybridClock, ms_of
-from snowwick.fleet.members import ALIVE, LEFT, STATES, SUSPECT, Members
-from snowwick.fleet.store import TOLD, Store
-from snowwick.fleet.wire import Dropped, Frame
-
-HOLD = 30.0  # s that the registers of a dead member are kept: a cut that heals sooner costs no catching up
-GOSSIP = 2  # members told the news each period, beside the one that is probed
-COMPARE = 1.0  # periods between comparisons with a member drawn by chance
-MOST_RUMOURS = 2048  # entries waiting to be passed on; beyond, those told most go
-PULLS = 8  # owners pulled at once from a member
-RETRY = 1.0  # periods after which a pull without an answer is made again
-ANNOUNCED = 3  # times that a leaving balancer tells each of some members
-ASKED = 1.0  # s that answers to a tool's question stand
-TEXT = 1000  # bytes of a tool's answer in a frame
+from snowwick.fleet.clock import HybridClock, timestamp_ms
+from snowwick.fleet.members import ALIVE, LEFT, STATE_NAMES, SUSPECT, Membership
+from snowwick.fleet.store import RETRANSMIT_FACTOR, Store
+from snowwick.fleet.wire import Frame, FrameDropped
+
+DEAD_REGISTERS_RETENTION_S = (
+    30.0  # s that the registers of a dead member are kept: a cut that heals sooner costs no catching up
+)
+GOSSIP_FANOUT = 2  # members told the news each period, beside the one that is probed
+COMPARISON_PERIODS = 1.0  # periods between comparisons with a member drawn by chance
+MAX_QUEUED_ENTRIES = 2048  # entries waiting to be passed on; beyond, those told most go
+MAX_PULLS = 8  # owners pulled at once from a member
+PULL_RETRY_PERIODS = 1.0  # periods after which a pull without an answer is made again
+LEAVE_FANOUT = 3  # times that a leaving balancer tells each of some members
+STATUS_REPLY_S = 1.0  # s that answers to a tool's question stand
+STATUS_PART_BYTES = 1000  # bytes of a tool's answer in a frame
 
 
 @dataclass(slots=True)
 class CaughtUp:
     """News: this balancer has what the others have, for the first time since it started or was alone."""
 
-    after: float
+    after_s: float
 
 
 @dataclass(slots=True)
@@ -46,16 +48,16 @@
 
 
 @dataclass(slots=True)
-class Pulling:
+class ActivePull:
     """A pull that is out: the owner's entries are asked of one member, piece after piece."""
 
     peer: str
-    until: float
-    whole: set[int] | None  # the numbers that have come, where all of the owner's are asked for
+    retry_at: float
+    received_seqs: set[int] | None  # the numbers that have come, where all of the owner's are asked for
 
 
 @dataclass(slots=True)
-class Counts:
+class TrafficCounts:
     """What passed since the start."""
 
     frames_in: int = 0
@@ -85,33 +87,33 @@
         self.wall_ms, self.period = wall_ms, period
         boot = rng.getrandbits(63) | 1
         epoch = epoch or int(wall_ms())
-        self.members = Members(name, address, epoch, boot, period, rng)
+        self.members = Membership(name, address, epoch, boot, period, rng)
         self.store = Store(name, epoch)
-        self.gate = wire.Gate(name, boot)
+        self.replay_filter = wire.ReplayFilter(name, boot)
         self.clock = HybridClock()
-        self.counts = Counts()
+        self.counts = TrafficCounts()
         self.seq = 0
-        self.out: list[tuple[str, bytes]] = []  # (address, datagram)
-        self.news: list[object] = []  # members.Change, CaughtUp, DuplicateName
-        self.pulling: dict[str, Pulling] = {}
-        self.next_news = self.next_compare = self.next_join = self.next_greeting = 0.0
-        self.began: float | None = None
-        self.caught = False
+        self.outbox: list[tuple[str, bytes]] = []  # (address, datagram)
+        self.events: list[object] = []  # members.Change, CaughtUp, DuplicateName
+        self.pulls: dict[str, ActivePull] = {}
+        self.next_gossip = self.next_comparison = self.next_join = self.next_greeting = 0.0
+        self.started_at: float | None = None
+        self.caught_up = False
         self.leaving = False
-        self.dead: dict[str, float] = {}  # members that are gone, by when their registers go
-        self.status: Callable[[], dict[str, Any]] = dict
-        self.answers: dict[int, tuple[float, list[bytes]]] = {}
+        self.forget_at: dict[str, float] = {}  # members that are gone, by when their registers go
+        self.extra_status: Callable[[], dict[str, Any]] = dict
+        self.status_replies: dict[int, tuple[float, list[bytes]]] = {}
         self.handlers: dict[type, Callable[[Frame, Any, float], None]] = {
             wire.Ping: self._on_ping,
             wire.Ack: self._on_ack,
             wire.PingReq: self._on_ping_req,
             wire.Nack: self._on_nack,
-            wire.Root: self._on_root,
-            wire.Ranges: self._on_ranges,
-            wire.Vector: self._on_vector,
-            wire.Pull: self._on_pull,
-            wire.Piece: self._on_piece,
-            wire.News: lambda *_: None,
+            wire.RootHash: self._on_root_hash,
+            wire.RangeHashes: self._on_range_hashes,
+            wire.VersionVector: self._on_version_vector,
+            wire.PullRequest: self._on_pull_request,
+            wire.PullReply: self._on_pull_reply,
+            wire.Gossip: lambda *_: None,
         }
 
     # -- own registers -----------------------------------------------------------------------------------
@@ -120,75 +122,75 @@
         """Set or (None) remove an own register; ``left`` in s is how long it may be acted on, 0 for
         always.
         """
-        self.store.write(kind, key, value, self.clock.stamp(self.wall_ms()), now, int(1000.0 * left))
+        self.store.write(kind, key, value, self.clock.next_timestamp(self.wall_ms()), now, int(1000.0 * left))
 
     def leave(self, now: float) -> None:
         """Tell some members that this balancer goes; nothing is needed of it after that."""
         self.leaving = True
         self.members.leave()
         alive = [one.name for one in self.members.alive()]
-        for name in self.random.sample(alive, min(ANNOUNCED, len(alive))):
-            self._send(name, wire.News(), now)
+        for name in self.random.sample(alive, min(LEAVE_FANOUT, len(alive))):
+            self._send_to_member(name, wire.Gossip(), now)
 
     # -- time --------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
         """Do what is due."""
-        if self.began is None:
-            self.began = self.next_news = self.next_compare = self.next_join = now
+        if self.started_at is None:
+            self.started_at = self.next_gossip = self.next_comparison = self.next_join = now
         if self.leaving:
             return
         for what, name, number in self.members.tick(now):
-            probe = self.members.probing
+            probe = self.members.active_probe
             if what == "ask" and probe is not None:
-                self._send(name, wire.PingReq(number, probe.name), now)
+                self._send_to_member(name, wire.PingReq(number, probe.name), now)
             else:
                 self._ping(name, number, now)
-        for number, (asker, theirs, until) in list(self.members.relayed.items()):
+        for number, (asker, theirs, until) in list(self.members.relayed_probes.items()):
             if now >= until:
-                del self.members.relayed[number]
-                self._send(asker, wire.Nack(theirs), now)
-        if now >= self.next_news:
-            self.next_news = max(now, self.next_news + self.period)
-            self._tell(now)
-            self.store.sweep(now)
+                del self.members.relayed_probes[number]
+                self._send_to_member(asker, wire.Nack(theirs), now)
+        if now >= self.next_gossip:
+            self.next_gossip = max(now, self.next_gossip + self.period)
+            self._gossip(now)
+            self.store.expire_tombstones(now)
         if now >= self.next_join:
             self._join(now)
-        if now >= self.next_compare:
-            self.next_compare = max(now, self.next_compare + COMPARE * self.period)
-            self._compare(now)
-        for name, when in list(self.dead.items()):
+        if now >= self.next_comparison:
+            self.next_comparison = max(now, self.next_comparison + COMPARISON_PERIODS * self.period)
+            self._start_comparison(now)
+        for name, when in list(self.forget_at.items()):
             if now >= when:
-                del self.dead[name]
-                self.store.forget(name)
-        self._changes(now)
+                del self.forget_at[name]
+                self.store.forget_owner(name)
+        self._apply_member_changes(now)
 
-    def due(self) -> float:
+    def next_due(self) -> float:
         """When ``tick`` has something to do next."""
-        return min(self.members.due(), self.next_news, self.next_compare)
+        return min(self.members.next_due(), self.next_gossip, self.next_comparison)
 
     def _join(self, now: float) -> None:
         """Call the seeds that are not known, more rarely once there are others."""
         self.next_join = now + self.period * (1.0 if not self.members.alive() else 4.0)
-        known = {one.address for one in self.members.records.values()} | {self.members.me.address}
+        known = {one.address for one in self.members.records.values()} | {self.members.local.address}
         for address in self.seeds:
             if address not in known:
-                self._post(address, "", 0, wire.Ping(0), now)
+                self._send_frame(address, "", 0, wire.Ping(0), now)
 
-    def _tell(self, now: float) -> None:
-        if not self.members.rumours and not self.store.rumours:
+    def _gossip(self, now: float) -> None:
+        if not self.members.gossip_queue and not self.store.gossip_queue:
             return
-        self.counts.shed += self.store.shed(MOST_RUMOURS)
+        self.counts.shed += self.store.shed_gossip(MAX_QUEUED_ENTRIES)
         alive = [one.name for one in self.members.alive()]
-        for name in self.random.sample(alive, min(GOSSIP, len(alive))):
-            self._send(name, wire.News(), now)
+        for name in self.random.sample(alive, min(GOSSIP_FANOUT, len(alive))):
+            self._send_to_member(name, wire.Gossip(), now)
 
-    def _compare(self, now: float) -> None:
-        for owner in [owner for owner, one in self.pulling.items() if now >= one.until]:
-            del self.pulling[owner]
+    def _start_comparison(self, now: float) -> None:
+        for owner in [owner for owner, one in self.pulls.items() if now >= one.retry_at]:
+            del self.pulls[owner]
         alive = [one.name for one in self.members.alive()]
         if alive:
-            self._send(self.random.choice(alive), wire.Root(self.store.root()), now)
+            self._send_to_member(self.random.choice(alive), wire.RootHash(self.store.root_hash()), now)
 
     # -- sending -----------------------------------------------------------------------------------------
 
@@ -196,16 +198,16 @@
         one = self.members.records.get(name)
         if one is not None and one.state > SUSPECT:
             # A greeting: it may have started anew, and then knows nobody who could tell it of us.
-            self._post(one.address, name, 0, wire.Ping(number), now)
+            self._send_frame(one.address, name, 0, wire.Ping(number), now)
         elif one is not None:
-            self._send(name, wire.Ping(number, one.state == SUSPECT), now)
+            self._send_to_member(name, wire.Ping(number, one.state == SUSPECT), now)
 
-    def _send(self, name: str, body: wire.Body, now: float) -> None:
+    def _send_to_member(self, name: str, body: wire.Body, now: float) -> None:
         one = self.members.records.get(name)
         if one is not None:
-            self._post(one.address, name, one.boot, body, now)
+            self._send_frame(one.address, name, one.boot, body, now)
 
-    def _post(
+    def _send_frame(
         self,
         address: str,
         name: str,
@@ -214,37 +216,39 @@
         now: float,
         members: Sequence[wire.Member] = (),
     ) -> None:
-        me, self.seq = self.members.me, self.seq + 1
+        me, self.seq = self.members.local, self.seq + 1
         frame = Frame(self.name, me.address, me.incarnation, me.boot, self.seq, name, boot, body, [*members])
-        room = wire.MOST - 1 - wire.DIGEST - wire.size(frame) - 6
+        room = wire.MAX_FRAME_BYTES - 1 - wire.DIGEST_BYTES - wire.encoded_size(frame) - 6
         if boot and not members:
             room = self._add_members(frame, room, name)
-            if not isinstance(body, wire.Piece):
+            if not isinstance(body, wire.PullReply):
                 self._add_entries(frame, room, now)
         datagram = wire.seal(frame, self.keys[0])
         self.counts.frames_out += 1
         self.counts.bytes_out += len(datagram)
-        self.out.append((address, datagram))
+        self.outbox.append((address, datagram))
 
     def _add_members(self, frame: Frame, room: int, to: str) -> int:
-        rumours = list(self.members.gossip())
+        rumours = list(self.members.members_to_gossip())
         if self.members.records[to].state != ALIVE:  # it has to know, or it cannot refute it
             rumours.insert(0, self.members.records[to].member())
         for member in rumours:
-            room -= wire.size(member)
+            room -= wire.encoded_size(member)
             if room < 0:
                 break
             frame.members.append(member)
-            self.members.told(member.name)
+            self.members.count_transmission(member.name)
         return room
 
     def _add_entries(self, frame: Frame, room: int, now: float) -> None:
-        for entry in self.store.gossip(math.ceil(TOLD * self.members.scale()), now):
-            room -= wire.size(entry)
+        for entry in self.store.entries_to_gossip(
+            math.ceil(RETRANSMIT_FACTOR * self.members.log2_size()), now
+        ):
+            room -= wire.encoded_size(entry)
             if room < 0:
                 break
             frame.entries.append(entry)
-            self.store.told(entry)
+            self.store.count_transmission(entry)
 
     # -- hearing -----------------------------------------------------------------------------------------
 
@@ -255,241 +259,259 @@
         try:
             frame = wire.unseal(datagram, self.keys)
             if frame.sender == self.name:
-                self._on_own_name(frame, now)
-                raise Dropped("own-name")
-            self.gate.check(frame)
-        except Dropped as dropped:
+                self._on_duplicate_name(frame, now)
+                raise FrameDropped("own-name")
+            self.replay_filter.check(frame)
+        except FrameDropped as dropped:
             self.counts.dropped[dropped.reason] += 1
             if dropped.reason == "replayed":
-                self._tell_number(frame, now)
-                self._greet(frame, now)
+                self._send_known_incarnation(frame, now)
+                self._greet_stale_sender(frame, now)
             return
-        if isinstance(frame.body, wire.Ask):
-            self._on_ask(frame.body, now, source)
+        if isinstance(frame.body, wire.StatusRequest):
+            self._on_status_request(frame.body, now, source)
             return
-        self.members.met(frame.sender, frame.address, frame.incarnation, frame.boot, now)
+        self.members.record_contact(frame.sender, frame.address, frame.incarnation, frame.boot, now)
         if self.members.boot_of(frame.sender) != frame.boot:  # an earlier start goes over it by its number
-            self._tell_number(frame, now)
+            self._send_known_incarnation(frame, now)
             return
         for member in frame.members:
             if (
                 member.name == self.name
-                and member.boot != self.members.me.boot
+                and member.boot != self.members.local.boot
                 and member.state <= SUSPECT
-                and member.address != self.members.me.address
+                and member.address != self.members.local.address
             ):
-                self._post(member.address, self.name, 0, wire.Ping(0), now)  # an earlier start, or a twin?
-            self.members.hear(member, frame.sender, now)
+                self._send_frame(
+                    member.address, self.name, 0, wire.Ping(0), now
+                )  # an earlier start, or a twin?
+            self.members.receive_update(member, frame.sender, now)
         for entry in frame.entries:
-            self._take(entry, now)
+            self._merge_entry(entry, now)
         handler = self.handlers.get(type(frame.body))
         if handler is not None:
             handler(frame, frame.body, now)
-        self._changes(now)
+        self._apply_member_changes(now)
 
-    def _tell_number(self, frame: Frame, now: float) -> None:
+    def _send_known_incarnation(self, frame: Frame, now: float) -> None:
         """Tell a start whose number is not above an earlier one's, by a clock gone back, that number.
 
         Nothing that it says counts until it has counted on from there; a replayed greeting costs one answer.
         """
         known = self.members.records.get(frame.sender)
         if isinstance(frame.body, wire.Ping) and known is not None and known.boot != frame.boot:
-            self._post(frame.address, frame.sender, frame.boot, wire.News(), now, [known.member()])
+            self._send_frame(frame.address, frame.sender, frame.boot, wire.Gossip(), now, [known.member()])
 
-    def _greet(self, frame: Frame, now: float) -> None:
+    def _greet_stale_sender(self, frame: Frame, now: float) -> None:
         """Who writes to an earlier start of this balancer has not heard of this one, though others may have.
 
         At most one greeting a period.
         """
         if (
-            frame.to == self.name
-            and frame.to_boot
-            and frame.to_boot != self.members.me.boot
+            frame.receiver == self.name
+            and frame.receiver_boot
+            and frame.receiver_boot != self.members.local.boot
             and now >= self.next_greeting
         ):
             self.next_greeting = now + self.period
-            self._post(frame.address, frame.sender, 0, wire.Ping(0), now)
+            self._send_frame(frame.address, frame.sender, 0, wire.Ping(0), now)
 
-    def _on_own_name(self, frame: Frame, now: float) -> None:
+    def _on_duplicate_name(self, frame: Frame, now: float) -> None:
         """A process with this balancer's name is there.  The younger of the two leaves.
 
         Which is younger shows by the epochs that both draw at their start; the same epoch goes by the boot.
         """
-        me = self.members.me
+        me = self.members.local
         if frame.boot == me.boot or frame.address == me.address:
             return
         if isinstance(frame.body, wire.Ping):
             # Answered, so that the other finds out as well; its own rule keeps it from answering without end.
-            self._post(frame.address, self.name, 0, wire.Ack(self.store.owners[self.name].epoch), now)
+            self._send_frame(frame.address, self.name, 0, wire.Ack(self.store.owners[self.name].epoch), now)
         elif isinstance(frame.body, wire.Ack):
             mine = self.store.owners[self.name].epoch
             if (frame.body.number, frame.boot) < (mine, me.boot) and not self.leaving:
                 self.leaving = True
-                self.news.append(DuplicateName(frame.address))
+                self.events.append(DuplicateName(frame.address))
 
-    def _take(self, entry: wire.Entry, now: float) -> None:
+    def _merge_entry(self, entry: wire.Entry, now: float) -> None:
         if entry.owner == self.name:
             if entry.epoch > self.store.owners[self.name].epoch:
                 # Of a later start by its number: this machine's clock has gone back.  Count on from there.
-                self.store.restart(entry.epoch + 1, now)
-        elif self.members.is_there(entry.owner):  # nothing of who is gone comes back by way of a third
-            self.clock.hear(entry.stamp, self.wall_ms())
-            self.store.take(entry, now)
+                self.store.adopt_epoch(entry.epoch + 1, now)
+        elif self.members.is_member(entry.owner):  # nothing of who is gone comes back by way of a third
+            self.clock.observe(entry.timestamp, self.wall_ms())
+            self.store.merge_entry(entry, now)
 
-    def _changes(self, now: float) -> None:
+    def _apply_member_changes(self, now: float) -> None:
         for change in self.members.changes:
-            self.news.append(change)
+            self.events.append(change)
             name = change.member.name
             if change.member.state == LEFT:
-                self.store.forget(name)
+                self.store.forget_owner(name)
             elif change.member.state > SUSPECT:
-                self.dead[name] = now + HOLD
+                self.forget_at[name] = now + DEAD_REGISTERS_RETENTION_S
             else:
-                self.dead.pop(name, None)
+                self.forget_at.pop(name, None)
         self.members.changes.clear()
 
     def _on_ping(self, frame: Frame, body: wire.Ping, now: float) -> None:
-        self._send(frame.sender, wire.Ack(body.number), now)
+        self._send_to_member(frame.sender, wire.Ack(body.number), now)
 
     def _on_ack(self, frame: Frame, body: wire.Ack, now: float) -> None:
-        relayed = self.members.relayed.pop(body.number, None) if body.number else None
+        relayed = self.members.relayed_probes.pop(body.number, None) if body.number else None
         if relayed is not None:
-            self._send(relayed[0], wire.Ack(relayed[1]), now)
-        probe = self.members.probing
-        if probe is not None and body.number == probe.number and frame.sender in (probe.name, *probe.asked):
-            self.members.answered(body.number)
+            self._send_to_member(relayed[0], wire.Ack(relayed[1]), now)
+        probe = self.members.active_probe
+        if (
+            probe is not None
+            and body.number == probe.number
+            and frame.sender in (probe.name, *probe.pending_helpers)
+        ):
+            self.members.probe_acked(body.number)
 
     def _on_ping_req(self, frame: Frame, body: wire.PingReq, now: float) -> None:
-        self.members.number += 1
-        self.members.relayed[self.members.number] = frame.sender, body.number, now + 0.5 * self.period
-        self._ping(body.name, self.members.number, now)
+        self.members.last_probe_number += 1
+        self.members.relayed_probes[self.members.last_probe_number] = (
+            frame.sender,
+            body.number,
+            now + 0.5 * self.period,
+        )
+        self._ping(body.name, self.members.last_probe_number, now)
 
     def _on_nack(self, frame: Frame, body: wire.Nack, now: float) -> None:
-        self.members.refused(body.number, frame.sender)
+        self.members.probe_nacked(body.number, frame.sender)
 
     # -- comparing ---------------------------------------------------------------------------------------
 
-    def _on_root(self, frame: Frame, body: wire.Root, now: float) -> None:
-        if body.hash == self.store.root():
-            self._has_caught(now)
+    def _on_root_hash(self, frame: Frame, body: wire.RootHash, now: float) -> None:
+        if body.hash == self.store.root_hash():
+            self._mark_caught_up(now)
             return
-        count = self.store.how_many()
+        count = self.store.range_count()
         if count > 1:
-            self._send(frame.sender, wire.Ranges(self.store.ranges(count)), now)
+            self._send_to_member(frame.sender, wire.RangeHashes(self.store.range_hashes(count)), now)
         else:
-            self._vector(frame.sender, self.store.rows(), True, now, 1, [0])
+            self._send_vector(frame.sender, self.store.summaries(), True, now, 1, [0])
 
-    def _on_ranges(self, frame: Frame, body: wire.Ranges, now: float) -> None:
+    def _on_range_hashes(self, frame: Frame, body: wire.RangeHashes, now: float) -> None:
         count = len(body.hashes)
         if not 1 <= count <= 1 << 16:
             return
-        mine = self.store.ranges(count)
+        mine = self.store.range_hashes(count)
         differing = [at for at in range(count) if mine[at] != body.hashes[at]]
         self.random.shuffle(differing)  # where not all rows fit, others come another time
-        ranges = differing[:PULLS]
-        self._vector(frame.sender, self.store.rows(set(ranges), count), True, now, count, ranges)
+        ranges = differing[:MAX_PULLS]
+        self._send_vector(frame.sender, self.store.summaries(set(ranges), count), True, now, count, ranges)
 
-    def _vector(
+    def _send_vector(
         self,
         to: str,
-        rows: list[wire.Row],
+        rows: list[wire.OwnerSummary],
         answer: bool,
         now: float,
         count: int = 1,
         ranges: Sequence[int] = (),
     ) -> None:
-        room, some = wire.MOST - 300, list[wire.Row]()
+        room, some = wire.MAX_FRAME_BYTES - 300, list[wire.OwnerSummary]()
         self.random.shuffle(rows)
         for row in rows:
-            room -= wire.size(row)
+            room -= wire.encoded_size(row)
             if room < 0:
                 break
             some.append(row)
-        self._send(to, wire.Vector(some, answer, count, [*ranges] if len(some) == len(rows) else []), now)
+        self._send_to_member(
+            to, wire.VersionVector(some, answer, count, [*ranges] if len(some) == len(rows) else []), now
+        )
 
-    def _on_vector(self, frame: Frame, body: wire.Vector, now: float) -> None:
-        if body.answer:
-            named = {row.owner for row in body.rows}
-            mine = [owner.row(name) for name, owner in self.store.owners.items() if name in named]
+    def _on_version_vector(self, frame: Frame, body: wire.VersionVector, now: float) -> None:
+        if body.wants_reply:
+            named = {row.owner for row in body.summaries}
+            mine = [owner.summary(name) for name, owner in self.store.owners.items() if name in named]
             # Who stands here and was not named may be unknown there: news that was lost is told again.
             for name, owner in self.store.owners.items():
-                if name not in named and owner.id % max(1, body.count) in body.ranges:
-                    mine.append(owner.row(name))
+                if name not in named and owner.id % max(1, body.range_count) in body.ranges:
+                    mine.append(owner.summary(name))
                     if name in self.members.records:
-                        self.members.rumours[name] = 0
-            self._vector(frame.sender, mine, False, now)
-        for row in body.rows:
+                        self.members.gossip_queue[name] = 0
+            self._send_vector(frame.sender, mine, False, now)
+        for row in body.summaries:
             if row.owner == self.name and row.epoch > self.store.owners[self.name].epoch:
-                self.store.restart(row.epoch + 1, now)
-            if self.members.is_there(row.owner):
-                self._pull(frame.sender, row, now)
+                self.store.adopt_epoch(row.epoch + 1, now)
+            if self.members.is_member(row.owner):
+                self._start_pull(frame.sender, row, now)
 
-    def _pull(self, peer: str, row: wire.Row, now: float) -> None:
-        if row.owner in self.pulling or len(self.pulling) >= PULLS:
+    def _start_pull(self, peer: str, row: wire.OwnerSummary, now: float) -> None:
+        if row.owner in self.pulls or len(self.pulls) >= MAX_PULLS:
             return
-        wanted = self.store.behind(row)
+        wanted = self.store.pull_start(row)
         if wanted is not None:
             after, whole = wanted
-            self.pulling[row.owner] = Pulling(peer, now + RETRY * self.period, set() if whole else None)
-            self._send(peer, wire.Pull(row.owner, row.epoch, after, whole), now)
+            self.pulls[row.owner] = ActivePull(
+                peer, now + PULL_RETRY_PERIODS * self.period, set() if whole else None
+            )
+            self._send_to_member(peer, wire.PullRequest(row.owner, row.epoch, after, whole), now)
 
-    def _on_pull(self, frame: Frame, body: wire.Pull, now: float) -> None:
-        room = wire.MOST - 260 - len(self.name) - 2 * len(body.owner)
-        found = self.store.piece(body.owner, body.epoch, body.after, room, now)
+    def _on_pull_request(self, frame: Frame, body: wire.PullRequest, now: float) -> None:
+        room = wire.MAX_FRAME_BYTES - 260 - len(self.name) - 2 * len(body.owner)
+        found = self.store.entries_after(body.owner, body.epoch, body.after, room, now)
         if found is not None:
             row, upto, more, entries = found
             after = body.after if row.epoch == body.epoch else 0
-            self._send(frame.sender, wire.Piece(row, after, upto, more, body.whole, entries), now)
+            self._send_to_member(
+                frame.sender, wire.PullReply(row, after, upto, more, body.full, entries), now
+            )
 
-    def _on_piece(self, frame: Frame, body: wire.Piece, now: float) -> None:
-        name, row = body.row.owner, body.row
-        pulling = self.pulling.get(name)
+    def _on_pull_reply(self, frame: Frame, body: wire.PullReply, now: float) -> None:
+        name, row = body.summary.owner, body.summary
+        pulling = self.pulls.get(name)
         if (
             name == self.name
-            or not self.members.is_there(name)
+            or not self.members.is_member(name)
             or pulling is None
             or pulling.peer != frame.sender
         ):
             return
         for entry in body.entries:
-            self.clock.hear(entry.stamp, self.wall_ms())
-        self.store.merge(
-            row, body.after, body.upto, [entry for entry in body.entries if entry.owner == name], now
+            self.clock.observe(entry.timestamp, self.wall_ms())
+        self.store.merge_batch(
+            row, body.after, body.up_to, [entry for entry in body.entries if entry.owner == name], now
         )
-        if pulling.whole is not None:
-            pulling.whole.update(entry.seq for entry in body.entries)
+        if pulling.received_seqs is not None:
+            pulling.received_seqs.update(entry.seq for entry in body.entries)
         if body.more:
-            pulling.until = now + RETRY * self.period
-            self._send(frame.sender, wire.Pull(name, row.epoch, body.upto, body.whole), now)
+            pulling.retry_at = now + PULL_RETRY_PERIODS * self.period
+            self._send_to_member(frame.sender, wire.PullRequest(name, row.epoch, body.up_to, body.full), now)
             return
-        if pulling.whole is not None and body.whole:
-            self.store.keep_only(name, pulling.whole)
-        del self.pulling[name]
-        wanted = self.store.behind(row)
-        if wanted is not None and pulling.whole is None and wanted[1]:
-            self._pull(frame.sender, row, now)
-
-    def _has_caught(self, now: float) -> None:
-        if not self.caught and self.began is not None:
-            self.caught = True
-            self.news.append(CaughtUp(now - self.began))
+        if pulling.received_seqs is not None and body.full:
+            self.store.keep_only(name, pulling.received_seqs)
+        del self.pulls[name]
+        wanted = self.store.pull_start(row)
+        if wanted is not None and pulling.received_seqs is None and wanted[1]:
+            self._start_pull(frame.sender, row, now)
+
+    def _mark_caught_up(self, now: float) -> None:
+        if not self.caught_up and self.started_at is not None:
+            self.caught_up = True
+            self.events.append(CaughtUp(now - self.started_at))
 
     # -- a tool's question -------------------------------------------------------------------------------
 
-    def _on_ask(self, body: wire.Ask, now: float, source: str) -> None:
+    def _on_status_request(self, body: wire.StatusRequest, now: float, source: str) -> None:
         """Answered to where it came from, in parts, so that no answer is larger than a frame."""
-        self.answers = {n: row for n, row in self.answers.items() if now < row[0]}
-        if body.number not in self.answers:
-            text = json.dumps({**self.describe(now), **self.status()}).encode()
-            parts = [text[at : at + TEXT] for at in range(0, len(text), TEXT)]
-            self.answers[body.number] = now + ASKED, parts
-        parts = self.answers[body.number][1]
+        self.status_replies = {n: row for n, row in self.status_replies.items() if now < row[0]}
+        if body.number not in self.status_replies:
+            text = json.dumps({**self.describe(now), **self.extra_status()}).encode()
+            parts = [text[at : at + STATUS_PART_BYTES] for at in range(0, len(text), STATUS_PART_BYTES)]
+            self.status_replies[body.number] = now + STATUS_REPLY_S, parts
+        parts = self.status_replies[body.number][1]
         if source and 0 <= body.part < len(parts):
-            self._post(source, "", 0, wire.Told(body.number, body.part, len(parts), parts[body.part]), now)
+            self._send_frame(
+                source, "", 0, wire.StatusReply(body.number, body.part, len(parts), parts[body.part]), now
+            )
 
     def describe(self, now: float) -> dict[str, Any]:
         """How things stand, for ``snowwick fleet status``."""
-        me = self.members.me
+        me = self.members.local
         rows = [
             {
                 "name": me.name,
@@ -505,9 +527,9 @@
                 {
                     "name": one.name,
                     "address": one.address,
-                    "state": STATES[one.state],
+                    "state": STATE_NAMES[one.state],
                     "incarnation": one.incarnation,
-                    "for_s": round(now - one.since, 1),
+                    "for_s": round(now - one.state_since, 1),
                     "entries": len(owner.entries) if owner is not None else 0,
                 }
             )
@@ -517,11 +539,11 @@
         for owner in self.store.owners.values():
             for (kind, _), held in owner.entries.items():
                 kinds[kind] += 1
-                ages[kind] = max(ages.get(kind, 0.0), (wall - ms_of(held.entry.stamp)) / 1000.0)
+                ages[kind] = max(ages.get(kind, 0.0), (wall - timestamp_ms(held.entry.timestamp)) / 1000.0)
         return {
             "name": self.name,
             "members": rows,
-            "caught_up": self.caught,
+            "caught_up": self.caught_up,
             "alone": not self.members.alive(),
             "kinds": {
                 str(kind): {"entries": count, "oldest_s": round(ages[kind], 1)}
@@ -534,16 +556,16 @@
             "dropped": dict(self.counts.dropped),
         }
 
-    def take_out(self) -> list[tuple[str, bytes]]:
+    def take_datagrams(self) -> list[tuple[str, bytes]]:
         """What is to be sent, once."""
-        out, self.out = self.out, []
+        out, self.outbox = self.outbox, []
         return out
 
-    def take_news(self) -> Iterator[object]:
+    def take_events(self) -> Iterator[object]:
         """What happened, once."""
-        news, self.news = self.news, []
+        news, self.events = self.events, []
         yield from news
 
-    def same_as(self, other: Node) -> bool:
+    def has_same_registers(self, other: Node) -> bool:
         """Do both hold the same?  For tests and simulations."""
-        return self.store.root() == other.store.root()
+        return self.store.root_hash() == other.store.root_hash()
--- a/snowwick/fleet/wire.py
+++ b/snowwick/fleet/wire.py
@@ -15,11 +15,13 @@
 import msgspec
 
 VERSION = 1
-DIGEST = 16
-MOST = 1400  # bytes of a frame: an Ethernet's worth, so that the loss of one part never costs several
-WINDOW = 256  # frames that may overtake each other (RFC 4303, 3.4.3)
+DIGEST_BYTES = 16
+MAX_FRAME_BYTES = (
+    1400  # bytes of a frame: an Ethernet's worth, so that the loss of one part never costs several
+)
+REPLAY_WINDOW_FRAMES = 256  # frames that may overtake each other (RFC 4303, 3.4.3)
 # Remembered for replays: far above any fleet, so that names made up by a keyholder are bounded
-SENDERS = 4096
+MAX_SENDERS = 4096
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
@@ -45,8 +47,8 @@
     kind: int
     key: str
     value: bytes | None
-    stamp: int
-    left: int = 0
+    timestamp: int
+    remaining_ms: int = 0
 
 
 class Ping(msgspec.Struct, array_like=True, tag=1):
@@ -55,7 +57,7 @@
     """
 
     number: int
-    accused: bool = False
+    suspected: bool = False
 
 
 class Ack(msgspec.Struct, array_like=True, tag=2):
@@ -77,82 +79,95 @@
     number: int
 
 
-class Root(msgspec.Struct, array_like=True, tag=5):
+class RootHash(msgspec.Struct, array_like=True, tag=5):
     """The hash over all that the sender holds."""
 
     hash: int
 
 
-class Ranges(msgspec.Struct, array_like=True, tag=6):
+class RangeHashes(msgspec.Struct, array_like=True, tag=6):
     """The hashes of the ranges into which the owners fall."""
 
     hashes: list[int]
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
+class OwnerSummary(msgspec.Struct, array_like=True, frozen=True):
     """What the sender holds of an owner: all up to ``complete``, and the hash of what stands."""
 
     owner: str
     epoch: int
-    complete: int
+    complete_seq: int
     hash: int
 
 
-class Vector(msgspec.Struct, array_like=True, tag=7):
+class VersionVector(msgspec.Struct, array_like=True, tag=7):
     """A version vector's rows; ``answer`` asks for the receiver's rows of the same owners.
 
     The rows are all that the sender has in those of ``count`` ranges; none are named where not all had room.
     """
 
-    rows: list[Row]
-    answer: bool = False
-    count: int = 1
+    summaries: list[OwnerSummary]
+    wants_reply: bool = False
+    range_count: int = 1
     ranges: list[int] = []
 
 
-class Pull(msgspec.Struct, array_like=True, tag=8):
+class PullRequest(msgspec.Struct, array_like=True, tag=8):
     """Send me that owner's entries after ``after``; ``whole`` says that what does not come is to go."""
 
     owner: str
     epoch: int
     after: int
-    whole: bool = False
+    full: bool = False
 
 
-class Piece(msgspec.Struct, array_like=True, tag=9):
+class PullReply(msgspec.Struct, array_like=True, tag=9):
     """Entries of one owner in the order of ``seq``, all that stand in (after, upto]."""
 
-    row: Row
+    summary: OwnerSummary
     after: int
-    upto: int
+    up_to: int
     more: bool
-    whole: bool
+    full: bool
     entries: list[Entry]
 
 
-class News(msgspec.Struct, array_like=True, tag=10):
+class Gossip(msgspec.Struct, array_like=True, tag=10):
     """Nothing but what every frame carries beside its body."""
 
 
-class Ask(msgspec.Struct, array_like=True, tag=11):
+class StatusRequest(msgspec.Struct, array_like=True, tag=11):
     """An operator's tool asks how things stand; ``number`` comes back with each part of the answer."""
 
     number: int
     part: int
 
 
-class Told(msgspec.Struct, array_like=True, tag=12):
+class StatusReply(msgspec.Struct, array_like=True, tag=12):
     """One part of the answer to ``Ask``: JSON, in ``parts`` parts."""
 
     number: int
     part: int
-    parts: int
+    part_count: int
     text: bytes
 
 
-Body = Ping | Ack | PingReq | Nack | Root | Ranges | Vector | Pull | Piece | News | Ask | Told
+Body = (
+    Ping
+    | Ack
+    | PingReq
+    | Nack
+    | RootHash
+    | RangeHashes
+    | VersionVector
+    | PullRequest
+    | PullReply
+    | Gossip
+    | StatusRequest
+    | StatusReply
+)
 # May come from who does not know the receiver's boot yet; nothing they carry counts then
-OPEN = (Ping, Ack, Ask)
+BODIES_WITHOUT_BOOT = (Ping, Ack, StatusRequest)
 
 
 class Frame(msgspec.Struct, array_like=True):
@@ -163,8 +178,8 @@
     incarnation: int
     boot: int
     seq: int
-    to: str
-    to_boot: int
+    receiver: str
+    receiver_boot: int
     body: Body
     members: list[Member] = []
     entries: list[Entry] = []
@@ -174,7 +189,7 @@
 DECODER = msgspec.msgpack.Decoder(Frame)
 
 
-class Dropped(Exception):
+class FrameDropped(Exception):
     """The frame does not count; ``reason`` is its code."""
 
     def __init__(self, reason: str) -> None:
@@ -182,60 +197,62 @@
         self.reason = reason
 
 
-def size(message: msgspec.Struct) -> int:
+def encoded_size(message: msgspec.Struct) -> int:
     """Bytes that a part takes in a frame."""
     return len(ENCODER.encode(message))
 
 
-def digest(key: bytes, data: bytes) -> bytes:
-    return blake2b(data, digest_size=DIGEST, key=key).digest()
+def keyed_digest(key: bytes, data: bytes) -> bytes:
+    return blake2b(data, digest_size=DIGEST_BYTES, key=key).digest()
 
 
 def seal(frame: Frame, key: bytes) -> bytes:
     """The datagram of a frame."""
     data = bytes([VERSION]) + ENCODER.encode(frame)
-    return data[:1] + digest(key, data) + data[1:]
+    return data[:1] + keyed_digest(key, data) + data[1:]
 
 
 def unseal(datagram: bytes, keys: Sequence[bytes]) -> Frame:
     """The frame of a datagram under any of the keys; raises Dropped."""
-    if len(datagram) > MOST:
-        raise Dropped("too-long")
-    if len(datagram) <= 1 + DIGEST or datagram[0] != VERSION:
-        raise Dropped("version" if datagram[:1] != bytes([VERSION]) else "malformed")
-    said, data = datagram[1 : 1 + DIGEST], datagram[:1] + datagram[1 + DIGEST :]
-    if not any(hmac.compare_digest(said, digest(key, data)) for key in keys):
-        raise Dropped("digest")
+    if len(datagram) > MAX_FRAME_BYTES:
+        raise FrameDropped("too-long")
+    if len(datagram) <= 1 + DIGEST_BYTES or datagram[0] != VERSION:
+        raise FrameDropped("version" if datagram[:1] != bytes([VERSION]) else "malformed")
+    said, data = datagram[1 : 1 + DIGEST_BYTES], datagram[:1] + datagram[1 + DIGEST_BYTES :]
+    if not any(hmac.compare_digest(said, keyed_digest(key, data)) for key in keys):
+        raise FrameDropped("digest")
     try:
         return DECODER.decode(data[1:])
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise Dropped("malformed") from error
+        raise FrameDropped("malformed") from error
 
 
 @dataclass(slots=True)
-class Window:
+class ReplayWindow:
     """Which of a sender's numbers have come: the highest, and a bit for each of the last ``WINDOW``."""
 
     boot: int
     incarnation: int
     highest: int = 0
-    seen: int = 0
+    seen_bits: int = 0
 
-    def take(self, seq: int) -> bool:
+    def accept(self, seq: int) -> bool:
         """True the first time that a number comes; what is older than the window counts as seen."""
         if seq > self.highest:
-            self.seen = (self.seen << min(seq - self.highest, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            self.seen_bits = (self.seen_bits << min(seq - self.highest, REPLAY_WINDOW_FRAMES) | 1) & (
+                (1 << REPLAY_WINDOW_FRAMES) - 1
+            )
             self.highest = seq
             return True
         bit = 1 << (self.highest - seq)
-        if self.highest - seq >= WINDOW or self.seen & bit:
+        if self.highest - seq >= REPLAY_WINDOW_FRAMES or self.seen_bits & bit:
             return False
-        self.seen |= bit
+        self.seen_bits |= bit
         return True
 
 
 @dataclass(slots=True)
-class Gate:
+class ReplayFilter:
     """Lets each frame in once.
 
     A frame counts for the start of the balancer that it was sent to; a sender that starts anew has a higher
@@ -244,27 +261,27 @@
 
     name: str
     boot: int
-    senders: dict[str, Window] = field(default_factory=dict)
+    windows: dict[str, ReplayWindow] = field(default_factory=dict)
 
     def check(self, frame: Frame) -> None:
         """Raises Dropped."""
-        if frame.to not in (self.name, ""):
-            raise Dropped("for-another")
-        if frame.to_boot not in (0, self.boot):
-            raise Dropped("replayed")
-        if not frame.to_boot:
-            if not isinstance(frame.body, OPEN):
-                raise Dropped("replayed")
+        if frame.receiver not in (self.name, ""):
+            raise FrameDropped("for-another")
+        if frame.receiver_boot not in (0, self.boot):
+            raise FrameDropped("replayed")
+        if not frame.receiver_boot:
+            if not isinstance(frame.body, BODIES_WITHOUT_BOOT):
+                raise FrameDropped("replayed")
             frame.members, frame.entries = [], []
-        if isinstance(frame.body, Ask):
+        if isinstance(frame.body, StatusRequest):
             return  # a tool is no member; asking changes nothing
-        window = self.senders.get(frame.sender)
+        window = self.windows.get(frame.sender)
         if window is None or frame.boot != window.boot:
             if window is not None and frame.incarnation <= window.incarnation:
-                raise Dropped("replayed")
-            if window is None and len(self.senders) >= SENDERS:
-                raise Dropped("too-many-senders")
-            window = self.senders[frame.sender] = Window(frame.boot, frame.incarnation)
+                raise FrameDropped("replayed")
+            if window is None and len(self.windows) >= MAX_SENDERS:
+                raise FrameDropped("too-many-senders")
+            window = self.windows[frame.sender] = ReplayWindow(frame.boot, frame.incarnation)
         window.incarnation = max(window.incarnation, frame.incarnation)
-        if not window.take(frame.seq):
-            raise Dropped("replayed")
+        if not window.accept(frame.seq):
+            raise FrameDropped("replayed")
--- a/snowwick/lab/capacity_model.py
+++ b/snowwick/lab/capacity_model.py
@@ -6,8 +6,8 @@
 of ``FORMS``: bytes (1 KB is 1,000), s, and parts of a core of the machine that measured them.
 
 What was measured at one rate of telling loads (``load_writes``) is a *series*; series are fitted each on its
-own.  There are two *regimes*: while frames are not full, rumours carry all (TOLD times log2 N tellings of
-each register, Demers et al. 1987); once they are, comparison pulls the rest, by another law.
+own.  There are two *regimes*: while frames are not full, rumours carry all (RETRANSMIT_FACTOR times log2 N
+tellings of each register, Demers et al. 1987); once they are, comparison pulls the rest, by another law.
 """
 
 from __future__ import annotations
@@ -139,7 +139,7 @@
             "bytes",
             "a team's contract; a whole file is sent by digest and in pieces",
         ),
-        Assumption("bytes a sum", 900.0, "bytes", "the room of one register (`store.VALUE`)"),
+        Assumption("bytes a sum", 900.0, "bytes", "the room of one register (`store.MAX_VALUE_BYTES`)"),
         Assumption(
             "s between sums", 1.0, "s", "a load that is a second old is within the age that is stated"
         ),
@@ -237,7 +237,7 @@
             "each entry that is "
             "told is packed, unpacked and taken or known already (N log2 N); what waits to be passed on, the "
             "writers' registers for as long as news spreads, is sorted for each frame (N log2 N, up to "
-            f"{node.MOST_RUMOURS}). Nothing in a period goes over pairs of owners. Once frames "
+            f"{node.MAX_QUEUED_ENTRIES}). Nothing in a period goes over pairs of owners. Once frames "
             f"are full 1, log2 "
             "N and N are left",
             full=("1", "log2 N", "N"),
@@ -423,7 +423,7 @@
 def is_full(row: Row, part: str = "") -> bool:
     """Are the frames that were sent full?"""
     sent, frames = of(row, f"{part}bytes_out"), of(row, f"{part}datagrams_out")
-    return bool(sent and frames) and (sent or 0.0) >= FULL * wire.MOST * (frames or 0.0)
+    return bool(sent and frames) and (sent or 0.0) >= FULL * wire.MAX_FRAME_BYTES * (frames or 0.0)
 
 
 def of_part(quantity: str) -> str:
@@ -509,7 +509,7 @@
     """The part of the frames' room that these sizes' fits expect to be used at a size; None without fits."""
     sent, frames = (whole(FORMS[name], rows, part + name) for name in ("bytes_out", "datagrams_out"))
     many = frames.at(at) if frames is not None else 0.0
-    return sent.at(at) / (many * wire.MOST) if sent is not None and many > 0.0 else None
+    return sent.at(at) / (many * wire.MAX_FRAME_BYTES) if sent is not None and many > 0.0 else None
 
 
 def tests(form: Form, rows: Sequence[Row], quantity: str = "", size: str = "members") -> list[LeftOut]:
@@ -636,7 +636,7 @@
 
 def ranges_bytes(n: int) -> int:
     """Bytes of the frame with the hashes of the ranges at so many owners, names as on the platform."""
-    count = 1 << max(0, math.ceil(math.log2(max(1, n / store.OWNERS_A_RANGE))))
+    count = 1 << max(0, math.ceil(math.log2(max(1, n / store.OWNERS_PER_RANGE))))
     hashes = [(1 << 63) + 1] * count
     frame = wire.Frame(
         "balancer-0000",
@@ -646,18 +646,18 @@
         1 << 20,
         "balancer-0001",
         1 << 62,
-        wire.Ranges(hashes),
+        wire.RangeHashes(hashes),
     )
-    return 1 + wire.DIGEST + wire.size(frame)
+    return 1 + wire.DIGEST_BYTES + wire.encoded_size(frame)
 
 
 def told(n: float) -> float:
     """How often each that hears of a change passes it on, and so about how often each hears of it."""
-    return members.FANOUT * math.log2(max(2.0, n))
+    return members.RETRANSMIT_FACTOR * math.log2(max(2.0, n))
 
 
 # Owners from which on the ranges' frame is too long, and comparison ends
-BOUND = next(n for n in itertools.count(8) if ranges_bytes(n) > wire.MOST)
+BOUND = next(n for n in itertools.count(8) if ranges_bytes(n) > wire.MAX_FRAME_BYTES)
 
 
 def ask_bytes(others: int, letters: int = 13) -> int:
@@ -668,18 +668,18 @@
 
 def rights_bound(letters: int = 13) -> int:
     """Members from which on no ask for rights is told: ``net/fleet.py`` passes over what no frame holds."""
-    return next(n for n in itertools.count(2) if ask_bytes(n - 1, letters) > store.VALUE)
+    return next(n for n in itertools.count(2) if ask_bytes(n - 1, letters) > store.MAX_VALUE_BYTES)
 
 
 # The most that a member sends a period, the mean over members, without probes for others: a probe and an
 # answer, news, a root; its receiver answers with ranges, those are answered with rows, and rows with rows;
 # each of the two vectors that a member gets so may start pulls, sent and received, and as many pieces
-FRAMES = 2 + node.GOSSIP + 1 + 1 + 2 + 2 * node.PULLS + 2 * node.PULLS
+FRAMES = 2 + node.GOSSIP_FANOUT + 1 + 1 + 2 + 2 * node.MAX_PULLS + 2 * node.MAX_PULLS
 
 
 def ceiling(n: int) -> float:
     """Bytes a second that a member sends at the most, were the ranges' frame taken at any size."""
-    return (FRAMES * wire.MOST + max(0, ranges_bytes(n) - wire.MOST)) / PERIOD
+    return (FRAMES * wire.MAX_FRAME_BYTES + max(0, ranges_bytes(n) - wire.MAX_FRAME_BYTES)) / PERIOD
 
 
 def demand(n: float, writes: float, size: float) -> float:
@@ -844,7 +844,9 @@
     low, high = 2, MOST_FLEET
     while high - low > 1:
         middle = (low + high) // 2
-        low, high = (middle, high) if sent.at(middle) <= frames.at(middle) * wire.MOST else (low, middle)
+        low, high = (
+            (middle, high) if sent.at(middle) <= frames.at(middle) * wire.MAX_FRAME_BYTES else (low, middle)
+        )
     return low
 
 
@@ -936,7 +938,11 @@
             and full_from(rows, of_part(quantity)) is None
         ):
             sent, frames = law(FORMS["bytes_out"], rows), law(FORMS["datagrams_out"], rows)
-            if sent is not None and frames is not None and sent.at(self.n) > frames.at(self.n) * wire.MOST:
+            if (
+                sent is not None
+                and frames is not None
+                and sent.at(self.n) > frames.at(self.n) * wire.MAX_FRAME_BYTES
+            ):
                 ends = regime_ends(sent, frames)
         return replace(one, past=bool(one.sizes) and one.sizes[-1] < BOUND <= self.n, ends=ends)
 
--- a/snowwick/lab/capacity_roles.py
+++ b/snowwick/lab/capacity_roles.py
@@ -338,7 +338,7 @@
             ]
         )
     machines = target("control machines")
-    frames = n / every / machines * (1.0 + math.ceil(heard * every / wire.MOST))
+    frames = n / every / machines * (1.0 + math.ceil(heard * every / wire.MAX_FRAME_BYTES))
     rows.append(
         [
             "the five machines as relays",
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -132,12 +132,12 @@
             one.stands,
             one.factor,
         )
-    add("members that a balancer takes frames of", model.n, "", float(wire.SENDERS), "counted")
+    add("members that a balancer takes frames of", model.n, "", float(wire.MAX_SENDERS), "counted")
     add(
         "frame with the hashes of the ranges",
         float(ranges_bytes(int(model.n))),
         "bytes",
-        float(wire.MOST),
+        float(wire.MAX_FRAME_BYTES),
         "counted",
     )
     deaths = [some for row in model.measured.simulated if (some := false_deaths(row)) is not None]
@@ -466,7 +466,7 @@
         start = full_from(some)
         for row in some:
             sent, frames = of(row, "bytes_out"), of(row, "datagrams_out")
-            room = f"{100.0 * sent / frames / wire.MOST:.0f}%" if sent and frames else "-"
+            room = f"{100.0 * sent / frames / wire.MAX_FRAME_BYTES:.0f}%" if sent and frames else "-"
             if start is not None and float(row["members"]) >= start:
                 room += ", full"
             rows.append(
@@ -610,28 +610,28 @@
 def walls(model: Model) -> str:
     """What in the shipped code ends before the target, whatever the slopes."""
     n = int(model.n)
-    waiting = n / node.MOST_RUMOURS
+    waiting = n / node.MAX_QUEUED_ENTRIES
     return table(
         ["bound", "where", "at the target", "reached at"],
         [
             [
                 "members whose frames are taken",
-                "`wire.SENDERS`",
-                f"{number(n)} of {number(wire.SENDERS)}: frames of the others are dropped as "
+                "`wire.MAX_SENDERS`",
+                f"{number(n)} of {number(wire.MAX_SENDERS)}: frames of the others are dropped as "
                 f"`too-many-senders`",
-                f"{wire.SENDERS + 1:,} members",
+                f"{wire.MAX_SENDERS + 1:,} members",
             ],
             [
                 "the frame with the hashes of the ranges",
-                "`wire.MOST`, `store.OWNERS_A_RANGE`",
-                f"{number(ranges_bytes(n))} of {number(wire.MOST)} bytes: dropped as `too-long`, and "
-                f"nothing else "
+                "`wire.MAX_FRAME_BYTES`, `store.OWNERS_PER_RANGE`",
+                f"{number(ranges_bytes(n))} of {number(wire.MAX_FRAME_BYTES)} bytes: dropped as "
+                "`too-long`, and nothing else "
                 "finds what news did not bring",
                 f"{BOUND:,} owners",
             ],
             [
                 "what a member can send",
-                "`node.PULLS`, `node.GOSSIP`, `wire.MOST`",
+                "`node.MAX_PULLS`, `node.GOSSIP_FANOUT`, `wire.MAX_FRAME_BYTES`",
                 f"{shown(ceiling(n), 'bytes/s')} in {number(FRAMES / PERIOD)} frames/s: a fit over "
                 f"it is cut down "
                 "to it, "
@@ -640,10 +640,10 @@
             ],
             [
                 "what waits to be passed on",
-                "`node.MOST_RUMOURS`",
+                "`node.MAX_QUEUED_ENTRIES`",
                 f"one entry of each member is {number(waiting)} times what may wait; those told most "
                 f"are shed",
-                f"{node.MOST_RUMOURS:,} entries at once",
+                f"{node.MAX_QUEUED_ENTRIES:,} entries at once",
             ],
             [
                 "a round of probes",
@@ -655,8 +655,8 @@
             ],
             [
                 "an ask for rights names every member",
-                "`rights.Ask.holds`, `store.VALUE`",
-                f"longer than the {number(store.VALUE)} bytes of a value: refused, which "
+                "`rights.Ask.holds`, `store.MAX_VALUE_BYTES`",
+                f"longer than the {number(store.MAX_VALUE_BYTES)} bytes of a value: refused, which "
                 f"`net/fleet.py` passes over "
                 "(`_write`), so that rights stop moving (read in the code and computed, not played)",
                 f"{number(rights_bound())} members with names of 13 characters, "
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/hollow.py
@@ -33,10 +33,10 @@
 from hdrh.histogram import HdrHistogram
 
 from snowwick.fleet import facts
-from snowwick.fleet.clock import ms_of
+from snowwick.fleet.clock import timestamp_ms
 from snowwick.fleet.facts import Listed, Revision, View
 from snowwick.fleet.file import FleetFile, Links, Share
-from snowwick.fleet.members import DEAD, Change
+from snowwick.fleet.members import DEAD, MemberChange
 from snowwick.fleet.node import CaughtUp, DuplicateName
 from snowwick.fleet.store import Store
 from snowwick.fleet.wire import Entry
@@ -98,8 +98,8 @@
         super().__init__(name, epoch)
         self.process = process
 
-    def take(self, entry: Entry, now: float) -> bool:
-        news = super().take(entry, now)
+    def merge_entry(self, entry: Entry, now: float) -> bool:
+        news = super().merge_entry(entry, now)
         if news:
             self.process.arrived(entry)
         return news
@@ -125,11 +125,11 @@
             self._write(facts.LIST, "", Listed("hollow", 1, []), now)
 
     def hear_news(self) -> None:
-        for news in self.node.take_news():
-            if isinstance(news, Change) and news.member.state == DEAD:
+        for news in self.node.take_events():
+            if isinstance(news, MemberChange) and news.member.state == DEAD:
                 self.process.deaths.add((news.member.name, news.member.incarnation))
             elif isinstance(news, CaughtUp):
-                self.caught = news.after
+                self.caught = news.after_s
             elif isinstance(news, DuplicateName):
                 self.end()
 
@@ -160,7 +160,7 @@
             if link is not None:
                 link.write(facts.REVISION, change_key(w, event.number), change_value(w, event.number))
                 self.process.changes.append(
-                    (link.node.name, link.node.store.owners[link.node.name].complete, time.time())
+                    (link.node.name, link.node.store.owners[link.node.name].complete_seq, time.time())
                 )
         elif event.kind is Kind.RIGHTS:
             lender = self.link(event.other)
@@ -203,9 +203,9 @@
         while True:
             yield from self.sleep(self.loop.clock() + LOOK)
             link, wall = next(iter(self.process.links.values())), 1000.0 * time.time()
-            for held in link.node.store.standing(facts.LOAD):
+            for held in link.node.store.live_entries(facts.LOAD):
                 if held.entry.owner != link.node.name:
-                    age = int(wall - ms_of(held.entry.stamp))
+                    age = int(wall - timestamp_ms(held.entry.timestamp))
                     self.process.ages.record_value(min(LONGEST_MS, max(1, age)))
 
 
@@ -250,7 +250,9 @@
             entry.kind == facts.LOAD and entry.owner in self.real
         ):
             now = time.time()
-            one = self.arrivals.setdefault((entry.owner, entry.seq), Arrivals(ms_of(entry.stamp), now))
+            one = self.arrivals.setdefault(
+                (entry.owner, entry.seq), Arrivals(timestamp_ms(entry.timestamp), now)
+            )
             one.last, one.members = now, one.members + 1
 
     # -- orders ------------------------------------------------------------------------------------------
@@ -265,7 +267,7 @@
         for n in range(first, first + count):
             self.links[f"m{n}"] = HollowLink(self, file, f"m{n}", random.Random(f"hollow{n}{time.time_ns()}"))
         return {
-            "addresses": {name: link.node.members.me.address for name, link in self.links.items()},
+            "addresses": {name: link.node.members.local.address for name, link in self.links.items()},
             "memory": anonymous(os.getpid()),
         }
 
@@ -298,7 +300,7 @@
         """How many members each sees alive, itself too, and what each holds, as a hash."""
         return {
             "alive": {name: 1 + len(link.node.members.alive()) for name, link in self.links.items()},
-            "roots": {name: link.node.store.root() for name, link in self.links.items()},
+            "roots": {name: link.node.store.root_hash() for name, link in self.links.items()},
             "caught": {name: link.caught for name, link in self.links.items()},
         }
 
--- a/snowwick/lab/network.py
+++ b/snowwick/lab/network.py
@@ -119,13 +119,13 @@
             machine.node.receive(data, self.now)
         else:
             machine.node.tick(self.now)
-            self._push(max(machine.node.due(), self.now + 0.001), name, None)
+            self._push(max(machine.node.next_due(), self.now + 0.001), name, None)
         self.carry(machine)
 
     def carry(self, machine: Machine) -> None:
         """Send what the node wants sent, by way of the faults."""
         f, chance = self.faults, self.random.random
-        for to, datagram in machine.node.take_out():
+        for to, datagram in machine.node.take_datagrams():
             self.sent += 1
             for _ in range(1 + (chance() < f.double)):
                 if to not in self.machines or chance() < f.loss or self.cut(machine.name, to):
@@ -135,7 +135,7 @@
                     at = self.random.randrange(len(data))
                     data = data[:at] + bytes([data[at] ^ (1 << self.random.randrange(8))]) + data[at + 1 :]
                 self._push(self.now + f.least + (f.most - f.least) * chance(), to, data)
-        machine.news += [(self.now, one) for one in machine.node.take_news()]
+        machine.news += [(self.now, one) for one in machine.node.take_events()]
 
     # -- troubles ----------------------------------------------------------------------------------------
 
@@ -163,7 +163,7 @@
         """Do all live machines hold the same, and know the same members?"""
         live = self.live()
         names = {one.name for one in live}
-        return len({one.node.store.root() for one in live}) == 1 and all(
+        return len({one.node.store.root_hash() for one in live}) == 1 and all(
             {record.name for record in one.node.members.alive()} | {one.name} == names for one in live
         )
 
--- a/snowwick/lab/scale_real.py
+++ b/snowwick/lab/scale_real.py
@@ -53,7 +53,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from snowwick.fleet.node import TEXT
+from snowwick.fleet.node import STATUS_PART_BYTES
 from snowwick.lab.hollow import LONGEST_MS, anonymous
 from snowwick.lab.rig import Failed, Fleet
 from snowwick.lab.workload import Refused, Workload, reference_loop
@@ -124,7 +124,7 @@
     at, spent = time.monotonic(), processor(process.pid)
     status = fleet.status(n)
     size = len(json.dumps(status).encode())
-    parts = math.ceil(size / TEXT)
+    parts = math.ceil(size / STATUS_PART_BYTES)
     passed = {
         key: float(status[name])
         for key, name in zip(KEYS, ("bytes_out", "bytes_in", "frames_out", "frames_in"), strict=True)
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -38,7 +38,7 @@
 
 from snowwick.fleet import facts, wire
 from snowwick.fleet.facts import View
-from snowwick.fleet.members import DEAD, LONGER, PAUSE, SUSPICION, Change
+from snowwick.fleet.members import DEAD, MAX_SUSPICION_FACTOR, MIN_SUSPICION_S, SUSPICION_FACTOR, MemberChange
 from snowwick.fleet.node import CaughtUp
 from snowwick.lab.network import Faults, Machine, Network
 from snowwick.lab.workload import (
@@ -119,7 +119,10 @@
 
 def longest_suspicion(members: int, period: float) -> float:
     """s that a suspicion stands at most, in a fleet of so many."""
-    return max(PAUSE, LONGER * SUSPICION * max(1.0, math.log10(max(1, members))) * period)
+    return max(
+        MIN_SUSPICION_S,
+        MAX_SUSPICION_FACTOR * SUSPICION_FACTOR * max(1.0, math.log10(max(1, members))) * period,
+    )
 
 
 @dataclass(slots=True)
@@ -198,25 +201,25 @@
     """
     machines = list(net.machines.values())
     for one in machines:
-        me, own = one.node.members.me, one.node.store.owners[one.name]
+        me, own = one.node.members.local, one.node.store.owners[one.name]
         person = msgspec.msgpack.encode(me.member())
         entries = msgspec.msgpack.encode([held.entry for held in own.entries.values()])
-        row = msgspec.msgpack.encode(own.row(one.name))
+        row = msgspec.msgpack.encode(own.summary(one.name))
         for other in machines:
             if other is one:
                 continue
             node = other.node
             said = msgspec.msgpack.decode(person, type=wire.Member)
-            node.members.met(said.name, said.address, said.incarnation, said.boot, net.now)
-            whole = msgspec.msgpack.decode(row, type=wire.Row)
+            node.members.record_contact(said.name, said.address, said.incarnation, said.boot, net.now)
+            whole = msgspec.msgpack.decode(row, type=wire.OwnerSummary)
             pieces = msgspec.msgpack.decode(entries, type=list[wire.Entry])
             for entry in pieces:
-                node.clock.hear(entry.stamp, node.wall_ms())
-            node.store.merge(whole, 0, whole.complete, pieces, net.now)
+                node.clock.observe(entry.timestamp, node.wall_ms())
+            node.store.merge_batch(whole, 0, whole.complete_seq, pieces, net.now)
     for one in machines:
-        one.node.members.rumours.clear()
+        one.node.members.gossip_queue.clear()
         one.node.members.changes.clear()
-        one.node.store.rumours.clear()
+        one.node.store.gossip_queue.clear()
 
 
 # -- the fleet that is measured ------------------------------------------------------------------------------
@@ -270,7 +273,7 @@
             shed = node.counts.shed
             began = time.process_time()
             node.tick(self.now)
-            due = node.due()
+            due = node.next_due()
             meter.core += time.process_time() - began
             meter.shed += node.counts.shed - shed
             self._push(max(due, self.now + 0.001), name, None)
@@ -279,20 +282,20 @@
     def carry(self, machine: Machine) -> None:
         meter, chance, here = self.log.meter(machine.name), self.random.random, self.region[machine.name]
         least, spread = 0.1 * self.w.delay_s, 0.9 * self.w.delay_s
-        for to, datagram in machine.node.take_out():
+        for to, datagram in machine.node.take_datagrams():
             meter.datagrams_out += 1
             meter.bytes_out += len(datagram)
             if to not in self.machines or chance() < self.faults.loss or self.cut(machine.name, to):
                 continue
             far = self.w.region_delay_s if self.region[to] != here else 0.0
             self._push(self.now + least + spread * chance() + far, to, datagram)
-        for news in machine.node.take_news():
-            if isinstance(news, Change) and news.member.state == DEAD:
+        for news in machine.node.take_events():
+            if isinstance(news, MemberChange) and news.member.state == DEAD:
                 self.deaths.said(news.member, self.is_true(news.member, machine.name), self.now)
             elif isinstance(news, CaughtUp):
                 for one in self.starting:
                     if one.name == machine.name and one.said is None:
-                        one.said = news.after
+                        one.said = news.after_s
 
     def write(self, name: str, kind: int, key: str, value: bytes | None, left: float = 0.0) -> None:
         machine, meter = self.machines[name], self.log.meter(name)
@@ -306,10 +309,10 @@
     def is_true(self, member: wire.Member, by: str) -> bool:
         """Was that start of the member gone, or stopped for long or cut off from who says so, or just was?"""
         machine = self.machines.get(member.name)
-        if machine is None or machine.dead or machine.node.members.me.boot != member.boot:
+        if machine is None or machine.dead or machine.node.members.local.boot != member.boot:
             return True
         start, end = self.stops.get(member.name, (0.0, 0.0))
-        if end - start >= PAUSE and self.now < end + self.late:
+        if end - start >= MIN_SUSPICION_S and self.now < end + self.late:
             return True
         cut = self.cut(member.name, by) or self.cut(by, member.name)
         return cut or (
@@ -368,7 +371,7 @@
         if self.runs(name):
             return
         lacking = {
-            other: (owner.epoch, owner.complete)
+            other: (owner.epoch, owner.complete_seq)
             for other in self.ran_since
             for owner in (self.machines[other].node.store.owners[other],)
             if not self.cut(name, other)
@@ -394,7 +397,7 @@
         history = self.writes.get((name, chunk))
         if history is not None:
             own = self.machines[name].node.store.owners[name]
-            history.append((own.epoch, own.complete, self.now))
+            history.append((own.epoch, own.complete_seq, self.now))
 
     def change(self, member: int, number: int) -> None:
         """By that member, or the next one that runs."""
@@ -407,7 +410,13 @@
         own = self.machines[writer].node.store.owners[writer]
         waiting = {name for name in self.ran_since if name != writer and not self.cut(writer, name)}
         one = Spreading(
-            writer, (facts.REVISION, key), (own.epoch, own.complete), self.now, self.log, waiting, self.now
+            writer,
+            (facts.REVISION, key),
+            (own.epoch, own.complete_seq),
+            self.now,
+            self.log,
+            waiting,
+            self.now,
         )
         self.log.changes += 1
         self.spreading.append(one)
@@ -489,9 +498,9 @@
             for name, number in list(one.lacking.items()):
                 owner = node.store.owners.get(name)
                 if (
-                    node.members.is_there(name)
+                    node.members.is_member(name)
                     and owner is not None
-                    and (owner.epoch, owner.complete) >= number
+                    and (owner.epoch, owner.complete_seq) >= number
                 ):
                     del one.lacking[name]
             if not one.lacking:
@@ -530,7 +539,7 @@
                     or not history
                     or not self.runs(of)
                     or self.cut(of, name)
-                    or not node.members.is_there(of)
+                    or not node.members.is_member(of)
                 ):
                     continue
                 owner = node.store.owners.get(of)
@@ -540,7 +549,7 @@
                 if at:
                     self.log.age.add(self.now - history[at - 1][2])
                 # Before it started itself a member could hold nothing.
-                began = node.began if node.began is not None else self.now
+                began = node.started_at if node.started_at is not None else self.now
                 self.log.late.add(self.now - max(began, history[at][2]) if at < len(history) else 0.0)
             reader = View(node.store, node.members)
             clock = time.process_time()
--- a/snowwick/lab/search.py
+++ b/snowwick/lab/search.py
@@ -66,7 +66,8 @@
     want = {key: value for key, value in wrote.items() if value is not None}
     for machine in net.live():
         have = {
-            (held.entry.owner, held.entry.key): held.entry.value for held in machine.node.store.standing(1)
+            (held.entry.owner, held.entry.key): held.entry.value
+            for held in machine.node.store.live_entries(1)
         }
         if have != want:
             return f"seed {seed}: {machine.name} holds {have}, written was {want}"
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -23,7 +23,7 @@
 
 from snowwick.fleet import facts, wire
 from snowwick.fleet.rights import Ask, Grant, Holding
-from snowwick.fleet.store import mix
+from snowwick.fleet.store import hash_numbers
 
 TARGET = 5700  # balancers that the rates of failures and restarts are given for
 DAY = 86_400.0  # s
@@ -180,7 +180,7 @@
     if not w.load_writes:
         return
     pace = 1.0 / w.load_writes
-    order = sorted((mix(w.seed, n) % 10_000 / 10_000.0 * pace, n) for n in range(w.members))
+    order = sorted((hash_numbers(w.seed, n) % 10_000 / 10_000.0 * pace, n) for n in range(w.members))
     turn = max(0, math.floor(start / pace) - 1)
     while turn * pace < end:
         for phase, n in order:
@@ -267,7 +267,7 @@
     """
     level = w.load_count * (1.0 + w.load_wave * math.sin(2.0 * math.pi * at / w.wave_s))
     noise = {
-        one: mix(w.seed, member, one, int(at * 1000)) % 1000 / 1000.0
+        one: hash_numbers(w.seed, member, one, int(at * 1000)) % 1000 / 1000.0
         for one in range(w.load_destinations)
         if facts.chunk_of(one) == chunk
     }
@@ -304,9 +304,11 @@
 
 
 def reference_frame(seq: int = 1) -> wire.Frame:
-    """A frame that is as full as frames get (``wire.MOST``), with load registers as a fleet's frames have."""
+    """A frame that is as full as frames get (``wire.MAX_FRAME_BYTES``), with load registers as a fleet's
+    frames have.
+    """
     w = Workload(TARGET)
-    frame = wire.Frame("m1", "10.0.0.1:7000", 1, 7, seq, "m2", 9, wire.News())
+    frame = wire.Frame("m1", "10.0.0.1:7000", 1, 7, seq, "m2", 9, wire.Gossip())
     for n in range(1000):
         value = facts.pack(load_value(w, n, n % facts.CHUNKS, 0.0))
         entry = wire.Entry(
@@ -319,7 +321,7 @@
             1_700_000_000_000 << 16,
         )
         frame.entries.append(entry)
-        if 1 + wire.DIGEST + wire.size(frame) > wire.MOST:
+        if 1 + wire.DIGEST_BYTES + wire.encoded_size(frame) > wire.MAX_FRAME_BYTES:
             frame.entries.pop()
             break
     return frame
@@ -332,7 +334,7 @@
     """
     taken = []
     for _ in range(rounds):
-        gate = wire.Gate("m2", 9)
+        gate = wire.ReplayFilter("m2", 9)
         datagram = wire.seal(reference_frame(), KEY)
         began = time.process_time()
         for seq in range(1, frames + 1):
--- a/snowwick/net/asking.py
+++ b/snowwick/net/asking.py
@@ -28,11 +28,11 @@
             part = min(set(range(wanted)) - parts.keys())
             for _ in range(TRIES):
                 seq += 1
-                frame = wire.Frame(name, "", 0, boot, seq, "", 0, wire.Ask(number, part))
+                frame = wire.Frame(name, "", 0, boot, seq, "", 0, wire.StatusRequest(number, part))
                 sock.sendto(wire.seal(frame, file.keys[0]), parse_address(address))
                 told = _answer(sock, file, number)
                 if told is not None:
-                    wanted, parts[told.part] = told.parts, told.text
+                    wanted, parts[told.part] = told.part_count, told.text
                     break
             else:
                 raise TimeoutError(f"no answer from {address}")
@@ -40,15 +40,15 @@
     return found
 
 
-def _answer(sock: socket.socket, file: FleetFile, number: int) -> wire.Told | None:
+def _answer(sock: socket.socket, file: FleetFile, number: int) -> wire.StatusReply | None:
     until = time.monotonic() + WAIT
     while time.monotonic() < until:
         try:
-            frame = wire.unseal(sock.recv(wire.MOST + 1), file.keys)
+            frame = wire.unseal(sock.recv(wire.MAX_FRAME_BYTES + 1), file.keys)
         except (TimeoutError, ConnectionError):
             return None
-        except wire.Dropped:
+        except wire.FrameDropped:
             continue
-        if isinstance(frame.body, wire.Told) and frame.body.number == number:
+        if isinstance(frame.body, wire.StatusReply) and frame.body.number == number:
             return frame.body
     return None
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -17,7 +17,7 @@
 from snowwick.fleet import facts
 from snowwick.fleet.facts import Health, Listed, Revision, View
 from snowwick.fleet.file import FleetFile
-from snowwick.fleet.members import STATES, Change
+from snowwick.fleet.members import STATE_NAMES, MemberChange
 from snowwick.fleet.node import CaughtUp, DuplicateName, Node
 from snowwick.fleet.rights import RENEW, Leases
 from snowwick.net.decider import Outcome, PoolNews, Silent, StepEnded, StepUp
@@ -62,7 +62,7 @@
             self.wall_ms,
             file.links.period_ms / 1000.0,
         )
-        self.node.status = self.status
+        self.node.extra_status = self.status
         self.view, self.health = View(self.node.store, self.node.members), Health(name)
         self.said: dict[int, tuple[int, float]] = {}  # own words on destinations, and when they were written
         self.left: frozenset[int] = frozenset()  # told by others to be leaving, and heeded
@@ -87,8 +87,8 @@
             "fleet",
             "fleet: {name} at {address}, epoch {epoch}",
             name=self.node.name,
-            address=self.node.members.me.address,
-            epoch=self.node.members.me.incarnation,
+            address=self.node.members.local.address,
+            epoch=self.node.members.local.incarnation,
         )
         rest = 0.0
         try:
@@ -100,7 +100,7 @@
                     self.share(now)
                 self.send()
                 self.hear_news()
-                until = max(now, min(self.node.due(), self.next_share))
+                until = max(now, min(self.node.next_due(), self.next_share))
                 resting = now < rest
                 yield Wait(self.sock, read=not resting, until=min(until, rest) if resting else until)
                 self.mail.clear()
@@ -124,7 +124,7 @@
 
     def send(self) -> None:
         routes = self.file.links.routes
-        for address, datagram in self.node.take_out():
+        for address, datagram in self.node.take_datagrams():
             # Lost is what the socket does not take; an address that a member made up must end nothing.
             with contextlib.suppress(OSError, ValueError):
                 host, port = parse_address(routes.get(address, address))
@@ -132,19 +132,19 @@
                 self.sock.sendto(datagram, (host, port))
 
     def hear_news(self) -> None:
-        for news in self.node.take_news():
-            if isinstance(news, Change):
+        for news in self.node.take_events():
+            if isinstance(news, MemberChange):
                 one = news.member
                 self.log.event(
                     "fleet-member",
                     "fleet: {member} is {state} (incarnation {incarnation})",
                     member=one.name,
-                    state=STATES[one.state],
+                    state=STATE_NAMES[one.state],
                     incarnation=one.incarnation,
                 )
             elif isinstance(news, CaughtUp):
                 self.log.event(
-                    "fleet-caught-up", "fleet: caught up after {seconds} s", seconds=round(news.after, 2)
+                    "fleet-caught-up", "fleet: caught up after {seconds} s", seconds=round(news.after_s, 2)
                 )
             elif isinstance(news, DuplicateName):
                 self.log.event(
@@ -352,7 +352,7 @@
         return {
             "revision": self.file.digest,
             "kinds_by_name": {
-                facts.KINDS[kind]: sum(1 for _ in self.node.store.standing(kind)) for kind in facts.KINDS
+                facts.KINDS[kind]: sum(1 for _ in self.node.store.live_entries(kind)) for kind in facts.KINDS
             },
             "contracts": self.revision.contracts,
             "revisions": {
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -187,7 +187,7 @@
 
 def test_sizes_with_full_frames_are_fitted_apart() -> None:
     # Frames fill from 16 members on; what is under that grew by another law.
-    full = 30.0 * wire.MOST
+    full = 30.0 * wire.MAX_FRAME_BYTES
     sizes = (4, 8, 16, 32, 64, 128, 256, 512)
     rows = [row(n, bytes_out=full if n >= 16 else full * n / 16.0) for n in sizes]
     one = whole(FORMS["bytes_out"], rows)
@@ -197,7 +197,7 @@
 
 def test_whether_frames_are_full_is_not_read_from_the_size_left_out() -> None:
     rows = [row(n, bytes_out=1000.0) for n in SIZES]
-    rows[-1]["bytes_out"] = 30.0 * wire.MOST
+    rows[-1]["bytes_out"] = 30.0 * wire.MAX_FRAME_BYTES
     one = left_out(FORMS["bytes_out"], rows)
     assert one is not None and one.fit.basis == FORMS["bytes_out"].basis and not one.held
 
@@ -251,7 +251,11 @@
 
 def test_all_sizes_from_the_first_full_one_are_in_that_regime() -> None:
     # The frames that ask for pieces are small, so that the mean falls again under what counts as full.
-    rows = [row(8), row(16, bytes_out=25.0 * wire.MOST), row(32, bytes_out=18.0 * wire.MOST)]
+    rows = [
+        row(8),
+        row(16, bytes_out=25.0 * wire.MAX_FRAME_BYTES),
+        row(32, bytes_out=18.0 * wire.MAX_FRAME_BYTES),
+    ]
     assert capacity_model.full_from(rows) == 16 and capacity_model.full_from(rows[:1]) is None
     assert capacity_model.regime_said(16.0) == "full from 16 on"
     assert capacity_model.regime_said(None) == "frames not full"
@@ -268,7 +272,9 @@
     rows = regimes()
     one = left_out(FORMS["bytes_out"], rows)
     assert one is not None and one.start is None and one.across and not one.held
-    assert one.filled == pytest.approx(grown("bytes_out", 256, 900.0, 50.0, 30.0) / (30.0 * wire.MOST))
+    assert one.filled == pytest.approx(
+        grown("bytes_out", 256, 900.0, 50.0, 30.0) / (30.0 * wire.MAX_FRAME_BYTES)
+    )
     rows[-1]["bytes_out"] = 1.0  # what is left out decides neither where it stands nor what is predicted
     other = left_out(FORMS["bytes_out"], rows)
     assert other is not None and other.across and other.filled == one.filled
@@ -305,7 +311,7 @@
 
 
 def test_a_series_with_full_frames_has_the_counted_ceiling_at_the_target() -> None:
-    rows = [row(n, bytes_out=min(n * 600.0, 30.0 * wire.MOST)) for n in SIZES]
+    rows = [row(n, bytes_out=min(n * 600.0, 30.0 * wire.MAX_FRAME_BYTES)) for n in SIZES]
     model = Model(merge([("simulated.json", simulated(rows))]))
     one = model.of("bytes_out")
     assert one.capped and one.value == ceiling(5700) and not model.of("memory").capped
@@ -377,9 +383,9 @@
     model = two_series()  # 30 frames a second
     for writes, slope in ((1.0, 24.0), (0.125, 3.0)):
         ends = model.ends(writes)
-        assert ends is not None and grown("bytes_out", ends, 900.0, 50.0, slope) <= 30.0 * wire.MOST < grown(
-            "bytes_out", ends + 1, 900.0, 50.0, slope
-        )
+        assert ends is not None and grown(
+            "bytes_out", ends, 900.0, 50.0, slope
+        ) <= 30.0 * wire.MAX_FRAME_BYTES < grown("bytes_out", ends + 1, 900.0, 50.0, slope)
     one = model.of("everywhere_p99_s", 0.125)
     assert one.ends == model.ends(0.125) and "past its regime" in one.stands
     assert model.of("memory", 0.125).ends is None and model.of("idle_bytes_out", 0.125).ends is None
@@ -390,7 +396,7 @@
         {**one, "burst": {**one, "everywhere_p99_s": 0.1 * math.log2(one["members"])}}
         for one in model.measured.series[0.125]
     ]
-    full.append(row(512, bytes_out=30.0 * wire.MOST, burst=row(512, everywhere_p99_s=0.9)))
+    full.append(row(512, bytes_out=30.0 * wire.MAX_FRAME_BYTES, burst=row(512, everywhere_p99_s=0.9)))
     both = Model(merge([("simulated.json", simulated(full, workload={"load_writes": 0.125}))]))
     assert both.of("everywhere_p99_s", 0.125).ends is None
     assert both.of("burst.everywhere_p99_s", 0.125).ends == model.ends(0.125)  # its own frames were not full
@@ -431,7 +437,7 @@
         bound = capacity_model.rights_bound(letters)
         assert (
             capacity_model.ask_bytes(bound - 2, letters)
-            <= store.VALUE
+            <= store.MAX_VALUE_BYTES
             < capacity_model.ask_bytes(bound - 1, letters)
         )
     assert (capacity_model.rights_bound(), capacity_model.rights_bound(3)) == (27, 38)
@@ -576,7 +582,7 @@
 
 
 def test_the_frame_of_the_ranges_is_counted_from_the_shipped_code() -> None:
-    assert ranges_bytes(1024) <= wire.MOST < ranges_bytes(1025) and BOUND == 1025
+    assert ranges_bytes(1024) <= wire.MAX_FRAME_BYTES < ranges_bytes(1025) and BOUND == 1025
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 
 from snowwick.fleet import facts, wire
-from snowwick.fleet.clock import AHEAD, LOGICAL, HybridClock
+from snowwick.fleet.clock import LOGICAL_BITS, MAX_AHEAD_MS, HybridClock
 from snowwick.fleet.facts import Health, Revision, stricter
 from snowwick.fleet.node import Node
 from snowwick.fleet.rights import LEASE, LENT, Budget, Grant
-from snowwick.fleet.store import TOMBSTONE, Store
-from snowwick.fleet.wire import Dropped, Entry, Frame, Gate, Ping, Row, Window
+from snowwick.fleet.store import TOMBSTONE_S, Store
+from snowwick.fleet.wire import Entry, Frame, FrameDropped, OwnerSummary, Ping, ReplayFilter, ReplayWindow
 from snowwick.lab.interleavings import search
 from snowwick.lab.network import KEY, Faults, Network
 from snowwick.lab.search import course
@@ -25,13 +25,13 @@
 def frame(
     seq: int = 1, boot: int = 7, incarnation: int = 1, to_boot: int = 9, body: wire.Body | None = None
 ) -> Frame:
-    return Frame("a", "1.2.3.4:5", incarnation, boot, seq, "b", to_boot, body or wire.News())
+    return Frame("a", "1.2.3.4:5", incarnation, boot, seq, "b", to_boot, body or wire.Gossip())
 
 
 # -- frames ----------------------------------------------------------------------------------------------
 
 
-@given(st.binary(max_size=wire.MOST + 10))
+@given(st.binary(max_size=wire.MAX_FRAME_BYTES + 10))
 def test_no_datagram_raises(data: bytes) -> None:
     node = Node("b", "b", [KEY], [], random.Random(1), lambda: 1e12)
     node.receive(data, 1.0)
@@ -51,7 +51,7 @@
         data = bytes([wire.VERSION]) + msgspec.msgpack.encode(message)
     except OverflowError:
         return
-    node.receive(data[:1] + wire.digest(KEY, data) + data[1:], 1.0)
+    node.receive(data[:1] + wire.keyed_digest(KEY, data) + data[1:], 1.0)
     assert not node.members.records
 
 
@@ -61,41 +61,41 @@
     at = data.draw(st.integers(8, 8 * len(sealed) - 1))
     changed = bytearray(sealed)
     changed[at // 8] ^= 1 << at % 8
-    with pytest.raises(Dropped, match="digest"):
+    with pytest.raises(FrameDropped, match="digest"):
         wire.unseal(bytes(changed), [KEY])
 
 
 def test_old_and_new_key_are_taken_while_keys_change() -> None:
     old, new = b"o" * 32, b"n" * 32
     assert wire.unseal(wire.seal(frame(), old), [new, old]).sender == "a"
-    with pytest.raises(Dropped, match="digest"):
+    with pytest.raises(FrameDropped, match="digest"):
         wire.unseal(wire.seal(frame(), old), [new])
 
 
 def test_a_frame_counts_once_and_only_for_this_start() -> None:
-    gate = Gate("b", 9)
+    gate = ReplayFilter("b", 9)
     gate.check(frame(5))
     gate.check(frame(3))  # overtaken is no replay
     for again in (frame(5), frame(3), frame(6, to_boot=8), frame(6, boot=6), frame(6, to_boot=0)):
-        with pytest.raises(Dropped, match="replayed"):
+        with pytest.raises(FrameDropped, match="replayed"):
             gate.check(again)
     gate.check(frame(1, boot=8, incarnation=2))  # the sender has started anew
-    with pytest.raises(Dropped, match="replayed"):
+    with pytest.raises(FrameDropped, match="replayed"):
         gate.check(frame(6))
 
 
 def test_what_comes_with_a_greeting_does_not_count() -> None:
     greeting = frame(to_boot=0, body=Ping(1))
     greeting.members.append(wire.Member("c", "c", 1, 0, 1))
-    Gate("b", 9).check(greeting)
+    ReplayFilter("b", 9).check(greeting)
     assert not greeting.members
 
 
 @given(st.lists(st.integers(1, 600), max_size=60))
 def test_no_number_is_taken_twice(numbers: list[int]) -> None:
-    window, taken = Window(1, 1), set[int]()
+    window, taken = ReplayWindow(1, 1), set[int]()
     for number in numbers:
-        if window.take(number):
+        if window.accept(number):
             assert number not in taken
             taken.add(number)
 
@@ -105,10 +105,10 @@
 
 def test_a_clock_minutes_ahead_moves_no_other() -> None:
     mine = HybridClock()
-    assert not mine.hear((1_000_000 + 600_000) << LOGICAL, 1_000_000.0)
-    assert mine.stamp(1_000_000.0) >> LOGICAL == 1_000_000
-    assert mine.hear((1_000_000 + AHEAD) << LOGICAL, 1_000_000.0)
-    assert mine.stamp(1_000_000.0) > (1_000_000 + AHEAD) << LOGICAL
+    assert not mine.observe((1_000_000 + 600_000) << LOGICAL_BITS, 1_000_000.0)
+    assert mine.next_timestamp(1_000_000.0) >> LOGICAL_BITS == 1_000_000
+    assert mine.observe((1_000_000 + MAX_AHEAD_MS) << LOGICAL_BITS, 1_000_000.0)
+    assert mine.next_timestamp(1_000_000.0) > (1_000_000 + MAX_AHEAD_MS) << LOGICAL_BITS
 
 
 # -- registers -------------------------------------------------------------------------------------------
@@ -147,7 +147,7 @@
     for order in list(permutations(entries))[:24]:
         store = Store("me", 1)
         for entry in [*order, *order]:
-            store.take(entry, 0.0)
+            store.merge_entry(entry, 0.0)
         views.append(view(store))
     assert all(one == views[0] for one in views)
 
@@ -159,26 +159,26 @@
     rows = consistent([*first, *second])
     one, other = Store("me", 1), Store("you", 1)
     for entry in rows:
-        (one if entry in first else other).take(entry, 0.0)
+        (one if entry in first else other).merge_entry(entry, 0.0)
     for _ in range(4):
         for taker, giver in ((one, other), (other, one)):
-            for row in giver.rows():
+            for row in giver.summaries():
                 pull(taker, giver, row)
     assert {e for e in one.owners if e in "xyz"} == {e for e in other.owners if e in "xyz"}
     assert view(one) == view(other)
 
 
-def pull(taker: Store, giver: Store, row: Row) -> None:
-    wanted = taker.behind(row)
+def pull(taker: Store, giver: Store, row: OwnerSummary) -> None:
+    wanted = taker.pull_start(row)
     if wanted is None:
         return
     after, whole = wanted
     seqs, more = set[int](), True
     while more:
-        found = giver.piece(row.owner, row.epoch, after, 40, 0.0)
+        found = giver.entries_after(row.owner, row.epoch, after, 40, 0.0)
         assert found is not None
         now, upto, more, entries = found
-        taker.merge(now, after, upto, entries, 0.0)
+        taker.merge_batch(now, after, upto, entries, 0.0)
         seqs |= {entry.seq for entry in entries}
         after = upto
     if whole:
@@ -189,33 +189,33 @@
     owner, away = Store("x", 1), Store("y", 1)
     for key in ("k", "l"):
         owner.write(1, key, b"v", 0, 0.0)
-    pull(away, owner, owner.rows()[0])
+    pull(away, owner, owner.summaries()[0])
     owner.write(1, "k", None, 0, 1.0)
-    owner.sweep(1.0 + TOMBSTONE)
-    owner.sweep(2.0 + 2 * TOMBSTONE)
+    owner.expire_tombstones(1.0 + TOMBSTONE_S)
+    owner.expire_tombstones(2.0 + 2 * TOMBSTONE_S)
     assert len(owner.owners["x"].entries) == 1
     third = Store("z", 1)
-    pull(third, owner, owner.rows()[0])
-    pull(third, away, away.owners["x"].row("x"))  # who was away offers what it still has
-    assert [held.entry.key for held in third.standing(1)] == ["l"]
+    pull(third, owner, owner.summaries()[0])
+    pull(third, away, away.owners["x"].summary("x"))  # who was away offers what it still has
+    assert [held.entry.key for held in third.live_entries(1)] == ["l"]
     for _ in range(2):
-        pull(away, third, third.owners["x"].row("x"))
-    assert [held.entry.key for held in away.standing(1)] == ["l"]
+        pull(away, third, third.owners["x"].summary("x"))
+    assert [held.entry.key for held in away.live_entries(1)] == ["l"]
 
 
 def test_a_higher_epoch_voids_what_its_owner_said_before() -> None:
     store = Store("me", 1)
-    store.take(Entry("x", 1, 5, 1, "k", b"v", 0), 0.0)
-    store.take(Entry("x", 2, 1, 1, "l", b"w", 0), 0.0)
-    assert not store.take(Entry("x", 1, 6, 1, "k", b"v", 0), 0.0)
-    assert [held.entry.key for held in store.standing(1)] == ["l"]
+    store.merge_entry(Entry("x", 1, 5, 1, "k", b"v", 0), 0.0)
+    store.merge_entry(Entry("x", 2, 1, 1, "l", b"w", 0), 0.0)
+    assert not store.merge_entry(Entry("x", 1, 6, 1, "k", b"v", 0), 0.0)
+    assert [held.entry.key for held in store.live_entries(1)] == ["l"]
 
 
 def test_registers_are_bounded() -> None:
     store = Store("me", 1, entries=10)
     for n in range(50):
-        store.take(Entry("x", 1, n + 1, 1, f"k{n}", b"v", 0), 0.0)
-    assert len(store.owners["x"].entries) == 10 and store.refused == 40
+        store.merge_entry(Entry("x", 1, n + 1, 1, f"k{n}", b"v", 0), 0.0)
+    assert len(store.owners["x"].entries) == 10 and store.rejected == 40
 
 
 # -- the simulated network -------------------------------------------------------------------------------
@@ -251,7 +251,7 @@
     net.run(net.now + 12.0)
     assert net.agree()
     assert all(
-        machine.node.clock.last >> LOGICAL < 1_700_000_000_000 + 60_000
+        machine.node.clock.last >> LOGICAL_BITS < 1_700_000_000_000 + 60_000
         for machine in net.live()
         if machine.name != "m1"
     )
@@ -267,7 +267,7 @@
     net.add("m3")
     net.write("m3", 1, "k", b"after")
     net.run(net.now + 25.0, net.agree)
-    values = {held.entry.value for machine in net.live() for held in machine.node.store.standing(1)}
+    values = {held.entry.value for machine in net.live() for held in machine.node.store.live_entries(1)}
     assert net.agree() and values == {b"after"}
 
 
@@ -293,9 +293,9 @@
 def test_one_sick_balancer_cannot_empty_healthy_servers() -> None:
     store = Store("me", 1)
     for n in range(6):
-        store.take(Entry("x", 1, n + 1, facts.HEALTH, str(n), facts.pack(facts.HANGING), 0, 6000), 0.0)
+        store.merge_entry(Entry("x", 1, n + 1, facts.HEALTH, str(n), facts.pack(facts.HANGING), 0, 6000), 0.0)
     node = Node("me", "me", [KEY], [], random.Random(1), lambda: 1e12)
-    node.members.met("x", "x", 1, 1, 0.0)
+    node.members.record_contact("x", "x", 1, 1, 0.0)
     believed = facts.View(store, node.members)
     assert not believed.verdicts(12, 1.0) and len(believed.verdicts(24, 1.0)) == 6
     assert not believed.verdicts(24, 7.0)  # too old
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from snowwick.fleet.file import BadFleet, load, parse
+from snowwick.fleet.file import FleetFileError, load, parse
 
 ROOT = Path(__file__).parent.parent
 GOOD = 'version = 1\n[links]\nlisten = "127.0.0.1:7946"\nkey_file = "key"\nseeds = ["127.0.0.1:7947"]\n'
@@ -35,15 +35,15 @@
     ],
 )
 def test_faults_name_their_key(tmp_path: Path, change: tuple[str, str], fault: str) -> None:
-    with pytest.raises(BadFleet) as caught:
+    with pytest.raises(FleetFileError) as caught:
         parse(GOOD.replace(*change), folder(tmp_path))
     assert any(one.startswith(fault) for one in caught.value.faults), caught.value.faults
 
 
 def test_a_key_that_others_may_read_or_that_is_short_is_refused(tmp_path: Path) -> None:
-    with pytest.raises(BadFleet, match=r"links.key_file: .* may be read by others"):
+    with pytest.raises(FleetFileError, match=r"links.key_file: .* may be read by others"):
         parse(GOOD, folder(tmp_path, 0o640))
-    with pytest.raises(BadFleet, match=r"links.key_file: .* holds 5 bytes"):
+    with pytest.raises(FleetFileError, match=r"links.key_file: .* holds 5 bytes"):
         parse(GOOD, folder(tmp_path, key=b"short"))
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -100,7 +100,10 @@
 def test_the_reference_frame_is_full_and_passes() -> None:
     frame = reference_frame()
     sealed = wire.seal(frame, b"r" * 32)
-    assert wire.MOST - 100 < len(sealed) <= wire.MOST and wire.unseal(sealed, [b"r" * 32]) == frame
+    assert (
+        wire.MAX_FRAME_BYTES - 100 < len(sealed) <= wire.MAX_FRAME_BYTES
+        and wire.unseal(sealed, [b"r" * 32]) == frame
+    )
     assert 1e-6 < reference_loop(50, 3) < 1e-2
 
 
@@ -191,16 +194,22 @@
                 (one.name, one.address, one.incarnation, one.boot, one.state)
                 for one in machine.node.members.records.values()
             ),
-            sorted(machine.node.members.turns) if net.now == 0.0 else None,
+            sorted(machine.node.members.probe_order) if net.now == 0.0 else None,
             {
                 owner: (
                     one.epoch,
-                    one.complete,
+                    one.complete_seq,
                     one.hash,
-                    one.bytes,
-                    sorted(one.ahead),
+                    one.size_bytes,
+                    sorted(one.seqs_ahead),
                     sorted(
-                        (held.entry.kind, held.entry.key, held.entry.seq, held.entry.value, held.entry.stamp)
+                        (
+                            held.entry.kind,
+                            held.entry.key,
+                            held.entry.seq,
+                            held.entry.value,
+                            held.entry.timestamp,
+                        )
                         for held in one.entries.values()
                     ),
                 )
@@ -230,16 +239,20 @@
     assert by_itself.agree()
     by_itself.run(by_itself.now + 10.0)  # all is told by then
     for one in at_once.machines.values():
-        assert sorted(one.node.members.turns) == sorted(at_once.machines.keys() - {one.name})
-        assert not one.node.store.rumours and not one.node.members.rumours and not one.node.take_out()
+        assert sorted(one.node.members.probe_order) == sorted(at_once.machines.keys() - {one.name})
+        assert (
+            not one.node.store.gossip_queue
+            and not one.node.members.gossip_queue
+            and not one.node.take_datagrams()
+        )
     for machine in by_itself.machines.values():
-        assert not machine.node.store.rumours and not machine.node.members.rumours
+        assert not machine.node.store.gossip_queue and not machine.node.members.gossip_queue
     first, second = held(at_once), held(by_itself)
     for name in first:
         assert first[name][0::2] == second[name][0::2]  # type: ignore[index]
     at_once.run(20.0)
     assert at_once.agree() and held(at_once) == {name: (row[0], None, row[2]) for name, row in first.items()}  # type: ignore[index]
-    assert all(machine.node.caught for machine in at_once.machines.values())
+    assert all(machine.node.caught_up for machine in at_once.machines.values())
 
 
 # -- a row -----------------------------------------------------------------------------------------------
