--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -27,7 +27,7 @@
 from snowwick.net.decider import Decider
 from snowwick.net.desks import Desks
 from snowwick.net.loop import Loop
-from snowwick.net.path import Ask, ask_of
+from snowwick.net.path import Request, make_request
 
 BEFORE = "52cd155a84a0"  # the last commit without contracts, for the memory of a program without them
 WITHIN = 3.0  # s: the stated reclaim time
@@ -164,12 +164,12 @@
             lines.parse_opening(b"OPEN 1 k%d c=feed,t=t%d,d=1200,g=g\r\n" % (n, n * 7919 % count))
             for n in range(20000)
         ]
-        self.standing: deque[Ask] = deque()
+        self.standing: deque[Request] = deque()
 
     def run(self, requests: int) -> float:
         """us of CPU a request, its connection's end in it."""
         stage, client = self.stage, Nobody()
-        asks = [ask_of(client, self.openings[(self.asked + n) % 20000], True) for n in range(requests)]
+        asks = [make_request(client, self.openings[(self.asked + n) % 20000], True) for n in range(requests)]
         step = 1.0 / (4.5 * self.count)
         gc.collect()
         gc.freeze()  # the collector's walks over the benchmark's own lists are no cost of the stage
@@ -177,10 +177,10 @@
         for ask in asks:
             self.now += step
             if stage.enter(ask) is None:
-                stage.stands(ask)
+                stage.on_established(ask)
                 self.standing.append(ask)
                 if len(self.standing) > 12 * self.count:
-                    stage.over(self.standing.popleft())
+                    stage.on_ended(self.standing.popleft())
         took = time.process_time() - began
         self.asked += requests
         return 1e6 * took / requests
--- a/snowwick/__main__.py
+++ b/snowwick/__main__.py
@@ -46,9 +46,9 @@
 )
 def serve(log_format: str, contracts: Path | None, fleet: Path | None) -> None:
     """Serve, as GW_CONFIG and the other GW_ variables say, until SIGTERM."""
-    from snowwick.net.signals import CaughtSignals
+    from snowwick.net.signals import SignalSockets
 
-    caught = CaughtSignals()  # before the configuration is read: what changes after that is reread
+    caught = SignalSockets()  # before the configuration is read: what changes after that is reread
     from snowwick.log import Log, as_json, as_text
     from snowwick.net.loop import Loop
     from snowwick.net.service import Service
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/hollow.py
@@ -69,16 +69,16 @@
     def __init__(self, loop: Loop) -> None:
         self.loop, self.pool_config = loop, PoolConfig(lambda _: None)
 
-    def served(self) -> Iterable[tuple[int, float]]:
+    def last_answer_times(self) -> Iterable[tuple[int, float]]:
         return ()
 
-    def held(self) -> Iterable[Mapping[int, int]]:
+    def connection_counts(self) -> Iterable[Mapping[int, int]]:
         return ()
 
-    def hear(self, message: Silent) -> None:
+    def report_silent(self, message: Silent) -> None:
         """Nobody to tell."""
 
-    def news(self, news: PoolNews) -> None:
+    def apply_pool_news(self, news: PoolNews) -> None:
         """Nobody to tell."""
 
 
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -12,7 +12,7 @@
 from snowwick.net.decider import MoveAway
 from snowwick.net.desks import Desks
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
-from snowwick.net.path import Ask, Stage, Turned
+from snowwick.net.path import Rejection, Request, Stage
 
 
 class Look:
@@ -60,11 +60,11 @@
         index: int,
         seed: int,
         longest_ms: float,
-        come_again_ms: Callable[[], float],
+        retry_after_ms: Callable[[], float],
     ) -> None:
         self.loop, self.contracts, self.desks = loop, contracts, desks
         self.balancers, self.index = balancers, index
-        self.longest_ms, self.come_again_ms = longest_ms, come_again_ms
+        self.longest_ms, self.retry_after_ms = longest_ms, retry_after_ms
         self.ledger = AdmissionController(
             balancer_limits(contracts, balancers, index), seed, longest_ms / 1000.0
         )
@@ -136,16 +136,16 @@
         self.desks.set(self.contracts.pools, tenants, running)
         self.tenants = {tenant: self.ledger.teams[name] for tenant, name in self.contracts.tenants.items()}
 
-    def _busy(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Turned:
-        wait = self.come_again_ms() if wait_ms is None else wait_ms
-        return Turned(lines.busy_line(min(max(1.0, wait), self.longest_ms)), reason, detail)
+    def _busy(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Rejection:
+        wait = self.retry_after_ms() if wait_ms is None else wait_ms
+        return Rejection(lines.busy_line(min(max(1.0, wait), self.longest_ms)), reason, detail)
 
-    def enter(self, ask: Ask) -> Turned | None:
+    def enter(self, ask: Request) -> Rejection | None:
         now, team = self.loop.clock(), self.tenants.get(ask.tenant)
         if team is None:
-            return self._busy("no-contract") if not ask.at else None
+            return self._busy("no-contract") if not ask.resumed_destination else None
         ask.team, pool = team.name, team.pool
-        if ask.at:  # it stood before: counted, never refused
+        if ask.resumed_destination:  # it stood before: counted, never refused
             ask.lease = self.ledger.adopt(now, ask.client, ask.team, ask.class_name)
             ask.decider = self.desks.deciders[pool]
             return None
@@ -158,21 +158,21 @@
             return self._busy(got.reason, f"limit={got.limit}", 1000.0 * got.retry_after_s)
         self.let_in[ask.team] += 1
         ask.lease, ask.decider = got, self.desks.deciders[pool]
-        ask.wait = min(ask.wait, got.class_state.max_wait_ms)
+        ask.wait_ms = min(ask.wait_ms, got.class_state.max_wait_ms)
         self.reclaimer.look()
         return None
 
-    def stands(self, ask: Ask) -> None:
+    def on_established(self, ask: Request) -> None:
         if isinstance(ask.lease, Lease):
             self.ledger.mark_established(ask.lease)
             if self.ledger.teams_over_ceiling or self.ledger.misplaced_leases:
                 self.reclaimer.look()
 
-    def load(self, ask: Ask, figure: float) -> None:
+    def on_load(self, ask: Request, figure: float) -> None:
         if isinstance(ask.lease, Lease):
             self.ledger.update_load(ask.lease, figure)
             self.reclaimer.look()
 
-    def over(self, ask: Ask) -> None:
+    def on_ended(self, ask: Request) -> None:
         if isinstance(ask.lease, Lease):
             self.ledger.release(ask.lease)
--- a/snowwick/net/desks.py
+++ b/snowwick/net/desks.py
@@ -92,6 +92,6 @@
             for decider in self.deciders.values():
                 decider.post(message)
             return
-        ask: Any = getattr(message.client, "ask", None)
+        ask: Any = getattr(message.client, "request", None)
         if ask is not None:
             ask.post(message)
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -14,26 +14,29 @@
 from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
 from snowwick.net.peer import LinePeer, PeerEnded, RelayedLines, configure_socket, connect
 
-SILENT = 5.5  # s without a line back after which a client is moved: the protocol allows seven
-UNANSWERED = 3.0  # s that a line must have waited before silence counts
-ENDINGS = {Reply.BYE: Outcome.OK, Reply.MOVE: Outcome.CANCELLED}  # of what stands, by its last line
-ANSWERS = {**ENDINGS, Reply.BUSY: Outcome.FULL}
+SILENCE_TIMEOUT_S = 5.5  # s without a line back after which a client is moved: the protocol allows seven
+MIN_UNANSWERED_S = 3.0  # s that a line must have waited before silence counts
+OUTCOME_BY_LAST_LINE = {
+    Reply.BYE: Outcome.OK,
+    Reply.MOVE: Outcome.CANCELLED,
+}  # once established
+OUTCOME_BY_ANSWER = {**OUTCOME_BY_LAST_LINE, Reply.BUSY: Outcome.FULL}
 
 
 @dataclass(slots=True)
-class Up:
+class ConnectionEstablished:
     """To the front: the connection stands; ``line`` is what the destination said."""
 
     line: bytes
-    elapsed: float
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
-class Over:
+class ConnectionEnded:
     """To the front: the route step, or the connection it became, has ended at the destination."""
 
     outcome: Outcome
-    elapsed: float
+    elapsed_ms: float
 
 
 class Destination(LinePeer):
@@ -43,21 +46,31 @@
         self,
         loop: Loop,
         front: LinePeer,
-        number: int,
+        destination_number: int,
         address: tuple[str, int],
         opening: bytes,
-        wait: float,
-        connect_wait: float,
+        wait_s: float,
+        connect_timeout_s: float,
         gauge: Gauge,
     ) -> None:
         super().__init__(loop, configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
-        self.front, self.number, self.address, self.opening = front, number, address, opening
-        self.gauge, self.meter = gauge, Meter(front, number, Answers())  # the gauge's own once it stands
-        self.began = loop.clock()
-        self.until = self.began + wait
-        self.connect_until = min(self.until, self.began + connect_wait)
-        self.last = Reply.OTHER  # what the last line from the destination was
-        self.told = self.unwanted = False  # told the front of its end; the client stirred before the opening
+        self.front, self.destination_number, self.address, self.opening = (
+            front,
+            destination_number,
+            address,
+            opening,
+        )
+        self.gauge, self.meter = (
+            gauge,
+            Meter(front, destination_number, Answers()),
+        )
+        self.started_at = loop.clock()
+        self.answer_deadline = self.started_at + wait_s
+        self.connect_deadline = min(self.answer_deadline, self.started_at + connect_timeout_s)
+        self.last_reply = Reply.OTHER  # what the last line from the destination was
+        self.end_reported = self.abandoned = (
+            False  # told the front of its end; the client stirred before the opening
+        )
 
     def run(self) -> Coroutine:
         outcome: Outcome | None = Outcome.RESET
@@ -68,7 +81,7 @@
                 self.other_side = self.front
                 yield from self.relay()
         except OSError:
-            outcome = ENDINGS.get(self.last, Outcome.RESET)  # what it said last holds, however it closed
+            outcome = OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET)
             self.notify_other_side(PeerEnded(reset=True))
         except lines.MalformedLine:
             # The destination still answers: its client is sent away politely, not cut off.
@@ -77,15 +90,15 @@
             self.gauge.remove(self.meter)
             # Closed before the front hears of it: the next route step must not find this one still out.
             self.close_socket()
-            self._over(outcome or Outcome.RESET)
+            self._report_end(outcome or Outcome.RESET)
 
-    def _elapsed(self) -> float:
-        return 1000.0 * (self.loop.clock() - self.began)
+    def _elapsed_ms(self) -> float:
+        return 1000.0 * (self.loop.clock() - self.started_at)
 
-    def _over(self, outcome: Outcome) -> None:
-        if not self.told:
-            self.told = True
-            self.front.post(Over(outcome, self._elapsed()))
+    def _report_end(self, outcome: Outcome) -> None:
+        if not self.end_reported:
+            self.end_reported = True
+            self.front.post(ConnectionEnded(outcome, self._elapsed_ms()))
 
     def _set_up(self) -> Generator[Wait, int, Outcome | None]:
         """Connect, send the opening line, take the answer; None once the connection stands."""
@@ -96,9 +109,9 @@
         if self.mailbox:
             return Outcome.CANCELLED
         if self.output_buffer:
-            return Outcome.UNSENT if self.unwanted else Outcome.CONNECT_FAILED
+            return Outcome.UNSENT if self.abandoned else Outcome.CONNECT_FAILED
         while True:
-            woke = yield Wait(self.sock, read=True, until=self.until)
+            woke = yield Wait(self.sock, read=True, until=self.answer_deadline)
             if self.mailbox:
                 return Outcome.CANCELLED
             # Read once more as the time runs out: an answer that has come is no time-out.
@@ -110,10 +123,10 @@
                 while (line := lines.take_line(self.input_buffer)) is not None:
                     said = lines.reply_kind(line)
                     if said is Reply.UP and lines.is_up_line(line):
-                        self._stands(line)
+                        self._establish(line)
                         return None
                     if said is not Reply.LOAD:
-                        return ANSWERS.get(said, Outcome.ERROR)
+                        return OUTCOME_BY_ANSWER.get(said, Outcome.ERROR)
                 if not going:
                     return Outcome.RESET
             if woke & TIMED_OUT:
@@ -122,15 +135,15 @@
     def _send_opening(self) -> Coroutine:
         """Returns with ``out`` not empty where the time ran out."""
         self.output_buffer += self.opening
-        if not (yield from connect(self, self.sock, self.address, self.connect_until)):
+        if not (yield from connect(self, self.sock, self.address, self.connect_deadline)):
             return
         # The client may have gone while the connection came up, and its side may be resumed after this one.
-        self.unwanted = self.front.has_unread_input()
-        if self.unwanted:
+        self.abandoned = self.front.has_unread_input()
+        if self.abandoned:
             return
         self._write()
         while self.output_buffer and not self.mailbox:
-            woke = yield Wait(self.sock, write=True, until=self.until)
+            woke = yield Wait(self.sock, write=True, until=self.answer_deadline)
             if woke & TIMED_OUT:
                 return
             self._write()
@@ -140,9 +153,9 @@
         with contextlib.suppress(BlockingIOError):
             del self.output_buffer[: self.sock.send(self.output_buffer)]
 
-    def _stands(self, line: bytes) -> None:
-        self.front.post(Up(line, self._elapsed()))
-        self.meter = self.gauge.add(self.front, self.number)
+    def _establish(self, line: bytes) -> None:
+        self.front.post(ConnectionEstablished(line, self._elapsed_ms()))
+        self.meter = self.gauge.add(self.front, self.destination_number)
         rest = lines.take_lines(self.input_buffer)
         if rest:
             self.on_lines(rest)
@@ -151,26 +164,26 @@
     def on_lines(self, data: bytes) -> None:
         now = self.loop.clock()
         for line in data.splitlines(keepends=True):
-            self.last = lines.reply_kind(line)
-            if self.last is not Reply.LOAD:
+            self.last_reply = lines.reply_kind(line)
+            if self.last_reply is not Reply.LOAD:
                 self.meter.answered(now)
             elif (load := lines.parse_load(line)) is not None:
-                self.front.post(Load(self.front, self.number, load))
+                self.front.post(Load(self.front, self.destination_number, load))
 
     def on_message(self, message: object) -> None:
         if isinstance(message, RelayedLines):
             self.meter.sent(self.loop.clock(), message.data.count(b"\n"))
         elif isinstance(message, PeerEnded):
-            self._over(Outcome.CANCELLED)
+            self._report_end(Outcome.CANCELLED)
         super().on_message(message)
 
     def on_input_ended(self) -> None:
-        self._over(ENDINGS.get(self.last, Outcome.RESET))
+        self._report_end(OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET))
 
     def next_deadline(self) -> float | None:
         if self.close_deadline is not None or not self.meter.asked:
             return self.close_deadline
-        return max(self.meter.heard + SILENT, self.meter.asked[0] + UNANSWERED)
+        return max(self.meter.heard + SILENCE_TIMEOUT_S, self.meter.asked[0] + MIN_UNANSWERED_S)
 
     def on_deadline(self) -> bool:
         """Guards against a destination that hangs or vanished: its connection stays open and says nothing."""
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from snowwick.broker.contract import Contracts
     from snowwick.net.contracts import ContractStage
-    from snowwick.net.host import Host
+    from snowwick.net.host import FleetHost
 
 # Datagrams taken a turn; after as many the socket rests, so that a flood of frames that prove to be
 READS = 16
@@ -44,7 +44,7 @@
 
     restart_after_fault = True
 
-    def __init__(self, host: Host, file: FleetFile, name: str, rng: random.Random) -> None:
+    def __init__(self, host: FleetHost, file: FleetFile, name: str, rng: random.Random) -> None:
         super().__init__(host.loop)
         self.host, self.file, self.log = host, file, host.loop.log
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -208,7 +208,7 @@
 
     def _health(self, now: float, known: int) -> None:
         health = self.health
-        for destination, heard in self.host.served():
+        for destination, heard in self.host.last_answer_times():
             watched = health.watched.setdefault(destination, facts.Watched())
             watched.served = max(watched.served, heard)
         health.forget(self.host.pool_config.addresses.__contains__)
@@ -225,7 +225,7 @@
             del self.said[destination]
             self._write(facts.HEALTH, str(destination), None, now)
         for destination in health.judge(verdicts, now):
-            self.host.hear(Silent(destination))
+            self.host.report_silent(Silent(destination))
 
     def _list(self, now: float) -> None:
         pool, source = self.host.pool_config, self.file.share.discovery
@@ -242,7 +242,7 @@
                 count=len(fresh),
                 version=pool.version,
             )
-            self.host.news(
+            self.host.apply_pool_news(
                 PoolNews(i.ListKind.CHANGES, [_leaving(pool.entries[one]) for one in sorted(fresh)])
             )
         back = [
@@ -251,12 +251,12 @@
             if one in pool.entries and pool.entries[one].state is i.State.READY
         ]
         if back:  # the newer list was taken back, as after a restore
-            self.host.news(PoolNews(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
+            self.host.apply_pool_news(PoolNews(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
         self.left = frozenset(heed)
 
     def _load(self, now: float) -> None:
         chunks: dict[int, dict[int, int]] = defaultdict(dict)
-        for pool in self.host.held():
+        for pool in self.host.connection_counts():
             for destination, held in pool.items():
                 counts = chunks[facts.chunk_of(destination)]
                 counts[destination] = counts.get(destination, 0) + held
--- a/snowwick/net/host.py
+++ b/snowwick/net/host.py
@@ -16,7 +16,7 @@
     from snowwick.net.pool import PoolConfig
 
 
-class Host(Protocol):
+class FleetHost(Protocol):
     """Carries one fleet link."""
 
     @property
@@ -31,16 +31,16 @@
     def contract_stage(self) -> ContractStage | None:
         """Holds requests to the contracts; None where there are none."""
 
-    def served(self) -> Iterable[tuple[int, float]]:
+    def last_answer_times(self) -> Iterable[tuple[int, float]]:
         """The destinations that connections stand at, each with when it last answered a line, in s on the
         loop's clock.
         """
 
-    def held(self) -> Iterable[Mapping[int, int]]:
+    def connection_counts(self) -> Iterable[Mapping[int, int]]:
         """How many connections stand or are being set up at each destination, one mapping for each pool."""
 
-    def hear(self, message: Silent) -> None:
+    def report_silent(self, message: Silent) -> None:
         """A destination answers nobody, by what others say."""
 
-    def news(self, news: PoolNews) -> None:
+    def apply_pool_news(self, news: PoolNews) -> None:
         """Destinations leave, or come back, by what others say."""
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -13,11 +13,11 @@
 from snowwick.net import lines
 from snowwick.net.decider import Arrived, Client, Decider, Kept
 
-MARGIN = 20.0  # ms taken off the client's patience, so that the answer is there in time
+ANSWER_MARGIN_MS = 20.0  # ms taken off the client's patience, so that the answer is there in time
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class Request:
     """One client's request and the connection it becomes; ``wait`` is in ms."""
 
     client: Client
@@ -25,27 +25,27 @@
     class_name: str
     tenant: str
     group: str
-    wait: float
-    at: str = ""  # the destination where the connection stood before this program started
+    wait_ms: float
+    resumed_destination: str = ""  # the destination where the connection stood before this program started
     decider: Decider | None = None
     team: str = ""
     lease: object | None = None
-    entered: int = 0
+    stages_entered: int = 0
 
     def post(self, message: object) -> None:
         """Tell whoever decides on it; before that is settled nobody needs to know."""
         if self.decider is not None:
             self.decider.post(message)
 
-    def kept(self, destination: int) -> None:
+    def report_resumed(self, destination: int) -> None:
         """Tell the decider of a connection that it never placed."""
         self.post(Kept(self.client, self.class_name, destination, self.opening.key, self.group, self.tenant))
 
 
-def ask_of(client: Client, opening: lines.Opening, groups: bool) -> Ask:
+def make_request(client: Client, opening: lines.Opening, groups: bool) -> Request:
     """What an opening line asks for; ``groups`` says whether the settings give ``g`` a meaning."""
     values = opening.values
-    return Ask(
+    return Request(
         client,
         opening,
         values.get("c", ""),
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Turned:
+class Rejection:
     """The request ends at this stage: its final answer, the reason code and more for the log."""
 
     line: bytes
@@ -68,99 +68,99 @@
 class Stage:
     """One step of the path.  What it does not override is of no interest to it."""
 
-    def enter(self, ask: Ask) -> Turned | None:
+    def enter(self, request: Request) -> Rejection | None:
         """Let the request on, or say how it ends; who turns it away is not told that it is over."""
         return None
 
-    def stands(self, ask: Ask) -> None:
+    def on_established(self, request: Request) -> None:
         """The connection is up."""
 
-    def load(self, ask: Ask, figure: float) -> None:
+    def on_load(self, request: Request, load_per_s: float) -> None:
         """The work a second that the connection asks for now."""
 
-    def over(self, ask: Ask) -> None:
+    def on_ended(self, request: Request) -> None:
         """Nothing of it is left at a destination, or it never got there: once for each that entered."""
 
 
-class Path:
+class RequestPath:
     """The stages in order."""
 
     def __init__(self, stages: Sequence[Stage]) -> None:
         self.stages = list(stages)
 
-    def enter(self, ask: Ask) -> Turned | None:
+    def enter(self, request: Request) -> Rejection | None:
         for stage in self.stages:
-            turned = stage.enter(ask)
-            if turned is not None:
-                self.over(ask)
-                return turned
-            ask.entered += 1
+            rejection = stage.enter(request)
+            if rejection is not None:
+                self.on_ended(request)
+                return rejection
+            request.stages_entered += 1
         return None
 
-    def stands(self, ask: Ask) -> None:
-        for stage in self.stages[: ask.entered]:
-            stage.stands(ask)
+    def on_established(self, request: Request) -> None:
+        for stage in self.stages[: request.stages_entered]:
+            stage.on_established(request)
 
-    def load(self, ask: Ask, figure: float) -> None:
-        for stage in self.stages[: ask.entered]:
-            stage.load(ask, figure)
+    def on_load(self, request: Request, load_per_s: float) -> None:
+        for stage in self.stages[: request.stages_entered]:
+            stage.on_load(request, load_per_s)
 
-    def over(self, ask: Ask) -> None:
-        entered, ask.entered = ask.entered, 0
-        for stage in reversed(self.stages[:entered]):
-            stage.over(ask)
+    def on_ended(self, request: Request) -> None:
+        stages_entered, request.stages_entered = request.stages_entered, 0
+        for stage in reversed(self.stages[:stages_entered]):
+            stage.on_ended(request)
 
 
-class Openings(Stage):
+class OpeningStage(Stage):
     """The opening line holds what a usual client sends, and its id is open once only."""
 
     def __init__(self, deadlines: Mapping[str, float], tenants: frozenset[str]) -> None:
         self.deadlines, self.tenants = deadlines, tenants
-        self.open: dict[str, Ask] = {}
+        self.open_requests: dict[str, Request] = {}
 
-    def enter(self, ask: Ask) -> Turned | None:
+    def enter(self, request: Request) -> Rejection | None:
         try:
-            lines.check_opening(ask.opening, self.deadlines, self.tenants)
+            lines.check_opening(request.opening, self.deadlines, self.tenants)
         except lines.MalformedLine as error:
-            return Turned(lines.ERR, "garbled", str(error))
-        if ask.opening.id in self.open:
-            return Turned(lines.ERR, "garbled", "id is open already")
-        self.open[ask.opening.id] = ask
+            return Rejection(lines.ERR, "garbled", str(error))
+        if request.opening.id in self.open_requests:
+            return Rejection(lines.ERR, "garbled", "id is open already")
+        self.open_requests[request.opening.id] = request
         return None
 
-    def over(self, ask: Ask) -> None:
-        del self.open[ask.opening.id]
+    def on_ended(self, request: Request) -> None:
+        del self.open_requests[request.opening.id]
 
 
-class Room(Stage):
+class CapacityStage(Stage):
     """The program itself: while it ends, or is short of descriptors, nothing more is begun."""
 
-    def __init__(self, full: Callable[[], str], come_again_ms: Callable[[], float]) -> None:
-        self.full, self.come_again_ms = full, come_again_ms
+    def __init__(self, rejection_reason: Callable[[], str], retry_after_ms: Callable[[], float]) -> None:
+        self.rejection_reason, self.retry_after_ms = rejection_reason, retry_after_ms
 
-    def enter(self, ask: Ask) -> Turned | None:
-        reason = self.full()
-        return Turned(lines.busy_line(self.come_again_ms()), reason) if reason else None
+    def enter(self, request: Request) -> Rejection | None:
+        reason = self.rejection_reason()
+        return Rejection(lines.busy_line(self.retry_after_ms()), reason) if reason else None
 
 
-class Decisions(Stage):
+class DeciderStage(Stage):
     """The module: ``choose`` names the decider of an ask that no earlier stage has given one."""
 
-    def __init__(self, choose: Callable[[Ask], Decider]) -> None:
-        self.choose = choose
+    def __init__(self, choose_decider: Callable[[Request], Decider]) -> None:
+        self.choose_decider = choose_decider
 
-    def enter(self, ask: Ask) -> Turned | None:
-        if ask.decider is None:
-            ask.decider = self.choose(ask)
-        if not ask.at:
-            ask.post(
+    def enter(self, request: Request) -> Rejection | None:
+        if request.decider is None:
+            request.decider = self.choose_decider(request)
+        if not request.resumed_destination:
+            request.post(
                 Arrived(
-                    ask.client,
-                    ask.class_name,
-                    max(0.0, ask.wait - MARGIN),
-                    ask.opening.key,
-                    ask.group,
-                    ask.tenant,
+                    request.client,
+                    request.class_name,
+                    max(0.0, request.wait_ms - ANSWER_MARGIN_MS),
+                    request.opening.key,
+                    request.group,
+                    request.tenant,
                 )
             )
         return None
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -19,14 +19,14 @@
 from snowwick.log import Log
 from snowwick.net.decider import Decider, MoveAway, PoolNews, Silent
 from snowwick.net.desks import Desks
-from snowwick.net.front import SETTLE, Closing, Front, MakeRoom
+from snowwick.net.front import MIN_IDLE_S, EvictIdle, Front, ShuttingDown
 from snowwick.net.gauge import Gauge
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
-from snowwick.net.path import Ask, Decisions, Openings, Path, Room
+from snowwick.net.path import CapacityStage, DeciderStage, OpeningStage, Request, RequestPath
 from snowwick.net.peer import READ_SIZE_BYTES
 from snowwick.net.pool import CallFailed, NewAddress, Pool, PoolConfig, WatchPool
 from snowwick.net.probe import Probe
-from snowwick.net.signals import CaughtSignals
+from snowwick.net.signals import SignalSockets
 
 if TYPE_CHECKING:
     from snowwick.broker.contract import Contracts
@@ -136,12 +136,12 @@
         self.read_contracts = contracts
         self.contract_stage = self.make_contract_stage(contracts()) if contracts is not None else None
         stages = [
-            Openings(config.deadlines, config.tenants),
-            Room(self.full, self.come_again_ms),
+            OpeningStage(config.deadlines, config.tenants),
+            CapacityStage(self.full, self.retry_after_ms),
             self.contract_stage,
-            Decisions(self.choose_decider),
+            DeciderStage(self.choose_decider),
         ]
-        self.path = Path([stage for stage in stages if stage is not None])
+        self.request_path = RequestPath([stage for stage in stages if stage is not None])
 
     def settings_for(self, tenants: frozenset[str]) -> Settings:
         """The settings with no tenants but these."""
@@ -167,16 +167,16 @@
     def pool_config(self) -> PoolConfig:
         return self.pool.config
 
-    def served(self) -> Iterator[tuple[int, float]]:
+    def last_answer_times(self) -> Iterator[tuple[int, float]]:
         return ((destination, answers.heard) for destination, answers in self.gauge.answers.items())
 
-    def held(self) -> Iterator[dict[int, int]]:
+    def connection_counts(self) -> Iterator[dict[int, int]]:
         return (decider.held() for decider in self.desks.deciders.values())
 
-    def hear(self, message: Silent) -> None:
+    def report_silent(self, message: Silent) -> None:
         self.desks.hear(message)
 
-    def news(self, news: PoolNews) -> None:
+    def apply_pool_news(self, news: PoolNews) -> None:
         self.desks.news(news)
 
     # -- the parts ---------------------------------------------------------------------------------------
@@ -190,11 +190,11 @@
 
     def probe(self, destination: int, decider: Decider) -> None:
         """Time a PING to a destination, where the pool config has it and a descriptor is to spare."""
-        address = self.address(destination)
+        address = self.destination_address(destination)
         if address is not None and not self.short_of_sockets():
             with contextlib.suppress(OSError):  # no descriptor after all: one probe fewer
                 Probe(
-                    self.loop, destination, address, self.connect_wait, decider, self.config.load_field
+                    self.loop, destination, address, self.connect_timeout_s, decider, self.config.load_field
                 ).start()
 
     def make_contract_stage(self, contracts: Contracts) -> ContractStage:
@@ -209,12 +209,16 @@
             settings.index,
             self.config.seed,
             settings.max_retry_after,
-            self.come_again_ms,
+            self.retry_after_ms,
         )
 
-    def choose_decider(self, ask: Ask) -> Decider:
+    def choose_decider(self, ask: Request) -> Decider:
         """For an ask that no contract has given a pool."""
-        return self.desks.of_destination(self.number(ask.at)) if ask.at else self.decider
+        return (
+            self.desks.of_destination(self.destination_number(ask.resumed_destination))
+            if ask.resumed_destination
+            else self.decider
+        )
 
     @property
     def decider(self) -> Decider:
@@ -222,17 +226,17 @@
         return next(iter(self.desks.deciders.values()))
 
     @property
-    def groups(self) -> bool:
+    def groups_enabled(self) -> bool:
         return self.config.groups
 
     @property
-    def connect_wait(self) -> float:
+    def connect_timeout_s(self) -> float:
         return self.config.settings.connect_timeout / 1000.0
 
-    def number(self, name: str) -> int:
+    def destination_number(self, name: str) -> int:
         return self.pool.number(name)
 
-    def address(self, destination: int) -> tuple[str, int] | None:
+    def destination_address(self, destination: int) -> tuple[str, int] | None:
         return self.pool.address(destination)
 
     def now_ms(self) -> float:
@@ -258,9 +262,9 @@
             self.log.event("bad-list", "known: {error}", error=str(error))
         Acceptor(self, self.listener).start()
 
-    def serve(self, caught: CaughtSignals) -> None:
+    def serve(self, caught: SignalSockets) -> None:
         """Run until a signal ends it, also one that came while the program was starting."""
-        Signals(self, caught.inner).start()
+        Signals(self, caught.read_end).start()
         self.start()
         host, port = self.listener.getsockname()
         self.log.event(
@@ -329,13 +333,13 @@
         while self.loop.clock() < last:
             passed = self.loop.clock() - began - STILL_COMING
             if passed > 0.0:
-                standing = [front for front in self.fronts if front.up and not front.closing]
+                standing = [front for front in self.fronts if front.established and not front.closing]
                 turns = max(1.0, (moving - passed) / PAUSE)
                 for front in self.random.sample(standing, math.ceil(len(standing) / turns)):
                     front.post(MoveAway("draining"))
             if self.loop.clock() >= last - LAST:
                 for front in self.fronts:
-                    front.post(Closing())
+                    front.post(ShuttingDown())
             if passed > SURE and not self.fronts and not self.take_in():
                 break
             yield Wait(until=min(last, self.loop.clock() + PAUSE))
@@ -354,18 +358,18 @@
         self.idle[front] = None
         front.start()
 
-    def asks(self, front: Front) -> None:
+    def on_request(self, front: Front) -> None:
         self.idle.pop(front, None)
 
-    def asks_no_more(self, front: Front) -> None:
+    def on_answered(self, front: Front) -> None:
         """Last in the row of those who are ended where room is wanted: its answer is on its way."""
         self.idle.pop(front, None)
         self.idle[front] = None
 
-    def ended(self, front: Front) -> None:
+    def on_front_closed(self, front: Front) -> None:
         self.fronts.discard(front)
         self.idle.pop(front, None)
-        ask = front.ask
+        ask = front.request
         self.log.event(
             "connection-ended",
             "{id} {reason} {seconds:.3f}s to={destination}"
@@ -373,8 +377,8 @@
             + " {detail}",
             id=ask.opening.id if ask else "-",
             reason=front.reason,
-            destination=front.number,
-            seconds=round(self.loop.clock() - front.began, 3),
+            destination=front.destination_number,
+            seconds=round(self.loop.clock() - front.request_started_at, 3),
             team=ask.team if ask else "",
             detail=front.detail,
         )
@@ -397,10 +401,10 @@
         if len(self.idle) < max(ANSWERING, WAITING_PART * free) and self.loop.open_sockets < self.limit:
             return True
         for front in islice(self.idle, ACCEPTS):
-            if self.loop.clock() - front.accepted >= SETTLE:
-                front.post(MakeRoom())
+            if self.loop.clock() - front.accepted_at >= MIN_IDLE_S:
+                front.post(EvictIdle())
         return False
 
-    def come_again_ms(self) -> float:
+    def retry_after_ms(self) -> float:
         """When a client that gets a busy reply without a decision should return: spread, not in step."""
         return self.config.settings.max_retry_after * (0.5 + 0.5 * self.random.random())
--- a/snowwick/net/signals.py
+++ b/snowwick/net/signals.py
@@ -6,13 +6,13 @@
 import socket
 
 
-class CaughtSignals:
+class SignalSockets:
     """SIGTERM, SIGINT and SIGHUP are written to ``inner`` from now on; imports little, to be first."""
 
     def __init__(self) -> None:
-        self.inner, self.outer = socket.socketpair()
-        for end in (self.inner, self.outer):
+        self.read_end, self.write_end = socket.socketpair()
+        for end in (self.read_end, self.write_end):
             end.setblocking(False)
-        signal.set_wakeup_fd(self.outer.fileno(), warn_on_full_buffer=False)
+        signal.set_wakeup_fd(self.write_end.fileno(), warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: None)
--- a/snowwick/net/timers.py
+++ b/snowwick/net/timers.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-SLOTS = 1000.0  # a second
-FAR, WIDE = 2.0, 50  # s from which a wait may end late by a slot of so many
-EARLY = 0.001  # of a slot by which a wait may fire early: products of floats are not whole
+SLOTS_PER_S = 1000.0  # a second
+FAR_WAIT_S, FAR_WAIT_SLOTS = 2.0, 50  # s from which a wait may end late by a slot of so many
+EARLY_TOLERANCE_SLOTS = 0.001  # of a slot by which a wait may fire early: products of floats are not whole
 
 T = TypeVar("T")
 
@@ -25,31 +25,31 @@
 class Timers(Generic[T]):
     """Waits by the time at which they end, in seconds on the given clock."""
 
-    def __init__(self, clock: Callable[[], float], fire: Callable[[T], None]) -> None:
-        self.clock, self.fire = clock, fire
-        self.queue = sched.scheduler(clock, lambda _: None)
+    def __init__(self, clock: Callable[[], float], on_expired: Callable[[T], None]) -> None:
+        self.clock, self.on_expired = clock, on_expired
+        self.scheduler = sched.scheduler(clock, lambda _: None)
         self.slots: dict[int, dict[T, None]] = {}
 
-    def set(self, until: float, who: T) -> int:
+    def set(self, deadline: float, waiter: T) -> int:
         """Returns the number by which ``cancel`` finds it; each ``who`` once at a time."""
-        slot = math.ceil(until * SLOTS - EARLY)
-        if until - self.clock() > FAR:
-            slot += -slot % WIDE
+        slot = math.ceil(deadline * SLOTS_PER_S - EARLY_TOLERANCE_SLOTS)
+        if deadline - self.clock() > FAR_WAIT_S:
+            slot += -slot % FAR_WAIT_SLOTS
         due = self.slots.get(slot)
         if due is None:
             due = self.slots[slot] = {}
-            self.queue.enterabs(slot / SLOTS, 0, self._due, (slot,))
-        due[who] = None
+            self.scheduler.enterabs(slot / SLOTS_PER_S, 0, self._fire_slot, (slot,))
+        due[waiter] = None
         return slot
 
-    def cancel(self, slot: int, who: T) -> None:
+    def cancel(self, slot: int, waiter: T) -> None:
         """The slot's event stays until its time."""
-        del self.slots[slot][who]
+        del self.slots[slot][waiter]
 
     def run(self) -> float | None:
         """Fire what is due; returns the seconds until the next slot, if there is one."""
-        return self.queue.run(blocking=False)
+        return self.scheduler.run(blocking=False)
 
-    def _due(self, slot: int) -> None:
-        for who in self.slots.pop(slot):
-            self.fire(who)
+    def _fire_slot(self, slot: int) -> None:
+        for waiter in self.slots.pop(slot):
+            self.on_expired(waiter)
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -181,9 +181,11 @@
 
 def test_a_team_s_requests_go_to_its_pool_only(pools: World) -> None:
     """With every destination of one pool gone its requests are answered at once, the other pool's served."""
-    numbers = {name: pools.service.number(name) for name in ("s-1", "s-2")}
+    numbers = {name: pools.service.destination_number(name) for name in ("s-1", "s-2")}
     pools.play("".join(up(n, "mn"[n % 2]) for n in range(1, 7)))
-    where = {(front.ask.tenant, front.number) for front in pools.service.fronts if front.ask}
+    where = {
+        (front.request.tenant, front.destination_number) for front in pools.service.fronts if front.request
+    }
     assert where == {("n", numbers["s-1"]), ("m", numbers["s-2"])}
     gone = {"version": 2, "full": False, "servers": [World.server("s-2", pools.servers, "terminated")]}
     pools.service.desks.news(pools.service.pool.config.take(gone))
@@ -205,8 +207,8 @@
     for _ in range(6):
         pools.wait(500)
     pools.play("c1 expect MOVE\nc1 end\nc2 quiet\nc1 close\n" + up(3, "m"))
-    (third,) = (front for front in pools.service.fronts if front.ask and front.ask.opening.id == "3")
-    assert third.number == pools.service.number("s-3")
+    (third,) = (front for front in pools.service.fronts if front.request and front.request.opening.id == "3")
+    assert third.destination_number == pools.service.destination_number("s-3")
 
 
 def test_reload_under_traffic_takes_a_whole_file_or_nothing(world: World) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 
 from snowwick.net.decider import MoveAway, RouteStep
 from snowwick.net.destination import Destination
-from snowwick.net.front import Closing, Front, MakeRoom
+from snowwick.net.front import EvictIdle, Front, ShuttingDown
 from snowwick.net.loop import Actor, Coroutine
 from snowwick.net.pool import number_of
 from snowwick.net.service import Service
@@ -77,7 +77,7 @@
     if why == "time":
         world.clock.now += 2.1
     else:
-        front.post(MakeRoom())
+        front.post(EvictIdle())
     world.play("d1 expect OPEN 1 *\nd1 send UP r1\nc1 expect UP r1")
 
 
@@ -97,7 +97,7 @@
     if why == "time":
         world.clock.now += 2.1
     else:
-        front.post(MakeRoom())
+        front.post(EvictIdle())
     world.play("c1 end\nc1 close")
     nothing_is_left(world)
     assert not world.arrived
@@ -383,11 +383,11 @@
     """The row of those without a request held who had just been answered too."""
     world.play(f"c1 send {OPEN} x\nc1 expect ERR")
     front = front_of(world)
-    front.post(MakeRoom())
+    front.post(EvictIdle())
     world.settle()
     assert world.service.fronts == {front}
     world.clock.now += 0.06
-    front.post(MakeRoom())
+    front.post(EvictIdle())
     world.until(lambda: not world.service.fronts)
 
 
@@ -426,7 +426,7 @@
     front = rests(world)
     passes(world, lambda: world.clock.now >= 1001.3, 2.0)
     assert not front.mailbox
-    front.post(Closing())
+    front.post(ShuttingDown())
     world.put("c1", OPEN)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
     passes(world, lambda: ending.over, 1.0)
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -33,7 +33,7 @@
     timers.cancel(slots["d"], "d")
     clock.now = 100.7
     assert timers.run() is None and fired == ["past", "a", "b"]
-    assert not timers.slots and timers.queue.empty()
+    assert not timers.slots and timers.scheduler.empty()
 
 
 def test_far_wait_ends_late_by_a_slot_at_most_and_shares_its_event() -> None:
