--- a/snowwick/__main__.py
+++ b/snowwick/__main__.py
@@ -166,11 +166,13 @@
     import json
     import random
 
-    from snowwick.net.asking import ask
+    from snowwick.net.status_client import request_status
 
     found = _read_fleet(file)
     try:
-        told = ask(found, address or found.links.address or found.links.listen, random.SystemRandom())
+        told = request_status(
+            found, address or found.links.address or found.links.listen, random.SystemRandom()
+        )
     except OSError as error:
         raise SystemExit(f"snowwick: {error}") from error
     if as_json:
--- a/snowwick/lab/capacity_model.py
+++ b/snowwick/lab/capacity_model.py
@@ -20,8 +20,8 @@
 
 import numpy as np
 
-from snowwick.fleet import facts, members, node, store, wire
-from snowwick.fleet.rights import Ask, Holding
+from snowwick.fleet import members, node, registers, store, wire
+from snowwick.fleet.rights import Holding, LeaseRequest
 
 Row = Mapping[str, Any]
 
@@ -663,7 +663,7 @@
 def ask_bytes(others: int, letters: int = 13) -> int:
     """Bytes of the register of an ask that names so many others, with names of so many characters."""
     holds = {f"{n:0{letters}}": Holding(0.0, 0, 1_700_000_000_000) for n in range(others)}
-    return len(facts.pack(Ask(1, 10.0, 0.0, holds)))
+    return len(registers.pack(LeaseRequest(1, 10.0, 0.0, holds)))
 
 
 def rights_bound(letters: int = 13) -> int:
--- a/snowwick/lab/capacity_roles.py
+++ b/snowwick/lab/capacity_roles.py
@@ -137,8 +137,8 @@
     )
     return [
         "configuration",
-        "that it differs, and limits: `fleet/facts.py` (Revision); its contents "
-        "**missing**, files and SIGHUP: would be signed files in pieces, asked for as `store.piece`",
+        "that it differs, and limits: `fleet/registers.py` (Revision); its contents "
+        "**missing**, files and SIGHUP: would be signed files in pieces, asked for as `store.entries_after`",
         "one file",
         f"{number(changes)} changes/s: {rate(entry)} out (counted), contents {rate(body)} in (estimated)",
         ALL,
@@ -151,7 +151,7 @@
 def _health(model: Model) -> list[str]:
     return [
         "health",
-        "`fleet/facts.py` (Health)",
+        "`fleet/registers.py` (HealthTracker)",
         "a verdict for each bad destination and finder, 6 s",
         f"{rate(told(model.n) * assumed('bytes an entry'))} out for one verdict a second of the fleet "
         "(counted)",
@@ -167,7 +167,7 @@
     every = demand(model.n, writes, assumed("bytes an entry"))
     return [
         "loads",
-        "`fleet/facts.py` (LOAD), `net/fleet.py`",
+        "`fleet/registers.py` (LOAD), `net/fleet.py`",
         f"{number(4 * model.n)} registers",
         f"{rate(every)} out if each tells {number(writes)} a second (counted): over the budget "
         f"{number(every / target('control bytes'))} times",
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -655,7 +655,7 @@
             ],
             [
                 "an ask for rights names every member",
-                "`rights.Ask.holds`, `store.MAX_VALUE_BYTES`",
+                "`rights.LeaseRequest.holdings`, `store.MAX_VALUE_BYTES`",
                 f"longer than the {number(store.MAX_VALUE_BYTES)} bytes of a value: refused, which "
                 f"`net/fleet.py` passes over "
                 "(`_write`), so that rights stop moving (read in the code and computed, not played)",
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/hollow.py
@@ -32,12 +32,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-from snowwick.fleet import facts
+from snowwick.fleet import registers
 from snowwick.fleet.clock import timestamp_ms
-from snowwick.fleet.facts import Listed, Revision, View
 from snowwick.fleet.file import FleetFile, Links, Share
 from snowwick.fleet.members import DEAD, MemberChange
 from snowwick.fleet.node import CaughtUp, DuplicateName
+from snowwick.fleet.registers import DiscoveryState, RegisterView, Revision
 from snowwick.fleet.store import Store
 from snowwick.fleet.wire import Entry
 from snowwick.lab.workload import (
@@ -112,26 +112,26 @@
         super().__init__(Empty(process.loop), file, name, rng)
         self.process = process
         self.node.store = WatchedStore(name, self.node.store.owners[name].epoch, process)
-        self.view = View(self.node.store, self.node.members)
+        self.register_view = RegisterView(self.node.store, self.node.members)
         self.node.seeds = []
         self.begun = False
         self.caught: float | None = None  # s from its start until it had what the others have
 
-    def share(self, now: float) -> None:
+    def share_state(self, now: float) -> None:
         """What a balancer tells of its files, once; the rest comes by the workload."""
         if not self.begun:
             self.begun = True
-            self._write(facts.REVISION, "0000", Revision(self.file.digest), now)
-            self._write(facts.LIST, "", Listed("hollow", 1, []), now)
+            self._write_register(registers.REVISION, "0000", Revision(self.file.digest), now)
+            self._write_register(registers.LIST, "", DiscoveryState("hollow", 1, []), now)
 
-    def hear_news(self) -> None:
+    def handle_events(self) -> None:
         for news in self.node.take_events():
             if isinstance(news, MemberChange) and news.member.state == DEAD:
                 self.process.deaths.add((news.member.name, news.member.incarnation))
             elif isinstance(news, CaughtUp):
                 self.caught = news.after_s
             elif isinstance(news, DuplicateName):
-                self.end()
+                self.leave_without_notice()
 
     def write(self, kind: int, key: str, value: bytes | None, left: float = 0.0) -> None:
         self.node.write(kind, key, value, self.loop.clock(), left)
@@ -158,25 +158,30 @@
             member = self.first + event.member % (w.members - self.first)
             link = self.link(member)
             if link is not None:
-                link.write(facts.REVISION, change_key(w, event.number), change_value(w, event.number))
+                link.write(registers.REVISION, change_key(w, event.number), change_value(w, event.number))
                 self.process.changes.append(
                     (link.node.name, link.node.store.owners[link.node.name].complete_seq, time.time())
                 )
         elif event.kind is Kind.RIGHTS:
             lender = self.link(event.other)
             if link is not None:
-                link.write(facts.RIGHTS, "ask:scale", ask_value(w, event, f"m{event.other}", 1))
+                link.write(registers.RIGHTS, "ask:scale", ask_value(w, event, f"m{event.other}", 1))
             if lender is not None:
-                lender.write(facts.RIGHTS, f"grant:m{event.member}:scale", grant_value(event, 1))
+                lender.write(registers.RIGHTS, f"grant:m{event.member}:scale", grant_value(event, 1))
         elif link is None:
             return
         elif event.kind is Kind.LOAD:
-            value = facts.pack(load_value(w, event.member, event.number, event.at))
-            link.write(facts.LOAD, str(event.number), value)
+            value = registers.pack(load_value(w, event.member, event.number, event.at))
+            link.write(registers.LOAD, str(event.number), value)
         elif event.kind is Kind.VERDICT:
-            link.write(facts.HEALTH, str(event.number), facts.pack(facts.HANGING), facts.SAID)
+            link.write(
+                registers.HEALTH,
+                str(event.number),
+                registers.pack(registers.HANGING),
+                registers.VERDICT_LIFETIME_S,
+            )
         elif event.kind is Kind.TAKEN_BACK:
-            link.write(facts.HEALTH, str(event.number), None)
+            link.write(registers.HEALTH, str(event.number), None)
 
 
 class Starter(Actor):
@@ -203,7 +208,7 @@
         while True:
             yield from self.sleep_until(self.loop.clock() + LOOK)
             link, wall = next(iter(self.process.links.values())), 1000.0 * time.time()
-            for held in link.node.store.live_entries(facts.LOAD):
+            for held in link.node.store.live_entries(registers.LOAD):
                 if held.entry.owner != link.node.name:
                     age = int(wall - timestamp_ms(held.entry.timestamp))
                     self.process.ages.record_value(min(LONGEST_MS, max(1, age)))
@@ -246,8 +251,8 @@
 
     def arrived(self, entry: Entry) -> None:
         """A change of configuration of any member, or a load of a real one."""
-        if (entry.kind == facts.REVISION and entry.key != "0000") or (
-            entry.kind == facts.LOAD and entry.owner in self.real
+        if (entry.kind == registers.REVISION and entry.key != "0000") or (
+            entry.kind == registers.LOAD and entry.owner in self.real
         ):
             now = time.time()
             one = self.arrivals.setdefault(
@@ -293,7 +298,7 @@
 
     def on_write(self, member: str, key: str, text: str) -> dict[str, Any]:
         """A change of configuration, now."""
-        self.links[member].write(facts.REVISION, key, facts.pack(Revision(text)))
+        self.links[member].write(registers.REVISION, key, registers.pack(Revision(text)))
         return {"at": time.time()}
 
     def on_agree(self) -> dict[str, Any]:
@@ -310,9 +315,9 @@
         record, owner = node.members.records.get(of), node.store.owners.get(of)
         texts = {}
         for (kind, key), held in owner.entries.items() if owner is not None else ():
-            if kind == facts.REVISION and held.entry.value is not None:
-                revision = facts.unpack(held.entry.value, Revision)
-                texts[key] = revision.fleet if revision is not None else ""
+            if kind == registers.REVISION and held.entry.value is not None:
+                revision = registers.unpack(held.entry.value, Revision)
+                texts[key] = revision.fleet_digest if revision is not None else ""
         return {
             "state": record.state if record is not None else None,
             "texts": texts,
--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from snowwick.fleet.rights import Ask, Budget, Grant
+from snowwick.fleet.rights import Budget, Grant, LeaseRequest
 
 PART, LEASE, STEP = 4.0, 3.0, 1.0  # each one's part; s of a lease here, and of a step of time
 WANTED = (0.0, 7.0)  # what is wanted, in turns
@@ -29,7 +29,7 @@
     wanted: dict[str, int]  # which of WANTED
     now: float = 0.0
     crashes: int = 1
-    written: dict[tuple[str, str], list[tuple[int, Ask | Grant]]] = field(default_factory=dict)
+    written: dict[tuple[str, str], list[tuple[int, LeaseRequest | Grant]]] = field(default_factory=dict)
     # By reader, writer and register: the start and the version that has come.
     read: dict[tuple[str, str, str], tuple[int, int]] = field(default_factory=dict)
 
@@ -77,18 +77,18 @@
     if what == "want":
         state.wanted[name] = 1 - state.wanted[name]
     elif what == "ask":
-        budget.peak, budget.peak_at = WANTED[state.wanted[name]], state.now
+        budget.peak_demand, budget.peak_at = WANTED[state.wanted[name]], state.now
         boots = {one: boot for one, boot in state.boots.items() if one != name}
-        ask = budget.ask(state.used(name), boots, state.now)
+        ask = budget.make_request(state.used(name), boots, state.now)
         state.written.setdefault((name, "ask"), []).append((state.boots[name], ask))
     elif what == "grant":
-        budget.peak, budget.peak_at = WANTED[state.wanted[name]], state.now
+        budget.peak_demand, budget.peak_at = WANTED[state.wanted[name]], state.now
         asks = {}
         for (reader, writer, register), (boot, version) in state.read.items():
             _, told = state.written[writer, register][version]
-            if reader == name and isinstance(told, Ask):
+            if reader == name and isinstance(told, LeaseRequest):
                 asks[writer] = boot, told
-        for to, grant in budget.grant(asks, state.used(name), state.now).items():
+        for to, grant in budget.grant_requests(asks, state.used(name), state.now).items():
             state.written.setdefault((name, f"grant {to}"), []).append((state.boots[name], grant))
     elif what == "crash":
         state.crashes -= 1
@@ -100,9 +100,9 @@
         boot, value = state.written[writer, register][int(at)]
         state.read[reader, writer, register] = boot, int(at)
         if isinstance(value, Grant):
-            budget.hear(writer, boot, value, state.boots[reader], state.now)
+            budget.receive_grant(writer, boot, value, state.boots[reader], state.now)
     for one in state.budgets.values():
-        one.gone(state.now)  # drops what has run out, so that equal states look equal
+        one.lent_amount(state.now)  # drops what has run out, so that equal states look equal
 
 
 def search(count: int, depth: int, most: int) -> tuple[int, int, list[str]]:
--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -23,9 +23,9 @@
 
 from snowwick.fleet.file import FleetFile, load
 from snowwick.lab.standins import ROOT, Door, Peer, listen, settings, where
-from snowwick.net.asking import ask
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.peer import configure_socket
+from snowwick.net.status_client import request_status
 
 PATIENCE = 15.0  # s that a condition may take
 
@@ -572,7 +572,9 @@
         """What a balancer says of the fleet; asked past the proxies, which the loop could not play
         meanwhile.
         """
-        return ask(self.file(n), self.balancers[n].address, random.Random(self.random.getrandbits(64)))
+        return request_status(
+            self.file(n), self.balancers[n].address, random.Random(self.random.getrandbits(64))
+        )
 
     def members(self, n: int) -> dict[str, str]:
         return {one["name"]: one["state"] for one in self.status(n)["members"]}
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -36,10 +36,10 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from snowwick.fleet import facts, wire
-from snowwick.fleet.facts import View
+from snowwick.fleet import registers, wire
 from snowwick.fleet.members import DEAD, MAX_SUSPICION_FACTOR, MIN_SUSPICION_S, SUSPICION_FACTOR, MemberChange
 from snowwick.fleet.node import CaughtUp
+from snowwick.fleet.registers import RegisterView
 from snowwick.lab.network import Faults, Machine, Network
 from snowwick.lab.workload import (
     Event,
@@ -57,7 +57,7 @@
     reference_loop,
     schedule,
 )
-from snowwick.net.fleet import SHARE
+from snowwick.net.fleet import SHARE_INTERVAL_S
 
 LOOKERS, OWNERS = 8, 32  # members whose view of loads is looked at, and owners that they are asked for
 LOOK = 0.1  # s between looks at those that start
@@ -195,9 +195,10 @@
 def joined(net: Network) -> None:
     """Let all members know each other and hold each other's registers as after a finished join.
 
-    Each meets each (``Members.met``) and takes its registers as one piece (``Store.merge``), decoded anew so
-    that copies take the memory that they would; nothing is left to pass on.  To be called before the network
-    has run; registers that the members have written by then are the fleet's.
+    Each meets each (``Membership.record_contact``) and takes its registers as one piece
+    (``Store.merge_batch``), decoded anew so that copies take the memory that they would; nothing is left to
+    pass on.  To be called before the network has run; registers that the members have written by then are
+    the fleet's.
     """
     machines = list(net.machines.values())
     for one in machines:
@@ -249,7 +250,7 @@
         self.writes: dict[tuple[str, int], list[tuple[int, int, float]]] = {
             (name, chunk): []
             for name in chance.sample(names, min(OWNERS, len(names)))
-            for chunk in range(facts.CHUNKS)
+            for chunk in range(registers.LOAD_CHUNKS)
         }
         self.totals: dict[str, dict[int, int]] = {name: {} for name in names}  # the truth, by chunk
 
@@ -385,14 +386,14 @@
 
     def first_words(self, name: str) -> None:
         """The registers that a member has before anything happens."""
-        self.write(name, facts.REVISION, "0000", facts.pack(facts.Revision(name.ljust(64))))
-        for chunk in range(facts.CHUNKS):
+        self.write(name, registers.REVISION, "0000", registers.pack(registers.Revision(name.ljust(64))))
+        for chunk in range(registers.LOAD_CHUNKS):
             self.load(int(name[1:]), chunk)
 
     def load(self, member: int, chunk: int) -> None:
         name = f"m{member}"
         counts = load_value(self.w, member, chunk, self.now)
-        self.write(name, facts.LOAD, str(chunk), facts.pack(counts))
+        self.write(name, registers.LOAD, str(chunk), registers.pack(counts))
         self.totals[name][chunk] = sum(counts.values())
         history = self.writes.get((name, chunk))
         if history is not None:
@@ -406,12 +407,12 @@
         if writer is None:
             return
         key = change_key(self.w, number)
-        self.write(writer, facts.REVISION, key, change_value(self.w, number))
+        self.write(writer, registers.REVISION, key, change_value(self.w, number))
         own = self.machines[writer].node.store.owners[writer]
         waiting = {name for name in self.ran_since if name != writer and not self.cut(writer, name)}
         one = Spreading(
             writer,
-            (facts.REVISION, key),
+            (registers.REVISION, key),
             (own.epoch, own.complete_seq),
             self.now,
             self.log,
@@ -432,14 +433,22 @@
             case Kind.CHANGE:
                 self.change(event.member, event.number)
             case Kind.VERDICT if self.runs(name):
-                self.write(name, facts.HEALTH, str(event.number), facts.pack(facts.HANGING), facts.SAID)
+                self.write(
+                    name,
+                    registers.HEALTH,
+                    str(event.number),
+                    registers.pack(registers.HANGING),
+                    registers.VERDICT_LIFETIME_S,
+                )
             case Kind.TAKEN_BACK if self.runs(name):
-                self.write(name, facts.HEALTH, str(event.number), None)
+                self.write(name, registers.HEALTH, str(event.number), None)
             case Kind.RIGHTS if self.runs(name) and self.runs(f"m{event.other}"):
                 lender = f"m{event.other}"
                 epoch = {one: self.machines[one].node.store.owners[one].epoch for one in (name, lender)}
-                self.write(name, facts.RIGHTS, "ask:scale", ask_value(self.w, event, lender, epoch[lender]))
-                self.write(lender, facts.RIGHTS, f"grant:{name}:scale", grant_value(event, epoch[name]))
+                self.write(
+                    name, registers.RIGHTS, "ask:scale", ask_value(self.w, event, lender, epoch[lender])
+                )
+                self.write(lender, registers.RIGHTS, f"grant:{name}:scale", grant_value(event, epoch[name]))
             case Kind.FAIL:
                 self.gone(name)
             case Kind.LEAVE if self.runs(name):
@@ -543,7 +552,7 @@
                 ):
                     continue
                 owner = node.store.owners.get(of)
-                held = owner.entries.get((facts.LOAD, str(chunk))) if owner is not None else None
+                held = owner.entries.get((registers.LOAD, str(chunk))) if owner is not None else None
                 number = (held.entry.epoch, held.entry.seq, math.inf) if held is not None else (0, 0, 0.0)
                 at = bisect_right(history, number)
                 if at:
@@ -551,14 +560,14 @@
                 # Before it started itself a member could hold nothing.
                 began = node.started_at if node.started_at is not None else self.now
                 self.log.late.add(self.now - max(began, history[at][2]) if at < len(history) else 0.0)
-            reader = View(node.store, node.members)
+            reader = RegisterView(node.store, node.members)
             clock = time.process_time()
-            seen = reader.held(self.now).total()
+            seen = reader.connections_elsewhere(self.now).total()
             reader.verdicts(self.w.load_destinations, self.now)
             reader.leaving("scale", 1, self.now)
-            reader.rights(self.now)
+            reader.requests_and_grants(self.now)
             reader.revisions(self.now)
-            self.log.heed.append((time.process_time() - clock) / SHARE)
+            self.log.heed.append((time.process_time() - clock) / SHARE_INTERVAL_S)
             seen += sum(self.totals[name].values())
             self.log.errors.append(abs(seen - truth) / max(1, truth))
 
@@ -754,7 +763,7 @@
             seconds += 1.0
             fleet.log.references.append(reference_loop(REFERENCES, 1))
             # Not before each register was written anew: ages would be those of the idle phase.
-            turn = facts.CHUNKS / fleet.w.load_writes if fleet.w.load_writes else 0.0
+            turn = registers.LOAD_CHUNKS / fleet.w.load_writes if fleet.w.load_writes else 0.0
             if fleet.now >= fleet.w.idle_s + turn:
                 fleet.look_at_loads()
         if fleet.now >= told and fleet.now < phase.end:
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -21,8 +21,8 @@
 from enum import StrEnum
 from typing import Literal, NotRequired, TypedDict
 
-from snowwick.fleet import facts, wire
-from snowwick.fleet.rights import Ask, Grant, Holding
+from snowwick.fleet import registers, wire
+from snowwick.fleet.rights import Grant, Holding, LeaseRequest
 from snowwick.fleet.store import hash_numbers
 
 TARGET = 5700  # balancers that the rates of failures and restarts are given for
@@ -34,10 +34,10 @@
 class Kind(StrEnum):
     """What happens; ``member`` is whose doing, or whom it befalls."""
 
-    LOAD = "load"  # the member writes the load register ``number`` (0 to facts.CHUNKS - 1)
+    LOAD = "load"  # the member writes the load register ``number`` (0 to registers.LOAD_CHUNKS - 1)
     CHANGE = "change"  # the member writes change of configuration ``number``
     VERDICT = "verdict"  # the member finds destination ``number`` bad
-    TAKEN_BACK = "taken-back"  # and takes that back, facts.SAID later
+    TAKEN_BACK = "taken-back"  # and takes that back, registers.VERDICT_LIFETIME_S later
     RIGHTS = "rights"  # the member asks ``other`` for rights, which grants them
     FAIL = "fail"  # the member's machine is gone at once
     LEAVE = "leave"  # the member leaves as at a restart
@@ -111,7 +111,7 @@
         default=1.0, metadata=says("assumed: load registers that each member writes a second, in turn")
     )
     load_destinations: int = field(
-        default=48, metadata=says("assumed: destinations a member has, over facts.CHUNKS registers")
+        default=48, metadata=says("assumed: destinations a member has, over registers.LOAD_CHUNKS registers")
     )
     load_count: int = field(default=100, metadata=says("assumed: connections of a member to one destination"))
     load_wave: float = field(
@@ -186,7 +186,7 @@
         for phase, n in order:
             at = turn * pace + phase
             if start <= at < end:
-                yield Event(at, Kind.LOAD, n, turn % facts.CHUNKS)
+                yield Event(at, Kind.LOAD, n, turn % registers.LOAD_CHUNKS)
         turn += 1
 
 
@@ -220,7 +220,10 @@
         at = burst.start + (after - burst.start) / w.burst_factor if at < burst.start < after else after
     for at in _times(rng, w.verdicts, steady.start, end):
         one, bad = rng.randrange(w.members), rng.randrange(w.load_destinations)
-        events += [Event(at, Kind.VERDICT, one, bad), Event(at + facts.SAID, Kind.TAKEN_BACK, one, bad)]
+        events += [
+            Event(at, Kind.VERDICT, one, bad),
+            Event(at + registers.VERDICT_LIFETIME_S, Kind.TAKEN_BACK, one, bad),
+        ]
     for at in _times(rng, w.rights if w.members > 1 else 0.0, steady.start, end):
         one, other = rng.sample(range(w.members), 2)
         events.append(Event(at, Kind.RIGHTS, one, 0, other))
@@ -269,14 +272,14 @@
     noise = {
         one: hash_numbers(w.seed, member, one, int(at * 1000)) % 1000 / 1000.0
         for one in range(w.load_destinations)
-        if facts.chunk_of(one) == chunk
+        if registers.load_chunk(one) == chunk
     }
     return {one: max(0, round(level * (0.9 + 0.2 * part))) for one, part in noise.items()}
 
 
 def change_value(w: Workload, number: int) -> bytes:
     """A change of configuration: a revision of about ``change_bytes`` that limits nobody."""
-    return facts.pack(facts.Revision(f"{number:08}".ljust(max(8, w.change_bytes - 6), "x")))
+    return registers.pack(registers.Revision(f"{number:08}".ljust(max(8, w.change_bytes - 6), "x")))
 
 
 def change_key(w: Workload, number: int) -> str:
@@ -290,12 +293,14 @@
     The program names all members in it, so that past some 35 members it is longer than a value may be, and
     isn't told; here it stays short, for the cost of a move of rights whatever the size.
     """
-    return facts.pack(Ask(int(event.at), 10.0, 0.0, {lender: Holding(10.0, int(event.at), boot)}))
+    return registers.pack(
+        LeaseRequest(int(event.at), 10.0, 0.0, {lender: Holding(10.0, int(event.at), boot)})
+    )
 
 
 def grant_value(event: Event, boot: int) -> bytes:
     """The lender's answer."""
-    return facts.pack(Grant(boot, int(event.at), 10.0, 10.0))
+    return registers.pack(Grant(boot, int(event.at), 10.0, 10.0))
 
 
 # -- the unit of processor time ------------------------------------------------------------------------------
@@ -310,13 +315,13 @@
     w = Workload(TARGET)
     frame = wire.Frame("m1", "10.0.0.1:7000", 1, 7, seq, "m2", 9, wire.Gossip())
     for n in range(1000):
-        value = facts.pack(load_value(w, n, n % facts.CHUNKS, 0.0))
+        value = registers.pack(load_value(w, n, n % registers.LOAD_CHUNKS, 0.0))
         entry = wire.Entry(
             f"m{n}",
             1_700_000_000_000,
             100 + n,
-            facts.LOAD,
-            str(n % facts.CHUNKS),
+            registers.LOAD,
+            str(n % registers.LOAD_CHUNKS),
             value,
             1_700_000_000_000 << 16,
         )
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -14,12 +14,12 @@
 from typing import TYPE_CHECKING, Any
 
 from crowgap import interface as i
-from snowwick.fleet import facts
-from snowwick.fleet.facts import Health, Listed, Revision, View
+from snowwick.fleet import registers
 from snowwick.fleet.file import FleetFile
 from snowwick.fleet.members import STATE_NAMES, MemberChange
 from snowwick.fleet.node import CaughtUp, DuplicateName, Node
-from snowwick.fleet.rights import RENEW, Leases
+from snowwick.fleet.registers import DiscoveryState, HealthTracker, RegisterView, Revision
+from snowwick.fleet.rights import RENEW_S, Leases
 from snowwick.net.decider import Outcome, PoolNews, Silent, StepEnded, StepUp
 from snowwick.net.loop import Actor, Coroutine, Wait
 from snowwick.net.pool import parse_address
@@ -30,13 +30,13 @@
     from snowwick.net.host import Host
 
 # Datagrams taken a turn; after as many the socket rests, so that a flood of frames that prove to be
-READS = 16
-REST = 0.005  # nothing costs little: s of rest
-LARGEST = 2048  # bytes read of a datagram; what is longer than a frame is dropped anyway
-BUFFER = 1 << 20  # bytes of the socket's buffer: a snapshot's pieces come in bursts
-SHARE = 0.25  # s between looks at what there is to tell and to heed
-COUNTED = 10.0  # s between lines on what was dropped
-FAILED = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
+DATAGRAMS_PER_TURN = 16
+READ_PAUSE_S = 0.005  # nothing costs little: s of rest
+MAX_READ_BYTES = 2048  # bytes read of a datagram; what is longer than a frame is dropped anyway
+RECEIVE_BUFFER_BYTES = 1 << 20  # bytes of the socket's buffer: a snapshot's pieces come in bursts
+SHARE_INTERVAL_S = 0.25  # s between looks at what there is to tell and to heed
+DROP_LOG_INTERVAL_S = 10.0  # s between lines on what was dropped
+FAILED_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
 
 
 class FleetLink(Actor):
@@ -50,7 +50,7 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.sock.bind(parse_address(file.links.listen))
         host, port = self.sock.getsockname()
         self.node = Node(
@@ -62,19 +62,24 @@
             self.wall_ms,
             file.links.period_ms / 1000.0,
         )
-        self.node.extra_status = self.status
-        self.view, self.health = View(self.node.store, self.node.members), Health(name)
-        self.said: dict[int, tuple[int, float]] = {}  # own words on destinations, and when they were written
-        self.left: frozenset[int] = frozenset()  # told by others to be leaving, and heeded
-        self.next_share = self.next_count = 0.0
-        self.counted = 0
-        self.gone = False  # left the fleet; this balancer serves alone
-        self.differ: frozenset[str] = frozenset()
+        self.node.extra_status = self.link_status
+        self.register_view, self.health = (
+            RegisterView(self.node.store, self.node.members),
+            HealthTracker(name),
+        )
+        self.published_verdicts: dict[
+            int, tuple[int, float]
+        ] = {}  # own words on destinations, and when they were written
+        self.leaving: frozenset[int] = frozenset()  # told by others to be leaving, and heeded
+        self.next_share = self.next_drop_log = 0.0
+        self.logged_drops = 0
+        self.has_left = False  # left the fleet; this balancer serves alone
+        self.differing_members: frozenset[str] = frozenset()
         self.leases: Leases | None = None
         self.contracts: Contracts | None = None  # whose revision is told
-        self.revision, self.parts = Revision(file.digest), 0
+        self.revision, self.revision_parts = Revision(file.digest), 0
         self.next_rights = 0.0
-        self.used: dict[str, float] = {}
+        self.budget_usage: dict[str, float] = {}
 
     @staticmethod
     def wall_ms() -> float:
@@ -92,37 +97,37 @@
         )
         rest = 0.0
         try:
-            while not self.gone:
+            while not self.has_left:
                 now = self.loop.clock()
                 self.node.tick(now)
                 if now >= self.next_share:
-                    self.next_share = now + SHARE
-                    self.share(now)
-                self.send()
-                self.hear_news()
+                    self.next_share = now + SHARE_INTERVAL_S
+                    self.share_state(now)
+                self.send_datagrams()
+                self.handle_events()
                 until = max(now, min(self.node.next_due(), self.next_share))
                 resting = now < rest
                 yield Wait(self.sock, read=not resting, until=min(until, rest) if resting else until)
                 self.mailbox.clear()
-                if self.loop.clock() >= rest and self.read():
-                    rest = self.loop.clock() + REST
+                if self.loop.clock() >= rest and self.read_datagrams():
+                    rest = self.loop.clock() + READ_PAUSE_S
         finally:
             self.loop.unregister(self)
-            if self.gone:  # after a fault it begins again, on the same socket
+            if self.has_left:  # after a fault it begins again, on the same socket
                 self.sock.close()
 
-    def read(self) -> bool:
+    def read_datagrams(self) -> bool:
         """Take what has come; True where there may be more."""
         now = self.loop.clock()
-        for _ in range(READS):
+        for _ in range(DATAGRAMS_PER_TURN):
             try:
-                datagram, source = self.sock.recvfrom(LARGEST)
+                datagram, source = self.sock.recvfrom(MAX_READ_BYTES)
             except OSError:  # nothing there, or word of a datagram that found nobody
                 return False
             self.node.receive(datagram, now, f"{source[0]}:{source[1]}")
         return True
 
-    def send(self) -> None:
+    def send_datagrams(self) -> None:
         routes = self.file.links.routes
         for address, datagram in self.node.take_datagrams():
             # Lost is what the socket does not take; an address that a member made up must end nothing.
@@ -131,7 +136,7 @@
                 socket.inet_aton(host)  # a name would be looked up, and the loop would wait for it
                 self.sock.sendto(datagram, (host, port))
 
-    def hear_news(self) -> None:
+    def handle_events(self) -> None:
         for news in self.node.take_events():
             if isinstance(news, MemberChange):
                 one = news.member
@@ -154,32 +159,32 @@
                     name=self.node.name,
                     address=news.address,
                 )
-                self.end()
+                self.leave_without_notice()
         dropped = sum(self.node.counts.dropped.values())
-        if dropped > self.counted and self.loop.clock() >= self.next_count:
-            self.next_count = self.loop.clock() + COUNTED
+        if dropped > self.logged_drops and self.loop.clock() >= self.next_drop_log:
+            self.next_drop_log = self.loop.clock() + DROP_LOG_INTERVAL_S
             reasons = [f"{reason} {count}" for reason, count in sorted(self.node.counts.dropped.items())]
             self.log.event(
                 "fleet-dropped",
                 "fleet: {count} frames dropped: {reasons}",
-                count=dropped - self.counted,
+                count=dropped - self.logged_drops,
                 reasons=", ".join(reasons),
             )
-            self.counted = dropped
+            self.logged_drops = dropped
 
     def leave(self) -> None:
         """The balancer ends: the others need not find out."""
-        if not self.gone:
+        if not self.has_left:
             self.node.leave(self.loop.clock())
-            self.send()
+            self.send_datagrams()
 
-    def end(self) -> None:
+    def leave_without_notice(self) -> None:
         """Alone from here on: nothing more is heard, told or heeded."""
-        self.gone = True
+        self.has_left = True
         self.node.store.owners = {self.node.name: self.node.store.owners[self.node.name]}
         self.node.members.records.clear()
 
-    def apply(self, file: FleetFile) -> None:
+    def apply_file(self, file: FleetFile) -> None:
         """Another file: keys and what is shared change at once, the links at the next start."""
         if file.links != self.file.links:
             self.log.event(
@@ -189,52 +194,56 @@
 
     # -- what is told ------------------------------------------------------------------------------------
 
-    def share(self, now: float) -> None:
+    def share_state(self, now: float) -> None:
         share, pool = self.file.share, self.host.pool_config
         if share.health:
-            self._health(now, len(pool.addresses))
+            self._share_health(now, len(pool.addresses))
         if share.list:
-            self._list(now)
+            self._share_list(now)
         if share.load:
-            self._load(now)
-        self._revision(now)
+            self._share_load(now)
+        self._share_revision(now)
         if share.rights and self.host.contract_stage is not None:
-            self._rights(now, self.host.contract_stage)
+            self._share_rights(now, self.host.contract_stage)
 
-    def _write(self, kind: int, key: str, value: object, now: float, left: float = 0.0) -> None:
-        data = None if value is None else facts.pack(value)
+    def _write_register(self, kind: int, key: str, value: object, now: float, left: float = 0.0) -> None:
+        data = None if value is None else registers.pack(value)
         with contextlib.suppress(ValueError):  # a value that no frame holds is not told
             self.node.write(kind, key, data, now, left)
 
-    def _health(self, now: float, known: int) -> None:
+    def _share_health(self, now: float, known: int) -> None:
         health = self.health
         for destination, heard in self.host.served():
-            watched = health.watched.setdefault(destination, facts.Watched())
-            watched.served = max(watched.served, heard)
+            watched = health.destinations.setdefault(destination, registers.DestinationHealth())
+            watched.last_served = max(watched.last_served, heard)
         health.forget(self.host.pool_config.addresses.__contains__)
-        verdicts = self.view.verdicts(known, now)
-        words = health.words(verdicts, now)
+        verdicts = self.register_view.verdicts(known, now)
+        words = health.verdicts_to_publish(verdicts, now)
         for destination, word in words.items():
-            at = health.own[destination][1] if destination in health.own else now
-            old = self.said.get(destination)
+            at = health.own_verdicts[destination][1] if destination in health.own_verdicts else now
+            old = self.published_verdicts.get(destination)
             # Said anew where it is another word, or seen anew; a word that stands is not repeated each look.
-            if old is None or old[0] != word or at - old[1] >= 0.5 * facts.SAID:
-                self.said[destination] = word, at
-                self._write(facts.HEALTH, str(destination), word, now, facts.SAID)
-        for destination in [one for one in self.said if one not in words]:
-            del self.said[destination]
-            self._write(facts.HEALTH, str(destination), None, now)
-        for destination in health.judge(verdicts, now):
+            if old is None or old[0] != word or at - old[1] >= 0.5 * registers.VERDICT_LIFETIME_S:
+                self.published_verdicts[destination] = word, at
+                self._write_register(
+                    registers.HEALTH, str(destination), word, now, registers.VERDICT_LIFETIME_S
+                )
+        for destination in [one for one in self.published_verdicts if one not in words]:
+            del self.published_verdicts[destination]
+            self._write_register(registers.HEALTH, str(destination), None, now)
+        for destination in health.update_avoided(verdicts, now):
             self.host.hear(Silent(destination))
 
-    def _list(self, now: float) -> None:
+    def _share_list(self, now: float) -> None:
         pool, source = self.host.pool_config, self.file.share.discovery
         leaving = [one for one, entry in pool.entries.items() if entry.state is not i.State.READY]
-        self._write(facts.LIST, "", Listed(source, pool.version, leaving[-facts.LEAVING :]), now)
-        told = self.view.leaving(source, pool.version, now)
+        self._write_register(
+            registers.LIST, "", DiscoveryState(source, pool.version, leaving[-registers.MAX_LEAVING :]), now
+        )
+        told = self.register_view.leaving(source, pool.version, now)
         # Only what this balancer's own list has named is of interest, and nothing is sent on others' word.
         heed = {one for one in told if one in pool.entries and pool.entries[one].state is i.State.READY}
-        fresh = heed - self.left
+        fresh = heed - self.leaving
         if fresh:
             self.log.event(
                 "fleet-leaving",
@@ -243,56 +252,58 @@
                 version=pool.version,
             )
             self.host.news(
-                PoolNews(i.ListKind.CHANGES, [_leaving(pool.entries[one]) for one in sorted(fresh)])
+                PoolNews(i.ListKind.CHANGES, [_as_draining(pool.entries[one]) for one in sorted(fresh)])
             )
         back = [
             one
-            for one in sorted(self.left - heed)
+            for one in sorted(self.leaving - heed)
             if one in pool.entries and pool.entries[one].state is i.State.READY
         ]
         if back:  # the newer list was taken back, as after a restore
             self.host.news(PoolNews(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
-        self.left = frozenset(heed)
+        self.leaving = frozenset(heed)
 
-    def _load(self, now: float) -> None:
+    def _share_load(self, now: float) -> None:
         chunks: dict[int, dict[int, int]] = defaultdict(dict)
         for pool in self.host.held():
             for destination, held in pool.items():
-                counts = chunks[facts.chunk_of(destination)]
+                counts = chunks[registers.load_chunk(destination)]
                 counts[destination] = counts.get(destination, 0) + held
-        for chunk in range(facts.CHUNKS):
-            self._write(facts.LOAD, str(chunk), chunks.get(chunk), now)
+        for chunk in range(registers.LOAD_CHUNKS):
+            self._write_register(registers.LOAD, str(chunk), chunks.get(chunk), now)
 
-    def _rights(self, now: float, stage: ContractStage) -> None:
+    def _share_rights(self, now: float, stage: ContractStage) -> None:
         """Move the contracts' budgets to where they are asked for; without a fleet each keeps its part."""
         if self.leases is None:
             self.leases = Leases(self.node.name, stage.budgets(), now)
         leases, epoch = self.leases, self.node.store.owners[self.node.name].epoch
-        leases.change(stage.budgets(), now)
+        leases.update_shares(stage.budgets(), now)
         if now >= self.next_rights:
-            self.used, wanted = stage.wanted(max(SHARE, now - self.next_rights + RENEW))
-            self.next_rights = now + RENEW
+            self.budget_usage, wanted = stage.wanted(max(SHARE_INTERVAL_S, now - self.next_rights + RENEW_S))
+            self.next_rights = now + RENEW_S
             for key, amount in wanted.items():
-                leases.budgets[key].demand(amount, now)
+                leases.budgets[key].record_demand(amount, now)
         boots = {
             one.name: self.node.store.owners[one.name].epoch
             for one in self.node.members.alive()
             if one.name in self.node.store.owners
         }
-        asks, grants = self.view.rights(now)
+        asks, grants = self.register_view.requests_and_grants(now)
         for lender, start, key, grant in grants:
             if key in leases.budgets:
-                leases.budgets[key].hear(lender, start, grant, epoch, now)
-        for key, ask in leases.asks(self.used, boots, now).items():
-            self._write(facts.RIGHTS, f"ask:{key}", ask, now)
+                leases.budgets[key].receive_grant(lender, start, grant, epoch, now)
+        for key, ask in leases.requests_due(self.budget_usage, boots, now).items():
+            self._write_register(registers.RIGHTS, f"ask:{key}", ask, now)
         for key, one in leases.budgets.items():
             told = asks.get(key, {})
-            one.confirm({name: ask.holds for name, (_, ask) in told.items()}, epoch, stage.balancers - 1)
-            for to, grant in one.grant(told, self.used.get(key, 0.0), now).items():
-                self._write(facts.RIGHTS, f"grant:{to}:{key}", grant, now)
+            one.confirm_start(
+                {name: ask.holdings for name, (_, ask) in told.items()}, epoch, stage.balancers - 1
+            )
+            for to, grant in one.grant_requests(told, self.budget_usage.get(key, 0.0), now).items():
+                self._write_register(registers.RIGHTS, f"grant:{to}:{key}", grant, now)
         stage.has(leases.targets(now))
 
-    def _revision(self, now: float) -> None:
+    def _share_revision(self, now: float) -> None:
         stage = self.host.contract_stage
         if stage is not None and stage.contracts is not self.contracts:
             from snowwick.broker.contract import contracts_digest, fleet_limits
@@ -301,33 +312,40 @@
             self.revision = Revision(
                 self.file.digest, contracts_digest(stage.contracts), fleet_limits(stage.contracts)
             )
-        mine = self.revision = Revision(self.file.digest, self.revision.contracts, self.revision.limits)
+        mine = self.revision = Revision(
+            self.file.digest, self.revision.contracts_digest, self.revision.limits
+        )
         rows = sorted(mine.limits.items())
-        parts = [dict(rows[at : at + facts.LIMITS]) for at in range(0, len(rows), facts.LIMITS)] or [{}]
-        for n in range(max(len(parts), self.parts)):
-            self._write(
-                facts.REVISION,
+        parts = [
+            dict(rows[at : at + registers.LIMITS_PER_REGISTER])
+            for at in range(0, len(rows), registers.LIMITS_PER_REGISTER)
+        ] or [{}]
+        for n in range(max(len(parts), self.revision_parts)):
+            self._write_register(
+                registers.REVISION,
                 f"{n:04}",
-                Revision(mine.fleet, mine.contracts, parts[n]) if n < len(parts) else None,
+                Revision(mine.fleet_digest, mine.contracts_digest, parts[n]) if n < len(parts) else None,
                 now,
             )
-        self.parts = len(parts)
-        others = self.view.revisions(now)
+        self.revision_parts = len(parts)
+        others = self.register_view.revisions(now)
         differ = frozenset(
-            name for name, one in others.items() if (one.fleet, one.contracts) != (mine.fleet, mine.contracts)
+            name
+            for name, one in others.items()
+            if (one.fleet_digest, one.contracts_digest) != (mine.fleet_digest, mine.contracts_digest)
         )
-        if differ - self.differ:
+        if differ - self.differing_members:
             self.log.event(
                 "fleet-revisions",
                 "fleet: {names} go by another fleet file or other contracts "
                 "than ours, {digest} {contracts}; of two limits the stricter holds",
                 names=", ".join(sorted(differ)),
-                digest=mine.fleet,
-                contracts=mine.contracts or "-",
+                digest=mine.fleet_digest,
+                contracts=mine.contracts_digest or "-",
             )
-        self.differ = differ
+        self.differing_members = differ
         if stage is not None:
-            least = facts.stricter(mine, others)
+            least = registers.stricter_limits(mine, others)
             stage.stricter = {
                 key: limit / mine.limits[key] for key, limit in least.items() if mine.limits[key] > 0.0
             }
@@ -336,48 +354,49 @@
 
     # -- what is seen ------------------------------------------------------------------------------------
 
-    def observe(self, message: object) -> None:
+    def record_step(self, message: object) -> None:
         """What a decider hears: how route steps end tells which destinations are bad."""
         now = self.loop.clock()
         if isinstance(message, StepUp):
-            self.health.answered(message.destination, now)
-        elif isinstance(message, StepEnded) and not message.final and message.outcome in FAILED:
-            self.health.failed(message.destination, message.outcome is Outcome.TIMEOUT, now)
+            self.health.record_served(message.destination, now)
+        elif isinstance(message, StepEnded) and not message.final and message.outcome in FAILED_OUTCOMES:
+            self.health.record_failure(message.destination, message.outcome is Outcome.TIMEOUT, now)
 
-    def silent(self, message: object) -> None:
+    def record_silent(self, message: object) -> None:
         """What the gauge has to tell."""
         if isinstance(message, Silent):
-            self.health.hangs(message.destination, self.loop.clock())
+            self.health.record_hanging(message.destination, self.loop.clock())
 
-    def status(self) -> dict[str, Any]:
+    def link_status(self) -> dict[str, Any]:
         now = self.loop.clock()
         return {
             "revision": self.file.digest,
             "kinds_by_name": {
-                facts.KINDS[kind]: sum(1 for _ in self.node.store.live_entries(kind)) for kind in facts.KINDS
+                registers.KIND_NAMES[kind]: sum(1 for _ in self.node.store.live_entries(kind))
+                for kind in registers.KIND_NAMES
             },
-            "contracts": self.revision.contracts,
+            "contracts": self.revision.contracts_digest,
             "revisions": {
-                name: " ".join(filter(None, (one.fleet, one.contracts)))
-                for name, one in self.view.revisions(now).items()
+                name: " ".join(filter(None, (one.fleet_digest, one.contracts_digest)))
+                for name, one in self.register_view.revisions(now).items()
             },
-            "kept_away_from": [str(one) for one in self.health.believed],
+            "kept_away_from": [str(one) for one in self.health.avoided_until],
             "rights": {
                 key: round(amount, 2)
                 for key, amount in (self.leases.targets(now) if self.leases is not None else {}).items()
             },
             "list_version": self.host.pool_config.version,
-            "held_elsewhere": self.view.held(now).total(),
+            "held_elsewhere": self.register_view.connections_elsewhere(now).total(),
         }
 
 
-def _leaving(entry: i.BackendEntry) -> i.BackendEntry:
+def _as_draining(entry: i.BackendEntry) -> i.BackendEntry:
     return i.BackendEntry(
         entry.backend, i.State.DRAINING, entry.zone, entry.cell, entry.weight, entry.started
     )
 
 
-def observing(tell: Callable[[Any], None], also: Callable[[Any], None]) -> Callable[[Any], None]:
+def call_both(tell: Callable[[Any], None], also: Callable[[Any], None]) -> Callable[[Any], None]:
     """One that tells both."""
 
     def both(message: Any) -> None:
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -158,7 +158,7 @@
             self.loop, settings, seed, self.now_ms, lambda: self.pool.post(WatchPool()), self.probe
         )
         if self.fleet is not None:
-            decider.observe = self.fleet.observe
+            decider.observe = self.fleet.record_step
         return decider
 
     # -- what the fleet link needs (net/host.py) -----------------------------------------------------------
@@ -182,10 +182,10 @@
     # -- the parts ---------------------------------------------------------------------------------------
 
     def make_fleet(self, file: FleetFile) -> FleetLink:
-        from snowwick.net.fleet import FleetLink, observing  # only where there is a fleet
+        from snowwick.net.fleet import FleetLink, call_both  # only where there is a fleet
 
         link = FleetLink(self, file, self.config.name, random.Random(f"{self.config.seed}{time.time_ns()}"))
-        self.gauge.tell = observing(self.gauge.tell, link.silent)
+        self.gauge.tell = call_both(self.gauge.tell, link.record_silent)
         return link
 
     def probe(self, destination: int, decider: Decider) -> None:
@@ -303,7 +303,7 @@
             self.contract_stage.apply(contracts)
             self.log.event("contracts", "reload: contracts of {teams} teams", teams=len(contracts.teams))
         if fleet is not None and self.fleet is not None:
-            self.fleet.apply(fleet)
+            self.fleet.apply_file(fleet)
 
     def drain(self) -> Coroutine:
         """Answer whoever still comes, have every client move, leave once nothing is owed to anybody.
--- a/snowwick/net/asking.py
+++ b/snowwick/net/status_client.py
@@ -12,10 +12,10 @@
 from snowwick.fleet.file import FleetFile
 from snowwick.net.pool import parse_address
 
-TRIES, WAIT = 5, 0.4  # times that a part is asked for; s until it is asked for again
+MAX_TRIES, REPLY_TIMEOUT_S = 5, 0.4  # times that a part is asked for; s until it is asked for again
 
 
-def ask(file: FleetFile, address: str, rng: random.Random) -> dict[str, Any]:
+def request_status(file: FleetFile, address: str, rng: random.Random) -> dict[str, Any]:
     """How things stand at the balancer there; raises TimeoutError where it does not answer.
 
     The tool is no member: it has a name that no member has, and the answer comes to where it asks from.
@@ -23,14 +23,14 @@
     number, boot = rng.getrandbits(62), rng.getrandbits(62) | 1
     name, parts, wanted, seq = f"status-{number:x}", dict[int, bytes](), 1, 0
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-        sock.settimeout(WAIT)
+        sock.settimeout(REPLY_TIMEOUT_S)
         while len(parts) < wanted:
             part = min(set(range(wanted)) - parts.keys())
-            for _ in range(TRIES):
+            for _ in range(MAX_TRIES):
                 seq += 1
                 frame = wire.Frame(name, "", 0, boot, seq, "", 0, wire.StatusRequest(number, part))
                 sock.sendto(wire.seal(frame, file.keys[0]), parse_address(address))
-                told = _answer(sock, file, number)
+                told = _receive_reply(sock, file, number)
                 if told is not None:
                     wanted, parts[told.part] = told.part_count, told.text
                     break
@@ -40,8 +40,8 @@
     return found
 
 
-def _answer(sock: socket.socket, file: FleetFile, number: int) -> wire.StatusReply | None:
-    until = time.monotonic() + WAIT
+def _receive_reply(sock: socket.socket, file: FleetFile, number: int) -> wire.StatusReply | None:
+    until = time.monotonic() + REPLY_TIMEOUT_S
     while time.monotonic() < until:
         try:
             frame = wire.unseal(sock.recv(wire.MAX_FRAME_BYTES + 1), file.keys)
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from snowwick.fleet import facts, wire
+from snowwick.fleet import registers, wire
 from snowwick.fleet.clock import LOGICAL_BITS, MAX_AHEAD_MS, HybridClock
-from snowwick.fleet.facts import Health, Revision, stricter
 from snowwick.fleet.node import Node
-from snowwick.fleet.rights import LEASE, LENT, Budget, Grant
+from snowwick.fleet.registers import HealthTracker, Revision, stricter_limits
+from snowwick.fleet.rights import LEASE_S, MAX_LENT_FRACTION, Budget, Grant
 from snowwick.fleet.store import TOMBSTONE_S, Store
 from snowwick.fleet.wire import Entry, Frame, FrameDropped, OwnerSummary, Ping, ReplayFilter, ReplayWindow
 from snowwick.lab.interleavings import search
@@ -293,35 +293,39 @@
 def test_one_sick_balancer_cannot_empty_healthy_servers() -> None:
     store = Store("me", 1)
     for n in range(6):
-        store.merge_entry(Entry("x", 1, n + 1, facts.HEALTH, str(n), facts.pack(facts.HANGING), 0, 6000), 0.0)
+        store.merge_entry(
+            Entry("x", 1, n + 1, registers.HEALTH, str(n), registers.pack(registers.HANGING), 0, 6000), 0.0
+        )
     node = Node("me", "me", [KEY], [], random.Random(1), lambda: 1e12)
     node.members.record_contact("x", "x", 1, 1, 0.0)
-    believed = facts.View(store, node.members)
+    believed = registers.RegisterView(store, node.members)
     assert not believed.verdicts(12, 1.0) and len(believed.verdicts(24, 1.0)) == 6
     assert not believed.verdicts(24, 7.0)  # too old
 
 
 def test_who_is_served_believes_nobody_and_ends_the_verdict() -> None:
-    health, verdicts = Health("me"), {1: ({"x"}, set[str]()), 2: ({"x"}, {"y"})}
-    assert health.judge(verdicts, 10.0) == [1]
-    health.answered(1, 10.0)
-    assert health.judge(verdicts, 10.1) == [] and health.words(verdicts, 10.1) == {1: facts.WELL}
+    health, verdicts = HealthTracker("me"), {1: ({"x"}, set[str]()), 2: ({"x"}, {"y"})}
+    assert health.update_avoided(verdicts, 10.0) == [1]
+    health.record_served(1, 10.0)
+    assert health.update_avoided(verdicts, 10.1) == [] and health.verdicts_to_publish(verdicts, 10.1) == {
+        1: registers.SERVING
+    }
 
 
 def test_balancers_try_a_bad_server_again_one_after_another() -> None:
     back = []
     for n in range(8):
-        health = Health(f"b{n}")
-        health.judge({1: ({"x"}, set())}, 0.0)
-        back.append(next(t / 10 for t in range(100) if not health.judge({}, t / 10)))
+        health = HealthTracker(f"b{n}")
+        health.update_avoided({1: ({"x"}, set())}, 0.0)
+        back.append(next(t / 10 for t in range(100) if not health.update_avoided({}, t / 10)))
     assert len(set(back)) >= 6
 
 
 def test_balancers_with_other_contracts_keep_to_the_stricter() -> None:
     mine = Revision("f", "c1", {"fleet.connections": 100.0, "teams.a.connections": 50.0})
     other = Revision("f", "c2", {"fleet.connections": 80.0, "teams.a.connections": 60.0})
-    assert stricter(mine, {"x": other}) == {"fleet.connections": 80.0}
-    assert stricter(mine, {"x": Revision("f", "c1", {"fleet.connections": 1.0})}) == {}
+    assert stricter_limits(mine, {"x": other}) == {"fleet.connections": 80.0}
+    assert stricter_limits(mine, {"x": Revision("f", "c1", {"fleet.connections": 1.0})}) == {}
 
 
 # -- rights ----------------------------------------------------------------------------------------------
@@ -348,7 +352,7 @@
         if rng.random() < 0.004:
             name = rng.choice(names)  # dies, and starts anew knowing nothing
             boots[name] += 1
-            budgets[name], used[name] = Budget(name, part, True, now + LEASE), 0.0
+            budgets[name], used[name] = Budget(name, part, True, now + LEASE_S), 0.0
             seen = {key: row for key, row in seen.items() if key[0] != name}
             came = {key: row for key, row in came.items() if key[1] != name}
             asks.pop(name, None)
@@ -356,7 +360,7 @@
         for name in names:
             one = budgets[name]
             wanted = 55.0 if (int(now / 20) + names.index(name)) % 3 == 0 else rng.uniform(0.0, 12.0)
-            one.demand(wanted, now)
+            one.record_demand(wanted, now)
             most = one.target(now)
             used[name] = min(wanted, most) if used[name] <= most else max(most, used[name] - 1.0)
             used[name] = min(used[name], one.limit(now)) if used[name] <= one.limit(now) else used[name]
@@ -369,12 +373,12 @@
             for lender in names:
                 if (lender, name) in came:
                     boot, grant = came[lender, name]
-                    one.hear(lender, boot, grant, boots[name], now)
+                    one.receive_grant(lender, boot, grant, boots[name], now)
             if rng.random() < 0.1:
                 known = {other: boots[other] for other in names if other != name}
-                asks[name] = boots[name], one.ask(used[name], known, now)
+                asks[name] = boots[name], one.make_request(used[name], known, now)
             mine = {other: row for (reader, other), row in seen.items() if reader == name}
-            for to, grant in one.grant(mine, used[name], now).items():  # type: ignore[arg-type]
+            for to, grant in one.grant_requests(mine, used[name], now).items():  # type: ignore[arg-type]
                 grants[name, to] = boots[name], grant
         limits = [budgets[name].limit(now) for name in names]
         assert sum(limits) <= 3 * part + 1e-6, (now, limits)
@@ -383,13 +387,13 @@
 
 
 def test_a_starting_balancer_is_cautious_until_all_know_of_its_start() -> None:
-    budget = Budget("a", 20.0, True, LEASE)
-    assert budget.limit(1.0) == pytest.approx(20.0 * (1.0 - LENT))
+    budget = Budget("a", 20.0, True, LEASE_S)
+    assert budget.limit(1.0) == pytest.approx(20.0 * (1.0 - MAX_LENT_FRACTION))
     other = Budget("b", 20.0, True, 0.0)
-    ask = other.ask(0.0, {"a": 2}, 1.0)
-    budget.confirm({"b": ask.holds}, 3, 1)
+    ask = other.make_request(0.0, {"a": 2}, 1.0)
+    budget.confirm_start({"b": ask.holdings}, 3, 1)
     assert budget.limit(1.0) < 20.0
-    budget.confirm({"b": ask.holds}, 2, 1)
+    budget.confirm_start({"b": ask.holdings}, 2, 1)
     assert budget.limit(1.0) == 20.0
 
 
@@ -406,22 +410,22 @@
 
 def heard_from_now(budget: Budget, lender: str, boot: int, grant: Grant, mine: int, now: float) -> None:
     """The lease counted from when its grant came, not from when it was asked for."""
-    budget.asked[grant.number] = now
+    budget.request_times[grant.request_number] = now
     hear(budget, lender, boot, grant, mine, now)
 
 
-hear = Budget.hear
+hear = Budget.receive_grant
 
 
 @pytest.mark.parametrize(
     "what, broken_by",
     [
-        ("hear", heard_from_now),
-        ("_settle", lambda budget, name, boot, ask: budget.out.pop((name, boot), None)),
+        ("receive_grant", heard_from_now),
+        ("_settle_grants", lambda budget, name, boot, ask: budget.outstanding.pop((name, boot), None)),
         (
-            "gone",
+            "lent_amount",
             lambda budget, now: (
-                sum(max(one.amount for one in outs) for outs in budget.out.values() if outs)
+                sum(max(one.amount for one in outs) for outs in budget.outstanding.values() if outs)
                 if now < 3.0
                 else 0.0
             ),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from snowwick.fleet import facts, wire
+from snowwick.fleet import registers, wire
 from snowwick.fleet.node import Node
 from snowwick.lab import scale, scale_simulated
 from snowwick.lab.network import Network
@@ -64,7 +64,9 @@
 
 def test_each_member_writes_its_load_registers_in_turn() -> None:
     mine = [one for one in schedule(Workload(5, faults="none")) if one.kind is Kind.LOAD and one.member == 3]
-    assert [one.number for one in mine[:8]] == [(mine[0].number + n) % facts.CHUNKS for n in range(8)]
+    assert [one.number for one in mine[:8]] == [
+        (mine[0].number + n) % registers.LOAD_CHUNKS for n in range(8)
+    ]
 
 
 def test_restarts_and_failures_go_by_the_members_and_are_at_least_one_each() -> None:
@@ -91,8 +93,8 @@
 def test_values_are_as_large_as_said_and_can_be_read() -> None:
     w = Workload(12)
     assert abs(len(change_value(w, 7)) - w.change_bytes) <= 2
-    assert facts.unpack(change_value(w, 7), facts.Revision) is not None
-    counts = [load_value(w, 3, chunk, 1.0) for chunk in range(facts.CHUNKS)]
+    assert registers.unpack(change_value(w, 7), registers.Revision) is not None
+    counts = [load_value(w, 3, chunk, 1.0) for chunk in range(registers.LOAD_CHUNKS)]
     assert sorted(one for chunk in counts for one in chunk) == list(range(w.load_destinations))
     assert load_value(w, 3, 0, 1.0) == load_value(w, 3, 0, 1.0) != load_value(w, 3, 0, 16.0)
 
@@ -224,9 +226,9 @@
     net = Network(9, seed)
     for name in net.machines:
         for key in range(5):
-            net.write(name, facts.LOAD, str(key), b"%d" % key)
-        net.write(name, facts.LOAD, "0", b"later")
-        net.write(name, facts.LOAD, "1", None)
+            net.write(name, registers.LOAD, str(key), b"%d" % key)
+        net.write(name, registers.LOAD, "0", b"later")
+        net.write(name, registers.LOAD, "1", None)
     return net
 
 
