--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -36,10 +36,10 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from snowwick.fleet import facts, wire
-from snowwick.fleet.facts import View
-from snowwick.fleet.members import DEAD, LONGER, PAUSE, SUSPICION, Change
+from snowwick.fleet import registers, wire
+from snowwick.fleet.members import DEAD, MAX_SUSPICION_FACTOR, MIN_SUSPICION_S, SUSPICION_FACTOR, MemberChange
 from snowwick.fleet.node import CaughtUp
+from snowwick.fleet.registers import RegisterView
 from snowwick.lab.network import Faults, Machine, Network
 from snowwick.lab.workload import (
     Event,
@@ -57,7 +57,7 @@
     reference_loop,
     schedule,
 )
-from snowwick.net.fleet import SHARE
+from snowwick.net.fleet import SHARE_INTERVAL_S
 
 LOOKERS, OWNERS = 8, 32  # members whose view of loads is looked at, and owners that they are asked for
 LOOK = 0.1  # s between looks at those that start
@@ -119,7 +119,10 @@
 
 def longest_suspicion(members: int, period: float) -> float:
     """s that a suspicion stands at most, in a fleet of so many."""
-    return max(PAUSE, LONGER * SUSPICION * max(1.0, math.log10(max(1, members))) * period)
+    return max(
+        MIN_SUSPICION_S,
+        MAX_SUSPICION_FACTOR * SUSPICION_FACTOR * max(1.0, math.log10(max(1, members))) * period,
+    )
 
 
 @dataclass(slots=True)
@@ -192,31 +195,32 @@
 def joined(net: Network) -> None:
     """Let all members know each other and hold each other's registers as after a finished join.
 
-    Each meets each (``Members.met``) and takes its registers as one piece (``Store.merge``), decoded anew so
-    that copies take the memory that they would; nothing is left to pass on.  To be called before the network
-    has run; registers that the members have written by then are the fleet's.
+    Each meets each (``Membership.record_contact``) and takes its registers as one piece
+    (``Store.merge_batch``), decoded anew so that copies take the memory that they would; nothing is left to
+    pass on.  To be called before the network has run; registers that the members have written by then are
+    the fleet's.
     """
     machines = list(net.machines.values())
     for one in machines:
-        me, own = one.node.members.me, one.node.store.owners[one.name]
+        me, own = one.node.members.local, one.node.store.owners[one.name]
         person = msgspec.msgpack.encode(me.member())
         entries = msgspec.msgpack.encode([held.entry for held in own.entries.values()])
-        row = msgspec.msgpack.encode(own.row(one.name))
+        row = msgspec.msgpack.encode(own.summary(one.name))
         for other in machines:
             if other is one:
                 continue
             node = other.node
             said = msgspec.msgpack.decode(person, type=wire.Member)
-            node.members.met(said.name, said.address, said.incarnation, said.boot, net.now)
-            whole = msgspec.msgpack.decode(row, type=wire.Row)
+            node.members.record_contact(said.name, said.address, said.incarnation, said.boot, net.now)
+            whole = msgspec.msgpack.decode(row, type=wire.OwnerSummary)
             pieces = msgspec.msgpack.decode(entries, type=list[wire.Entry])
             for entry in pieces:
-                node.clock.hear(entry.stamp, node.wall_ms())
-            node.store.merge(whole, 0, whole.complete, pieces, net.now)
+                node.clock.observe(entry.timestamp, node.wall_ms())
+            node.store.merge_batch(whole, 0, whole.complete_seq, pieces, net.now)
     for one in machines:
-        one.node.members.rumours.clear()
+        one.node.members.gossip_queue.clear()
         one.node.members.changes.clear()
-        one.node.store.rumours.clear()
+        one.node.store.gossip_queue.clear()
 
 
 # -- the fleet that is measured ------------------------------------------------------------------------------
@@ -246,7 +250,7 @@
         self.writes: dict[tuple[str, int], list[tuple[int, int, float]]] = {
             (name, chunk): []
             for name in chance.sample(names, min(OWNERS, len(names)))
-            for chunk in range(facts.CHUNKS)
+            for chunk in range(registers.LOAD_CHUNKS)
         }
         self.totals: dict[str, dict[int, int]] = {name: {} for name in names}  # the truth, by chunk
 
@@ -270,7 +274,7 @@
             shed = node.counts.shed
             began = time.process_time()
             node.tick(self.now)
-            due = node.due()
+            due = node.next_due()
             meter.core += time.process_time() - began
             meter.shed += node.counts.shed - shed
             self._push(max(due, self.now + 0.001), name, None)
@@ -279,20 +283,20 @@
     def carry(self, machine: Machine) -> None:
         meter, chance, here = self.log.meter(machine.name), self.random.random, self.region[machine.name]
         least, spread = 0.1 * self.w.delay_s, 0.9 * self.w.delay_s
-        for to, datagram in machine.node.take_out():
+        for to, datagram in machine.node.take_datagrams():
             meter.datagrams_out += 1
             meter.bytes_out += len(datagram)
             if to not in self.machines or chance() < self.faults.loss or self.cut(machine.name, to):
                 continue
             far = self.w.region_delay_s if self.region[to] != here else 0.0
             self._push(self.now + least + spread * chance() + far, to, datagram)
-        for news in machine.node.take_news():
-            if isinstance(news, Change) and news.member.state == DEAD:
+        for news in machine.node.take_events():
+            if isinstance(news, MemberChange) and news.member.state == DEAD:
                 self.deaths.said(news.member, self.is_true(news.member, machine.name), self.now)
             elif isinstance(news, CaughtUp):
                 for one in self.starting:
                     if one.name == machine.name and one.said is None:
-                        one.said = news.after
+                        one.said = news.after_s
 
     def write(self, name: str, kind: int, key: str, value: bytes | None, left: float = 0.0) -> None:
         machine, meter = self.machines[name], self.log.meter(name)
@@ -306,10 +310,10 @@
     def is_true(self, member: wire.Member, by: str) -> bool:
         """Was that start of the member gone, or stopped for long or cut off from who says so, or just was?"""
         machine = self.machines.get(member.name)
-        if machine is None or machine.dead or machine.node.members.me.boot != member.boot:
+        if machine is None or machine.dead or machine.node.members.local.boot != member.boot:
             return True
         start, end = self.stops.get(member.name, (0.0, 0.0))
-        if end - start >= PAUSE and self.now < end + self.late:
+        if end - start >= MIN_SUSPICION_S and self.now < end + self.late:
             return True
         cut = self.cut(member.name, by) or self.cut(by, member.name)
         return cut or (
@@ -368,7 +372,7 @@
         if self.runs(name):
             return
         lacking = {
-            other: (owner.epoch, owner.complete)
+            other: (owner.epoch, owner.complete_seq)
             for other in self.ran_since
             for owner in (self.machines[other].node.store.owners[other],)
             if not self.cut(name, other)
@@ -382,19 +386,19 @@
 
     def first_words(self, name: str) -> None:
         """The registers that a member has before anything happens."""
-        self.write(name, facts.REVISION, "0000", facts.pack(facts.Revision(name.ljust(64))))
-        for chunk in range(facts.CHUNKS):
+        self.write(name, registers.REVISION, "0000", registers.pack(registers.Revision(name.ljust(64))))
+        for chunk in range(registers.LOAD_CHUNKS):
             self.load(int(name[1:]), chunk)
 
     def load(self, member: int, chunk: int) -> None:
         name = f"m{member}"
         counts = load_value(self.w, member, chunk, self.now)
-        self.write(name, facts.LOAD, str(chunk), facts.pack(counts))
+        self.write(name, registers.LOAD, str(chunk), registers.pack(counts))
         self.totals[name][chunk] = sum(counts.values())
         history = self.writes.get((name, chunk))
         if history is not None:
             own = self.machines[name].node.store.owners[name]
-            history.append((own.epoch, own.complete, self.now))
+            history.append((own.epoch, own.complete_seq, self.now))
 
     def change(self, member: int, number: int) -> None:
         """By that member, or the next one that runs."""
@@ -403,11 +407,17 @@
         if writer is None:
             return
         key = change_key(self.w, number)
-        self.write(writer, facts.REVISION, key, change_value(self.w, number))
+        self.write(writer, registers.REVISION, key, change_value(self.w, number))
         own = self.machines[writer].node.store.owners[writer]
         waiting = {name for name in self.ran_since if name != writer and not self.cut(writer, name)}
         one = Spreading(
-            writer, (facts.REVISION, key), (own.epoch, own.complete), self.now, self.log, waiting, self.now
+            writer,
+            (registers.REVISION, key),
+            (own.epoch, own.complete_seq),
+            self.now,
+            self.log,
+            waiting,
+            self.now,
         )
         self.log.changes += 1
         self.spreading.append(one)
@@ -423,14 +433,22 @@
             case Kind.CHANGE:
                 self.change(event.member, event.number)
             case Kind.VERDICT if self.runs(name):
-                self.write(name, facts.HEALTH, str(event.number), facts.pack(facts.HANGING), facts.SAID)
+                self.write(
+                    name,
+                    registers.HEALTH,
+                    str(event.number),
+                    registers.pack(registers.HANGING),
+                    registers.VERDICT_LIFETIME_S,
+                )
             case Kind.TAKEN_BACK if self.runs(name):
-                self.write(name, facts.HEALTH, str(event.number), None)
+                self.write(name, registers.HEALTH, str(event.number), None)
             case Kind.RIGHTS if self.runs(name) and self.runs(f"m{event.other}"):
                 lender = f"m{event.other}"
                 epoch = {one: self.machines[one].node.store.owners[one].epoch for one in (name, lender)}
-                self.write(name, facts.RIGHTS, "ask:scale", ask_value(self.w, event, lender, epoch[lender]))
-                self.write(lender, facts.RIGHTS, f"grant:{name}:scale", grant_value(event, epoch[name]))
+                self.write(
+                    name, registers.RIGHTS, "ask:scale", ask_value(self.w, event, lender, epoch[lender])
+                )
+                self.write(lender, registers.RIGHTS, f"grant:{name}:scale", grant_value(event, epoch[name]))
             case Kind.FAIL:
                 self.gone(name)
             case Kind.LEAVE if self.runs(name):
@@ -489,9 +507,9 @@
             for name, number in list(one.lacking.items()):
                 owner = node.store.owners.get(name)
                 if (
-                    node.members.is_there(name)
+                    node.members.is_member(name)
                     and owner is not None
-                    and (owner.epoch, owner.complete) >= number
+                    and (owner.epoch, owner.complete_seq) >= number
                 ):
                     del one.lacking[name]
             if not one.lacking:
@@ -530,26 +548,26 @@
                     or not history
                     or not self.runs(of)
                     or self.cut(of, name)
-                    or not node.members.is_there(of)
+                    or not node.members.is_member(of)
                 ):
                     continue
                 owner = node.store.owners.get(of)
-                held = owner.entries.get((facts.LOAD, str(chunk))) if owner is not None else None
+                held = owner.entries.get((registers.LOAD, str(chunk))) if owner is not None else None
                 number = (held.entry.epoch, held.entry.seq, math.inf) if held is not None else (0, 0, 0.0)
                 at = bisect_right(history, number)
                 if at:
                     self.log.age.add(self.now - history[at - 1][2])
                 # Before it started itself a member could hold nothing.
-                began = node.began if node.began is not None else self.now
+                began = node.started_at if node.started_at is not None else self.now
                 self.log.late.add(self.now - max(began, history[at][2]) if at < len(history) else 0.0)
-            reader = View(node.store, node.members)
+            reader = RegisterView(node.store, node.members)
             clock = time.process_time()
-            seen = reader.held(self.now).total()
+            seen = reader.connections_elsewhere(self.now).total()
             reader.verdicts(self.w.load_destinations, self.now)
             reader.leaving("scale", 1, self.now)
-            reader.rights(self.now)
+            reader.requests_and_grants(self.now)
             reader.revisions(self.now)
-            self.log.heed.append((time.process_time() - clock) / SHARE)
+            self.log.heed.append((time.process_time() - clock) / SHARE_INTERVAL_S)
             seen += sum(self.totals[name].values())
             self.log.errors.append(abs(seen - truth) / max(1, truth))
 
@@ -745,7 +763,7 @@
             seconds += 1.0
             fleet.log.references.append(reference_loop(REFERENCES, 1))
             # Not before each register was written anew: ages would be those of the idle phase.
-            turn = facts.CHUNKS / fleet.w.load_writes if fleet.w.load_writes else 0.0
+            turn = registers.LOAD_CHUNKS / fleet.w.load_writes if fleet.w.load_writes else 0.0
             if fleet.now >= fleet.w.idle_s + turn:
                 fleet.look_at_loads()
         if fleet.now >= told and fleet.now < phase.end:
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -8,7 +8,7 @@
 
 from snowwick.net import lines
 from snowwick.net.decider import (
-    UNRUN,
+    NOT_EXECUTED,
     BusyReply,
     FailReply,
     Left,
@@ -200,7 +200,7 @@
                     return None
                 elif isinstance(message, ConnectionEnded):
                     self.route_step = None
-                    self.may_have_run = self.may_have_run or message.outcome not in UNRUN
+                    self.may_have_run = self.may_have_run or message.outcome not in NOT_EXECUTED
                     if not self.at_decider:
                         self.reason = f"kept-{message.outcome.value}"
                         return lines.ERR
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from snowwick.fleet import facts, wire
+from snowwick.fleet import registers, wire
 from snowwick.fleet.node import Node
 from snowwick.lab import scale, scale_simulated
 from snowwick.lab.network import Network
@@ -64,7 +64,9 @@
 
 def test_each_member_writes_its_load_registers_in_turn() -> None:
     mine = [one for one in schedule(Workload(5, faults="none")) if one.kind is Kind.LOAD and one.member == 3]
-    assert [one.number for one in mine[:8]] == [(mine[0].number + n) % facts.CHUNKS for n in range(8)]
+    assert [one.number for one in mine[:8]] == [
+        (mine[0].number + n) % registers.LOAD_CHUNKS for n in range(8)
+    ]
 
 
 def test_restarts_and_failures_go_by_the_members_and_are_at_least_one_each() -> None:
@@ -91,8 +93,8 @@
 def test_values_are_as_large_as_said_and_can_be_read() -> None:
     w = Workload(12)
     assert abs(len(change_value(w, 7)) - w.change_bytes) <= 2
-    assert facts.unpack(change_value(w, 7), facts.Revision) is not None
-    counts = [load_value(w, 3, chunk, 1.0) for chunk in range(facts.CHUNKS)]
+    assert registers.unpack(change_value(w, 7), registers.Revision) is not None
+    counts = [load_value(w, 3, chunk, 1.0) for chunk in range(registers.LOAD_CHUNKS)]
     assert sorted(one for chunk in counts for one in chunk) == list(range(w.load_destinations))
     assert load_value(w, 3, 0, 1.0) == load_value(w, 3, 0, 1.0) != load_value(w, 3, 0, 16.0)
 
@@ -100,7 +102,10 @@
 def test_the_reference_frame_is_full_and_passes() -> None:
     frame = reference_frame()
     sealed = wire.seal(frame, b"r" * 32)
-    assert wire.MOST - 100 < len(sealed) <= wire.MOST and wire.unseal(sealed, [b"r" * 32]) == frame
+    assert (
+        wire.MAX_FRAME_BYTES - 100 < len(sealed) <= wire.MAX_FRAME_BYTES
+        and wire.unseal(sealed, [b"r" * 32]) == frame
+    )
     assert 1e-6 < reference_loop(50, 3) < 1e-2
 
 
@@ -191,16 +196,22 @@
                 (one.name, one.address, one.incarnation, one.boot, one.state)
                 for one in machine.node.members.records.values()
             ),
-            sorted(machine.node.members.turns) if net.now == 0.0 else None,
+            sorted(machine.node.members.probe_order) if net.now == 0.0 else None,
             {
                 owner: (
                     one.epoch,
-                    one.complete,
+                    one.complete_seq,
                     one.hash,
-                    one.bytes,
-                    sorted(one.ahead),
+                    one.size_bytes,
+                    sorted(one.seqs_ahead),
                     sorted(
-                        (held.entry.kind, held.entry.key, held.entry.seq, held.entry.value, held.entry.stamp)
+                        (
+                            held.entry.kind,
+                            held.entry.key,
+                            held.entry.seq,
+                            held.entry.value,
+                            held.entry.timestamp,
+                        )
                         for held in one.entries.values()
                     ),
                 )
@@ -215,9 +226,9 @@
     net = Network(9, seed)
     for name in net.machines:
         for key in range(5):
-            net.write(name, facts.LOAD, str(key), b"%d" % key)
-        net.write(name, facts.LOAD, "0", b"later")
-        net.write(name, facts.LOAD, "1", None)
+            net.write(name, registers.LOAD, str(key), b"%d" % key)
+        net.write(name, registers.LOAD, "0", b"later")
+        net.write(name, registers.LOAD, "1", None)
     return net
 
 
@@ -230,16 +241,20 @@
     assert by_itself.agree()
     by_itself.run(by_itself.now + 10.0)  # all is told by then
     for one in at_once.machines.values():
-        assert sorted(one.node.members.turns) == sorted(at_once.machines.keys() - {one.name})
-        assert not one.node.store.rumours and not one.node.members.rumours and not one.node.take_out()
+        assert sorted(one.node.members.probe_order) == sorted(at_once.machines.keys() - {one.name})
+        assert (
+            not one.node.store.gossip_queue
+            and not one.node.members.gossip_queue
+            and not one.node.take_datagrams()
+        )
     for machine in by_itself.machines.values():
-        assert not machine.node.store.rumours and not machine.node.members.rumours
+        assert not machine.node.store.gossip_queue and not machine.node.members.gossip_queue
     first, second = held(at_once), held(by_itself)
     for name in first:
         assert first[name][0::2] == second[name][0::2]  # type: ignore[index]
     at_once.run(20.0)
     assert at_once.agree() and held(at_once) == {name: (row[0], None, row[2]) for name, row in first.items()}  # type: ignore[index]
-    assert all(machine.node.caught for machine in at_once.machines.values())
+    assert all(machine.node.caught_up for machine in at_once.machines.values())
 
 
 # -- a row -----------------------------------------------------------------------------------------------
