--- a/snowwick/__init__.py
+++ b/snowwick/__init__.py
@@ -1,3 +1,3 @@
-"""A load balancer for connections that last."""
+"""A load balancer for long-lived connections."""
 
 __version__ = "0.1.0"
--- a/snowwick/broker/__init__.py
+++ b/snowwick/broker/__init__.py
@@ -1,6 +1,7 @@
-"""The broker between teams: contracts, budgets and pools, free of I/O and clock.
+"""Sharing the fleet between teams: contracts, budgets and pools.  Does no I/O and reads no clock.
 
-``contract`` is the operators' file and its checks, ``gcra``, ``fair`` and ``budget`` the limits and what is
-lent, ``bookings`` when the refused may come back, ``ledger`` what each team holds and is owed, ``pools``
-which destinations are whose.
+``contract`` reads and checks the operators' file.  ``admission`` admits or refuses requests and selects the
+connections to reclaim; it uses ``budget`` (usage and lending of a resource), ``gcra`` (limits on rates) and
+``retry_queue`` (when refused clients retry).  ``fair`` computes fair shares, and ``pools`` assigns
+destinations to pools.
 """
--- a/snowwick/broker/fair.py
+++ b/snowwick/broker/fair.py
@@ -1,4 +1,4 @@
-"""Who gets how much when all ask: weighted max-min fairness, and whole units shared among balancers."""
+"""Fair shares: weighted max-min fairness, and whole units divided among balancers."""
 
 from __future__ import annotations
 
@@ -9,44 +9,45 @@
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """One party's floor, most and weight; ``wants`` caps what it gets."""
+    """The limits of one participant; it gets no more than ``demand`` either."""
 
     guarantee: float
     ceiling: float
     weight: float
-    wants: float = math.inf
+    demand: float = math.inf
 
 
-def max_min(total: float, claims: Sequence[Claim]) -> list[float]:
-    """Share ``total``: first each its guarantee, then the rest by weight, nobody above ceiling or wish.
+def max_min_shares(total: float, claims: Sequence[Claim]) -> list[float]:
+    """Divide ``total``: first the guarantees, then the rest by weight, to none more than ceiling or demand.
 
-    Progressive filling (Bertsekas and Gallager, Data Networks, 6.5.2) on what is beyond the guarantees.
+    Progressive filling (Bertsekas and Gallager, Data Networks, 6.5.2) of what lies beyond the guarantees.
     """
-    tops = [min(one.ceiling, one.wants) for one in claims]
-    shares = [min(one.guarantee, top) for one, top in zip(claims, tops, strict=True)]
-    left = max(0.0, total - sum(shares))
-    # In order of the level at which each is satisfied: every step satisfies one more.
+    maxima = [min(claim.ceiling, claim.demand) for claim in claims]
+    shares = [min(claim.guarantee, maximum) for claim, maximum in zip(claims, maxima, strict=True)]
+    remaining = max(0.0, total - sum(shares))
+    # In order of the level at which each claim is satisfied: every step satisfies one more.
     order = sorted(
-        (n for n, one in enumerate(claims) if tops[n] > shares[n] and one.weight > 0),
-        key=lambda n: (tops[n] - shares[n]) / claims[n].weight,
+        (n for n, claim in enumerate(claims) if maxima[n] > shares[n] and claim.weight > 0),
+        key=lambda n: (maxima[n] - shares[n]) / claims[n].weight,
     )
-    weights = sum(claims[n].weight for n in order)
+    total_weight = sum(claims[n].weight for n in order)
     for n in order:
-        extra = min(tops[n] - shares[n], left * claims[n].weight / weights)
+        extra = min(maxima[n] - shares[n], remaining * claims[n].weight / total_weight)
         shares[n] += extra
-        left -= extra
-        weights -= claims[n].weight
+        remaining -= extra
+        total_weight -= claims[n].weight
     return shares
 
 
-def striped(first: int, count: int, parties: int, index: int) -> int:
-    """How many of the units ``first`` to ``first + count - 1`` fall to a party if they are dealt out in turn.
+def round_robin_count(first: int, count: int, balancers: int, index: int) -> int:
+    """How many of the units ``first`` to ``first + count - 1`` a balancer gets if all are dealt round robin.
 
-    Units dealt to teams one after another this way sum up exactly over the parties, and at each party the
-    teams' parts never sum to more than its part of all units: rounding each by itself does not keep both.
+    With consecutive units for each team, a team's parts sum to its units exactly, and at each balancer the
+    teams' parts never sum to more than its part of all units.  Rounding each part by itself does not ensure
+    both.
     """
 
-    def before(unit: int) -> int:
-        return (unit - index + parties - 1) // parties
+    def units_before(unit: int) -> int:
+        return (unit - index + balancers - 1) // balancers
 
-    return before(first + count) - before(first)
+    return units_before(first + count) - units_before(first)
--- a/snowwick/broker/pools.py
+++ b/snowwick/broker/pools.py
@@ -1,4 +1,4 @@
-"""Which destinations belong to which pool, by what discovery says of them."""
+"""Assigns destinations to pools by their labels in discovery's list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Labels:
-    """What discovery says of a destination, as far as pools go by it."""
+    """The labels of a destination in discovery's list that pools match."""
 
     kind: str = ""
     zone: str = ""
@@ -19,16 +19,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Match:
-    """The labels that a pool takes; None takes any."""
+    """The label values that a pool accepts; None accepts any."""
 
     kind: frozenset[str] | None = None
     zone: frozenset[str] | None = None
     cell: frozenset[str] | None = None
 
-    def takes(self, labels: Labels) -> bool:
+    def accepts(self, labels: Labels) -> bool:
+        """Whether a destination with these labels belongs to the pool."""
         return all(
-            wanted is None or label in wanted
-            for wanted, label in (
+            accepted is None or label in accepted
+            for accepted, label in (
                 (self.kind, labels.kind),
                 (self.zone, labels.zone),
                 (self.cell, labels.cell),
@@ -36,79 +37,83 @@
         )
 
     def overlaps(self, other: Match) -> bool:
-        """Could one destination be in both?"""
+        """Whether one destination could belong to both pools."""
         return all(
-            a is None or b is None or a & b
-            for a, b in ((self.kind, other.kind), (self.zone, other.zone), (self.cell, other.cell))
+            mine is None or theirs is None or mine & theirs
+            for mine, theirs in ((self.kind, other.kind), (self.zone, other.zone), (self.cell, other.cell))
         )
 
 
 class PoolAssignment:
-    """Deals discovery's list out to pools: each gets the news of its own destinations, and of those it loses.
+    """Divides discovery's list into one list per pool.
 
-    A destination whose labels change leaves its old pool as one that is gone, so that the module there moves
-    its clients, and enters the new one as it now is.
+    A destination whose labels change is reported to its old pool as gone, so that the module there moves its
+    clients, and to its new pool in its present state.
     """
 
     def __init__(self, matches: Mapping[str, Match]) -> None:
         self.matches = dict(matches)
         self.entries: dict[int, tuple[BackendEntry, Labels]] = {}
-        self.destinations: dict[str, set[int]] = {name: set() for name in matches}
-        self.available_pools: set[str] = set()  # pools with a destination that takes new connections
+        self.destinations: dict[str, set[int]] = {name: set() for name in matches}  # by pool
+        self.available_pools: set[str] = set()  # with a destination that takes new connections
 
     def apply(self, update: ListUpdate, labels: Mapping[int, Labels]) -> dict[str, ListUpdate]:
-        """What each pool hears of an update; ``labels`` holds those of the update's entries."""
+        """Apply an update, with the labels of its entries; returns each pool's part of it."""
         if update.kind is ListKind.FAILED:
             return dict.fromkeys(self.matches, update)
-        whole = update.kind is not ListKind.CHANGES
-        if whole:
+        full_list = update.kind is not ListKind.CHANGES
+        if full_list:
             self.entries = {}
         for entry in update.entries:
             if entry.state is State.GONE:
                 self.entries.pop(entry.backend, None)
             else:
                 self.entries[entry.backend] = entry, labels.get(entry.backend, Labels())
-        changed = None if whole else {entry.backend: entry for entry in update.entries}
-        return {name: self._of(name, update.kind, changed) for name in self.matches}
+        changed = None if full_list else {entry.backend: entry for entry in update.entries}
+        return {name: self._pool_update(name, update.kind, changed) for name in self.matches}
 
     def replace_pools(self, matches: Mapping[str, Match]) -> dict[str, ListUpdate]:
-        """Other pools from now on: each hears its whole list again, and what it has lost.
+        """Use other pools from now on; returns each pool's full list, with the destinations that it lost.
 
-        A pool that is gone keeps its old match as long as the caller leaves it in ``matches``.
+        A pool that has been removed keeps its old match as long as the caller leaves it in ``matches``.
         """
         self.matches = dict(matches)
         self.destinations = {name: self.destinations.get(name, set()) for name in matches}
-        return {name: self._of(name, ListKind.FULL, None) for name in matches}
+        return {name: self._pool_update(name, ListKind.FULL, None) for name in matches}
 
     def remove_pool(self, name: str) -> None:
-        """That pool is over; the others have nothing to hear of it."""
+        """Remove a pool; this changes no other pool's list."""
         self.matches.pop(name, None)
         self.destinations.pop(name, None)
         self.available_pools.discard(name)
 
-    def _of(self, name: str, kind: ListKind, changed: Mapping[int, BackendEntry] | None) -> ListUpdate:
+    def _pool_update(
+        self, name: str, kind: ListKind, changed: Mapping[int, BackendEntry] | None
+    ) -> ListUpdate:
+        """A pool's part of an update: of its full list where ``changed`` is None, else of these entries."""
         match, before = self.matches[name], self.destinations[name]
         if changed is None:
-            now = {number for number, (_, labels) in self.entries.items() if match.takes(labels)}
-            rows = [self.entries[number][0] for number in sorted(now)]
-            # Those that the list no longer has at all are the module's to judge, as without pools.
-            lost = [self.entries[number][0] for number in sorted(before - now) if number in self.entries]
+            members = {number for number, (_, labels) in self.entries.items() if match.accepts(labels)}
+            entries = [self.entries[number][0] for number in sorted(members)]
+            # Destinations that are in no list any more are left to the module, as without pools.
+            lost = [self.entries[number][0] for number in sorted(before - members) if number in self.entries]
         else:
-            now, rows, lost = set(before), [], []
+            members, entries, lost = set(before), [], []
             for number, entry in changed.items():
-                inside = number in self.entries and match.takes(self.entries[number][1])
-                if inside:
-                    now.add(number)
-                    rows.append(entry)
+                accepted = number in self.entries and match.accepts(self.entries[number][1])
+                if accepted:
+                    members.add(number)
+                    entries.append(entry)
                 elif number in before:
-                    now.discard(number)
+                    members.discard(number)
                     lost.append(entry)
-        self.destinations[name] = now
+        self.destinations[name] = members
         self.available_pools.discard(name)
-        if any(self.entries[one][0].state is State.READY for one in now):
+        if any(self.entries[number][0].state is State.READY for number in members):
             self.available_pools.add(name)
-        return ListUpdate(kind, rows + [_gone(entry) for entry in lost])
+        return ListUpdate(kind, entries + [_as_gone(entry) for entry in lost])
 
 
-def _gone(entry: BackendEntry) -> BackendEntry:
+def _as_gone(entry: BackendEntry) -> BackendEntry:
+    """The entry of a destination that has left a pool."""
     return BackendEntry(entry.backend, State.GONE, entry.zone, entry.cell, entry.weight, entry.started)
--- a/snowwick/toml_reader.py
+++ b/snowwick/toml_reader.py
@@ -1,6 +1,6 @@
-"""Reading operators' TOML files: every fault is collected, each with its full key path.
+"""Reads operators' TOML files and collects every fault with its full key path.
 
-Imports msgspec; the program loads it only where such a file is given.
+This module imports msgspec; the program imports it only where such a file is given.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class TomlReader:
-    """Collects the faults of a file."""
+    """Reads one file; ``faults`` holds one line per fault, starting with the full key path."""
 
     def __init__(self) -> None:
         self.faults: list[str] = []
@@ -28,7 +28,10 @@
         self.faults.append(f"{path}: {text}")
 
     def parse(self, text: str, keys: set[str]) -> dict[str, Any]:
-        """The file's top table, where it is TOML of version 1; else the fault is in ``faults``, alone."""
+        """The top-level table of a file with the given keys.
+
+        Where the text is not TOML or not of version 1, the table is empty and this is the only fault.
+        """
         try:
             raw = tomllib.loads(text)
         except tomllib.TOMLDecodeError as error:
@@ -43,27 +46,27 @@
             return {}
         for key in raw.keys() - keys - {"version"}:
             self.add_fault(key, "unknown key")
-        for path, number in numbers(raw):
+        for path, number in float_values(raw):
             if not math.isfinite(number):
                 self.add_fault(path, f"must be a finite number, not {number}")
         return raw
 
-    def read_struct(self, path: str, raw: Any, kind: type[T]) -> T | None:
-        """A table as that struct; None, with the fault kept, where it is not one."""
+    def read_struct(self, path: str, raw: Any, struct: type[T]) -> T | None:
+        """Convert a table to a struct; None, with a fault added, where it does not fit."""
         try:
-            return msgspec.convert(raw, kind)
+            return msgspec.convert(raw, struct)
         except msgspec.ValidationError as error:
-            text, _, where = str(error).partition(" - at `$")
-            keys = [path, *(a or b for a, b in re.findall(r"\.([^.`\[]+)|\[(\d+)\]", where))]
-            missing = re.search(r"(?:unknown|required) field `([^`]+)`", text)
-            if missing:
-                keys.append(missing.group(1))
-                text = "unknown key" if "unknown" in text else "is missing"
-            self.add_fault(".".join(filter(None, keys)), text[:1].lower() + text[1:])
+            message, _, location = str(error).partition(" - at `$")
+            keys = [path, *(key or index for key, index in re.findall(r"\.([^.`\[]+)|\[(\d+)\]", location))]
+            field = re.search(r"(?:unknown|required) field `([^`]+)`", message)
+            if field:
+                keys.append(field.group(1))
+                message = "unknown key" if "unknown" in message else "is missing"
+            self.add_fault(".".join(filter(None, keys)), message[:1].lower() + message[1:])
             return None
 
     def read_table(self, raw: dict[str, Any], path: str, required: bool = False) -> dict[str, Any]:
-        """The table at the path's last key, with names for keys."""
+        """The table under the last key of ``path``; each of its keys has to be a valid name."""
         value = raw.get(path.rpartition(".")[2], None if required else {})
         if not isinstance(value, dict):
             self.add_fault(path, "must be a table" if value is not None else "is missing")
@@ -74,11 +77,11 @@
         return value
 
 
-def numbers(raw: Any, path: str = "") -> Iterator[tuple[str, float]]:
-    """All floats of a parsed file by their key paths."""
-    rows = raw.items() if isinstance(raw, dict) else enumerate(raw) if isinstance(raw, list) else ()
-    for key, value in rows:
-        where = f"{path}.{key}" if path else str(key)
+def float_values(raw: Any, path: str = "") -> Iterator[tuple[str, float]]:
+    """All floats of a parsed file, each with its key path."""
+    items = raw.items() if isinstance(raw, dict) else enumerate(raw) if isinstance(raw, list) else ()
+    for key, value in items:
+        value_path = f"{path}.{key}" if path else str(key)
         if isinstance(value, float):
-            yield where, value
-        yield from numbers(value, where)
+            yield value_path, value
+        yield from float_values(value, value_path)
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -13,7 +13,7 @@
 
 from crowgap.interface import BackendEntry, ListKind, ListUpdate, State
 from snowwick.broker.contract import BadContracts, balancer_limits, explain, parse
-from snowwick.broker.fair import Claim, max_min, striped
+from snowwick.broker.fair import Claim, max_min_shares, round_robin_count
 from snowwick.broker.pools import Labels, Match, PoolAssignment
 
 GOOD = """
@@ -59,7 +59,11 @@
         ('["t3"]', '["t9"]', "teams.y.tenants: the settings have no tenant 't9'"),
         ('["t3"]', "[]", "teams.y.tenants: expected"),
         ('["t3"]', '["t3", 7]', "teams.y.tenants.*: expected"),
-        ("connections = 50", "connections = 61", "fleet.connections: the guarantees together, 101, exceed"),
+        (
+            "connections = 50",
+            "connections = 61",
+            "fleet.connections: the guarantees add up to 101, which exceeds 100",
+        ),
         ("connections = 80", "connections = 39", "teams.x.ceiling.connections: 39 is under the guarantee"),
         ("connections = 80", "load = 5.0", "teams.x.ceiling.load: needs fleet.load"),
         ('kind = "k2"', 'kind = ["k1", "k3"]', "pools.b.match: overlaps with pools.a"),
@@ -99,12 +103,12 @@
     for index in range(balancers):
         first, held = 0, 0
         for number in counts:
-            held += striped(first, number, balancers, index)
+            held += round_robin_count(first, number, balancers, index)
             first += number
-        assert held <= striped(0, whole, balancers, index)
+        assert held <= round_robin_count(0, whole, balancers, index)
     first = 0
     for number in counts:
-        assert sum(striped(first, number, balancers, n) for n in range(balancers)) == number
+        assert sum(round_robin_count(first, number, balancers, n) for n in range(balancers)) == number
         first += number
 
 
@@ -119,15 +123,15 @@
 def test_max_min_gives_guarantees_first_and_then_by_weight(
     more: int, rows: list[tuple[int, int, int, int]]
 ) -> None:
-    claims = [Claim(low, low + up, weight, wants) for low, up, weight, wants in rows]
+    claims = [Claim(low, low + up, weight, demand) for low, up, weight, demand in rows]
     total = sum(one.guarantee for one in claims) + more
-    shares = max_min(total, claims)
+    shares = max_min_shares(total, claims)
     assert sum(shares) <= total + 1e-6
     for one, share in zip(claims, shares, strict=True):
-        assert min(one.guarantee, one.wants) - 1e-6 <= share <= min(one.ceiling, one.wants) + 1e-6
-    hungry = [n for n, one in enumerate(claims) if shares[n] < min(one.ceiling, one.wants) - 1e-6]
+        assert min(one.guarantee, one.demand) - 1e-6 <= share <= min(one.ceiling, one.demand) + 1e-6
+    hungry = [n for n, one in enumerate(claims) if shares[n] < min(one.ceiling, one.demand) - 1e-6]
     if hungry:
-        assert sum(shares) >= total - 1e-6  # nothing idle while somebody wants more
+        assert sum(shares) >= total - 1e-6  # nothing idle while a claim is not satisfied
     for n in hungry:  # nobody who has extra has more of it, for its weight, than one who goes short
         for one, share in zip(claims, shares, strict=True):
             extra = max(0.0, share - one.guarantee) / one.weight
