--- a/snowwick/rebalance/__init__.py
+++ b/snowwick/rebalance/__init__.py
@@ -1,1 +1,1 @@
-"""Slow rebalancing: which standing connections to move, and when.  Free of I/O and clock."""
+"""Slow rebalancing: which established connections to move, and when.  Does no I/O and reads no clock."""
--- a/snowwick/rebalance/plan.py
+++ b/snowwick/rebalance/plan.py
@@ -1,11 +1,12 @@
-"""The planner: few moves that bring a balancer's own connections toward balance.
+"""The rebalancing planner: few moves that level the load of one balancer's own connections.
 
-Each balancer levels what it holds itself over the destinations' capacities.  Level parts sum up to a level
-whole, and nobody reacts to what another did, so balancers that share nothing cannot swing against each other.
+Each balancer levels its own connections over the destinations' capacities.  Where every balancer's part is
+level, the whole is level too, and no balancer reacts to another's moves, so balancers that share no state
+cannot oscillate against each other.
 
-A destination pays for each group that it holds any of (``group_cost`` mean loads), so groups are moved whole,
-and to where a part of them is already, if that lies in reach.  Times are seconds on the caller's clock, loads
-in any one unit.
+Each group of which a destination has any connection costs it ``group_cost`` mean loads, so groups are moved
+whole, and where possible to a destination that has a part of them already.  Times are seconds on the caller's
+clock; loads are in any one unit.
 """
 
 from __future__ import annotations
@@ -20,44 +21,47 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
-    """How gently.  ``pace`` is this balancer's part of the fleet's moves a second."""
-
-    pace: float = 2.0
-    start: float = 1.15  # worst fill over the mean from which moves begin
-    stop: float = 1.05  # and under which they end: between the two nothing begins and nothing is cut short
-    reception: float = 2.0  # moves a second to one destination: each is a handshake there
-    least_age: float = 5.0  # s that a connection stands before it may be moved
-    rest: float = 60.0  # s after a move in which the same client is not moved again
+class RebalanceSettings:
+    """The settings of the planner; ``moves_per_s`` is this balancer's part of the fleet's rate."""
+
+    moves_per_s: float = 2.0
+    start_ratio: float = 1.15  # highest utilization over the mean at which moves begin
+    stop_ratio: float = 1.05  # and at which they end; in between moves neither begin nor end
+    receive_moves_per_s: float = 2.0  # to one destination, where each move is a handshake
+    min_age_s: float = 5.0  # how long a connection is established before it may be moved
+    client_cooldown_s: float = 60.0  # after a move, until the same client may be moved again
     group_cost: float = 3.0  # what any part of a group costs a destination, in mean loads
-    warm_up: float = 10.0  # s that a destination takes to its full capacity
-    cold_from: float = 0.3  # part of it that it has at its start
+    warm_up_s: float = 10.0  # until a destination has its full capacity
+    initial_capacity_fraction: float = 0.3  # the part of its capacity that a destination starts with
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
-    """A connection; ``client`` is the same after a move."""
+class Connection:
+    """An established connection; ``client`` stays the same after a move."""
 
     number: int
     client: str
     group: str
     destination: int
     load: float
-    since: float
+    established_at: float
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
-    """A destination that takes connections."""
+class Destination:
+    """A destination that takes new connections."""
 
     number: int
     capacity: float
-    started: float = -math.inf
+    started_at: float = -math.inf
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """A connection to be moved; ``gain``: how far the worse of the two fills falls, in parts of the mean."""
+    """A connection to move; ``number`` is the connection's.
+
+    ``gain`` is by how much the higher of the two destinations' utilizations falls, in parts of the mean.
+    """
 
     number: int
     client: str
@@ -68,230 +72,279 @@
 
 
 @dataclass(slots=True)
-class _Part:
-    """What of a group stands on one destination."""
+class _GroupPart:
+    """The connections of one group at one destination, and their load."""
 
     load: float = 0.0
-    members: dict[int, Standing] = field(default_factory=dict)
+    connections: dict[int, Connection] = field(default_factory=dict)
 
 
-class Book:
-    """What stands, summed up as it comes and goes, so that a round need not walk all of it."""
+class ConnectionTable:
+    """The established connections with running totals, so that a planning round does not read them all."""
 
-    def __init__(self, standing: Iterable[Standing] = ()) -> None:
-        self.rows: dict[int, Standing] = {}
-        self.groups: dict[int, dict[str, _Part]] = {}  # by destination
-        self.homes: dict[str, set[int]] = {}  # where each group stands
+    def __init__(self, connections: Iterable[Connection] = ()) -> None:
+        self.connections: dict[int, Connection] = {}
+        self.groups: dict[int, dict[str, _GroupPart]] = {}  # by destination
+        self.group_destinations: dict[str, set[int]] = {}  # by group
         self.loads: dict[int, float] = defaultdict(float)  # by destination
-        self.load = 0.0
-        for one in standing:
-            self.put(one)
-
-    def put(self, one: Standing) -> None:
-        """A connection stands, or has another load, place or age than before."""
-        self.remove(one.number)
-        self.rows[one.number] = one
-        part = self.groups.setdefault(one.destination, {}).setdefault(one.group, _Part())
-        part.members[one.number] = one
-        part.load += one.load
-        self.homes.setdefault(one.group, set()).add(one.destination)
-        self.loads[one.destination] += one.load
-        self.load += one.load
+        self.total_load = 0.0
+        for connection in connections:
+            self.put(connection)
+
+    def put(self, connection: Connection) -> None:
+        """Add a connection, or replace it where its load, destination or age has changed."""
+        self.remove(connection.number)
+        self.connections[connection.number] = connection
+        part = self.groups.setdefault(connection.destination, {}).setdefault(connection.group, _GroupPart())
+        part.connections[connection.number] = connection
+        part.load += connection.load
+        self.group_destinations.setdefault(connection.group, set()).add(connection.destination)
+        self.loads[connection.destination] += connection.load
+        self.total_load += connection.load
 
     def remove(self, number: int) -> None:
-        """It has ended."""
-        one = self.rows.pop(number, None)
-        if one is None:
+        """Remove a connection that has ended."""
+        connection = self.connections.pop(number, None)
+        if connection is None:
             return
-        groups = self.groups[one.destination]
-        part = groups[one.group]
-        del part.members[number]
-        part.load -= one.load
-        self.loads[one.destination] -= one.load
-        self.load -= one.load
-        if part.members:
+        groups = self.groups[connection.destination]
+        part = groups[connection.group]
+        del part.connections[number]
+        part.load -= connection.load
+        self.loads[connection.destination] -= connection.load
+        self.total_load -= connection.load
+        if part.connections:
             return
-        # The last of its group there: what is kept must not grow with groups that come and go.
-        del groups[one.group]
-        self.homes[one.group].discard(one.destination)
-        if not self.homes[one.group]:
-            del self.homes[one.group]
+        # The last connection of its group there: groups that come and go must not make the table grow.
+        del groups[connection.group]
+        self.group_destinations[connection.group].discard(connection.destination)
+        if not self.group_destinations[connection.group]:
+            del self.group_destinations[connection.group]
         if not groups:
-            del self.groups[one.destination], self.loads[one.destination]
+            del self.groups[connection.destination], self.loads[connection.destination]
 
 
 @dataclass(slots=True)
-class _Fill:
-    """One destination in a round: its load with the groups' cost, the groups on it, and who came or left."""
+class _DestinationState:
+    """One destination in a planning round; ``load`` includes the cost of its groups."""
 
-    place: Place
+    destination: Destination
     capacity: float
     load: float
-    groups: Mapping[str, _Part]
-    changed: dict[str, bool] = field(default_factory=dict)  # groups that came in this round (True) or left
+    groups: Mapping[str, _GroupPart]
+    changed_groups: dict[str, bool] = field(default_factory=dict)  # added (True) or removed in this round
 
     @property
-    def ratio(self) -> float:
+    def utilization(self) -> float:
         return self.load / self.capacity
 
-    def holds(self, group: str) -> bool:
-        return self.changed.get(group, group in self.groups)
+    def has_group(self, group: str) -> bool:
+        return self.changed_groups.get(group, group in self.groups)
 
 
 class Planner:
-    """One balancer's plans: ``plan`` now and then, and what it returns is to be carried out."""
-
-    def __init__(self, terms: Terms) -> None:
-        self.terms, self.active = terms, False
-        self.pace = Gcra(terms.pace, max(1.0, terms.pace))
-        self.reception: dict[int, Gcra] = {}
-        self.moved: dict[str, float] = {}  # clients at rest, and since when; the oldest first
-
-    def capacity(self, place: Place, now: float) -> float:
-        """What a destination can bear now: less while it warms up."""
-        t = self.terms
-        warm = min(1.0, max(0.0, now - place.started) / t.warm_up) if t.warm_up > 0.0 else 1.0
-        return place.capacity * (t.cold_from + (1.0 - t.cold_from) * warm)
-
-    def plan(self, now: float, places: Collection[Place], book: Book) -> list[Move]:
-        """The moves of this round, each with its reason and expected gain; none while all is level enough."""
-        self._forget(now, {place.number for place in places})
-        unit = self.terms.group_cost * book.load / max(1, len(book.rows))
-        fills = self._fills(now, places, book, unit)
-        total, room = sum(one.load for one in fills.values()), sum(one.capacity for one in fills.values())
-        if not total or not room:
+    """Plans the moves of one balancer.
+
+    The caller calls ``plan`` regularly and carries out the moves that it returns.
+    """
+
+    def __init__(self, settings: RebalanceSettings) -> None:
+        self.settings, self.active = settings, False
+        self.move_rate = Gcra(settings.moves_per_s, max(1.0, settings.moves_per_s))
+        self.receive_rates: dict[int, Gcra] = {}  # by destination
+        self.moved_at: dict[str, float] = {}  # by client, oldest first, for the length of the cooldown
+
+    def capacity(self, destination: Destination, now: float) -> float:
+        """The present capacity of a destination, which is lower while it warms up."""
+        settings = self.settings
+        warm_fraction = (
+            min(1.0, max(0.0, now - destination.started_at) / settings.warm_up_s)
+            if settings.warm_up_s > 0.0
+            else 1.0
+        )
+        return destination.capacity * (
+            settings.initial_capacity_fraction + (1.0 - settings.initial_capacity_fraction) * warm_fraction
+        )
+
+    def plan(self, now: float, destinations: Collection[Destination], table: ConnectionTable) -> list[Move]:
+        """The moves of one round; none while the destinations are level enough."""
+        self._drop_expired(now, {destination.number for destination in destinations})
+        group_load = self.settings.group_cost * table.total_load / max(1, len(table.connections))
+        states = self._destination_states(now, destinations, table, group_load)
+        total_load, total_capacity = (
+            sum(state.load for state in states.values()),
+            sum(state.capacity for state in states.values()),
+        )
+        if not total_load or not total_capacity:
             return []
-        mean = total / room
-        worst = max(one.ratio for one in fills.values()) / mean
-        self.active = worst > (self.terms.stop if self.active else self.terms.start)
+        mean = total_load / total_capacity
+        highest_ratio = max(state.utilization for state in states.values()) / mean
+        self.active = highest_ratio > (self.settings.stop_ratio if self.active else self.settings.start_ratio)
         if not self.active:
             return []
         moves: list[Move] = []
-        sources = [(-one.ratio, number) for number, one in fills.items()]
+        sources = [(-state.utilization, number) for number, state in states.items()]
         heapq.heapify(sources)
-        targets = [(one.ratio, number) for number, one in fills.items() if one.ratio < mean]
+        targets = [
+            (state.utilization, number) for number, state in states.items() if state.utilization < mean
+        ]
         heapq.heapify(targets)
-        while sources and self.pace.conforms(now):
-            ratio, number = heapq.heappop(sources)
-            source = fills[number]
-            if -ratio <= self.terms.stop * mean:
+        while sources and self.move_rate.conforms(now):
+            negated_utilization, number = heapq.heappop(sources)
+            source = states[number]
+            if -negated_utilization <= self.settings.stop_ratio * mean:
                 break
-            found = self._best(now, source, fills, targets, book, unit, mean)
-            if found is None:
+            best = self._best_move(now, source, states, targets, table, group_load, mean)
+            if best is None:
                 continue
-            group, target, gain = found
-            moves += self._move(now, source, target, group, unit, gain / mean)
-            heapq.heappush(targets, (target.ratio, target.place.number))
-            heapq.heappush(sources, (-source.ratio, number))
+            group, target, gain = best
+            moves += self._move_group(now, source, target, group, group_load, gain / mean)
+            heapq.heappush(targets, (target.utilization, target.destination.number))
+            heapq.heappush(sources, (-source.utilization, number))
         return moves
 
-    def _forget(self, now: float, numbers: Collection[int]) -> None:
-        while self.moved and now - (first := next(iter(self.moved.items())))[1] >= self.terms.rest:
-            del self.moved[first[0]]
-        self.reception = {number: one for number, one in self.reception.items() if number in numbers}
-
-    def _fills(self, now: float, places: Collection[Place], book: Book, unit: float) -> dict[int, _Fill]:
-        """The destinations as they are; ``unit`` is what a group costs one of them."""
-        found = {}
-        for place in places:
-            groups = book.groups.get(place.number, {})
-            load = book.loads[place.number] + unit * len(groups) if groups else 0.0
-            found[place.number] = _Fill(place, self.capacity(place, now), load, groups)
-        return found
-
-    def _emptiest(
-        self, now: float, fills: Mapping[int, _Fill], targets: list[tuple[float, int]], mean: float
-    ) -> _Fill | None:
-        """The emptiest that receives now; entries that no longer hold are dropped."""
+    def _drop_expired(self, now: float, numbers: Collection[int]) -> None:
+        """Drop the clients whose cooldown is over, and the rates of destinations that have gone."""
+        while (
+            self.moved_at
+            and now - (oldest := next(iter(self.moved_at.items())))[1] >= self.settings.client_cooldown_s
+        ):
+            del self.moved_at[oldest[0]]
+        self.receive_rates = {
+            number: rate for number, rate in self.receive_rates.items() if number in numbers
+        }
+
+    def _destination_states(
+        self, now: float, destinations: Collection[Destination], table: ConnectionTable, group_load: float
+    ) -> dict[int, _DestinationState]:
+        """The destinations before any move; ``group_load`` is what each group costs a destination."""
+        states = {}
+        for destination in destinations:
+            groups = table.groups.get(destination.number, {})
+            load = table.loads[destination.number] + group_load * len(groups) if groups else 0.0
+            states[destination.number] = _DestinationState(
+                destination, self.capacity(destination, now), load, groups
+            )
+        return states
+
+    def _least_utilized(
+        self,
+        now: float,
+        states: Mapping[int, _DestinationState],
+        targets: list[tuple[float, int]],
+        mean: float,
+    ) -> _DestinationState | None:
+        """The destination with the lowest utilization that may receive now; drops outdated heap entries."""
         while targets:
-            ratio, number = targets[0]
-            if ratio == fills[number].ratio < mean and self._receives(now, number):
-                return fills[number]
+            utilization, number = targets[0]
+            if utilization == states[number].utilization < mean and self._may_receive(now, number):
+                return states[number]
             heapq.heappop(targets)
         return None
 
-    def _best(
+    def _best_move(
         self,
         now: float,
-        source: _Fill,
-        fills: Mapping[int, _Fill],
+        source: _DestinationState,
+        states: Mapping[int, _DestinationState],
         targets: list[tuple[float, int]],
-        book: Book,
-        unit: float,
+        table: ConnectionTable,
+        group_load: float,
         mean: float,
-    ) -> tuple[str, _Fill, float] | None:
-        """The group that leaves the source, whole, for the target where that gains most."""
-        best: tuple[float, str, _Fill] | None = None
-        emptiest = self._emptiest(now, fills, targets, mean)
-        if emptiest is None:
+    ) -> tuple[str, _DestinationState, float] | None:
+        """The whole group to move off the source and the target that together gain most, if any."""
+        best: tuple[float, str, _DestinationState] | None = None
+        least_utilized = self._least_utilized(now, states, targets, mean)
+        if least_utilized is None:
             return None
         for name, part in source.groups.items():
-            if name in source.changed or not all(self._may_move(now, one) for one in part.members.values()):
+            if name in source.changed_groups or not all(
+                self._may_move(now, connection) for connection in part.connections.values()
+            ):
                 continue
             load = part.load
-            # Where a part of it is already costs nothing more; else the emptiest is as good as any.
-            joined = [
-                one
-                for number in book.homes[name]
-                if (one := fills.get(number)) is not None
-                and one is not source
-                and one.holds(name)
-                and one.ratio < mean
-                and self._receives(now, number)
+            # Destinations with a part of the group have no added group cost; of the others the least utilized
+            # is as good as any.
+            with_group = [
+                state
+                for number in table.group_destinations[name]
+                if (state := states.get(number)) is not None
+                and state is not source
+                and state.has_group(name)
+                and state.utilization < mean
+                and self._may_receive(now, number)
             ]
-            for target in (*joined, emptiest):
-                more = load + (0.0 if target.holds(name) else unit)
-                filled = (target.load + more) / target.capacity
-                if filled > mean * self.terms.stop:
-                    continue  # it would be the next to be emptied, or be pushed over while it is cold
-                gain = source.ratio - max((source.load - load - unit) / source.capacity, filled)
+            for target in (*with_group, least_utilized):
+                added_load = load + (0.0 if target.has_group(name) else group_load)
+                utilization = (target.load + added_load) / target.capacity
+                if utilization > mean * self.settings.stop_ratio:
+                    continue  # it would be the next source, or be overloaded while it warms up
+                gain = source.utilization - max(
+                    (source.load - load - group_load) / source.capacity, utilization
+                )
                 if gain > 0.0 and (best is None or gain > best[0]):
                     best = gain, name, target
         return (best[1], best[2], best[0]) if best is not None else None
 
-    def _may_move(self, now: float, one: Standing) -> bool:
-        return now - one.since >= self.terms.least_age and one.client not in self.moved
+    def _may_move(self, now: float, connection: Connection) -> bool:
+        return (
+            now - connection.established_at >= self.settings.min_age_s
+            and connection.client not in self.moved_at
+        )
 
-    def _receives(self, now: float, number: int) -> bool:
-        rate = self.terms.reception
-        return self.reception.setdefault(number, Gcra(rate, max(1.0, rate))).conforms(now)
+    def _may_receive(self, now: float, number: int) -> bool:
+        rate = self.settings.receive_moves_per_s
+        return self.receive_rates.setdefault(number, Gcra(rate, max(1.0, rate))).conforms(now)
 
-    def _move(
-        self, now: float, source: _Fill, target: _Fill, group: str, unit: float, gain: float
+    def _move_group(
+        self,
+        now: float,
+        source: _DestinationState,
+        target: _DestinationState,
+        group: str,
+        group_load: float,
+        gain: float,
     ) -> list[Move]:
-        """A group that has begun to leave leaves whole: half of it would cost both destinations."""
-        part, joins = source.groups[group], target.holds(group)
-        members, load = list(part.members.values()), part.load
-        source.load -= load + unit
-        target.load += load + (0.0 if joins else unit)
-        source.changed[group], target.changed[group] = False, True
+        """Move a group whole, even beyond the rates: a split group would cost both destinations."""
+        part, joins = source.groups[group], target.has_group(group)
+        connections, load = list(part.connections.values()), part.load
+        source.load -= load + group_load
+        target.load += load + (0.0 if joins else group_load)
+        source.changed_groups[group], target.changed_groups[group] = False, True
         reason = "joins its group" if joins else "crowded"
-        for one in members:
-            self.pace.consume(now)
-            self.reception[target.place.number].consume(now)
-            self.moved.pop(one.client, None)
-            self.moved[one.client] = now
+        for connection in connections:
+            self.move_rate.consume(now)
+            self.receive_rates[target.destination.number].consume(now)
+            self.moved_at.pop(connection.client, None)
+            self.moved_at[connection.client] = now
         return [
-            Move(one.number, one.client, source.place.number, target.place.number, gain, reason)
-            for one in members
+            Move(
+                connection.number,
+                connection.client,
+                source.destination.number,
+                target.destination.number,
+                gain,
+                reason,
+            )
+            for connection in connections
         ]
 
 
-def fills(
-    places: Collection[Place], standing: Iterable[Standing], group_cost: float
+def utilization_ratios(
+    destinations: Collection[Destination], connections: Iterable[Connection], group_cost: float
 ) -> tuple[dict[int, float], int]:
-    """Each destination's fill over the mean, and how many groups stand on more than one of them."""
+    """Each destination's utilization over the mean, and how many groups are split between destinations."""
     loads: dict[int, float] = defaultdict(float)
     groups: dict[str, set[int]] = defaultdict(set)
-    rows = list(standing)
-    for one in rows:
-        loads[one.destination] += one.load
-        groups[one.group].add(one.destination)
-    unit = group_cost * sum(one.load for one in rows) / max(1, len(rows))
-    for held in groups.values():
-        for number in held:
-            loads[number] += unit
-    capacity = {place.number: place.capacity for place in places}
+    rows = list(connections)
+    for connection in rows:
+        loads[connection.destination] += connection.load
+        groups[connection.group].add(connection.destination)
+    group_load = group_cost * sum(connection.load for connection in rows) / max(1, len(rows))
+    for numbers in groups.values():
+        for number in numbers:
+            loads[number] += group_load
+    capacity = {destination.number: destination.capacity for destination in destinations}
     mean = sum(loads.values()) / sum(capacity.values())
-    over_mean = {number: loads[number] / capacity[number] / mean for number in capacity}
-    return over_mean, sum(len(held) > 1 for held in groups.values())
+    ratios = {number: loads[number] / capacity[number] / mean for number in capacity}
+    return ratios, sum(len(numbers) > 1 for numbers in groups.values())
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -1,4 +1,8 @@
-"""The planner on a driven clock: level at a pace, groups whole, the cold spared, nobody moved twice."""
+"""The rebalancing planner on a controlled clock.
+
+Checks that it levels the load within its rates, moves groups whole, does not overload destinations that warm
+up, and does not move a client twice within the cooldown.
+"""
 
 from __future__ import annotations
 
@@ -8,174 +12,243 @@
 
 import pytest
 
-from snowwick.rebalance.plan import Book, Move, Place, Planner, Standing, Terms, fills
+from snowwick.rebalance.plan import (
+    Connection,
+    ConnectionTable,
+    Destination,
+    Move,
+    Planner,
+    RebalanceSettings,
+    utilization_ratios,
+)
 
 
-def imbalance(places: list[Place], standing: list[Standing]) -> tuple[float, int]:
-    """The worst fill over the mean, and how many groups are split."""
-    found, split = fills(places, standing, 3.0)
-    return max(found.values()), split
+def imbalance(destinations: list[Destination], connections: list[Connection]) -> tuple[float, int]:
+    """The highest utilization over the mean, and how many groups are split."""
+    ratios, split = utilization_ratios(destinations, connections, 3.0)
+    return max(ratios.values()), split
 
 
 class Fleet:
-    """Eight full destinations and four that start cold at 100 s; several balancers that share nothing."""
+    """Eight loaded destinations, four that start at 100 s, and balancers that share no state."""
 
-    def __init__(self, terms: Terms, balancers: int = 1, groups: int = 160, seed: int = 1) -> None:
+    def __init__(
+        self, settings: RebalanceSettings, balancers: int = 1, groups: int = 160, seed: int = 1
+    ) -> None:
         rng = random.Random(seed)
-        self.places = [Place(n, 60.0 if n % 2 else 40.0, -1e9 if n < 8 else 100.0) for n in range(12)]
+        self.destinations = [
+            Destination(n, 60.0 if n % 2 else 40.0, -1e9 if n < 8 else 100.0) for n in range(12)
+        ]
         self.planners = [
-            Planner(replace(terms, pace=terms.pace / balancers, reception=terms.reception / balancers))
+            Planner(
+                replace(
+                    settings,
+                    moves_per_s=settings.moves_per_s / balancers,
+                    receive_moves_per_s=settings.receive_moves_per_s / balancers,
+                )
+            )
             for _ in range(balancers)
         ]
-        self.standing: list[list[Standing]] = [[] for _ in self.planners]
+        self.connections: list[list[Connection]] = [[] for _ in self.planners]  # by balancer
         for group in range(groups):
-            at, balancer = rng.randrange(8), rng.randrange(balancers)
+            destination, balancer = rng.randrange(8), rng.randrange(balancers)
             for n in range(rng.randint(1, 8)):
-                self.standing[balancer].append(
-                    Standing(group * 10 + n, f"c{group}.{n}", f"g{group}", at, rng.uniform(0.3, 1.7), 0.0)
+                self.connections[balancer].append(
+                    Connection(
+                        group * 10 + n, f"c{group}.{n}", f"g{group}", destination, rng.uniform(0.3, 1.7), 0.0
+                    )
                 )
         self.moves: list[tuple[float, Move]] = []
 
-    def all(self) -> list[Standing]:
-        return [one for held in self.standing for one in held]
+    def all_connections(self) -> list[Connection]:
+        return [connection for connections in self.connections for connection in connections]
 
-    def run(self, since: float, until: float, places: list[Place] | None = None) -> list[float]:
+    def run(self, start: float, end: float, destinations: list[Destination] | None = None) -> list[float]:
         """Plan twice a second; returns the imbalance at the end of every 5 s."""
-        found = []
-        for step in range(int(2 * (until - since))):
-            now = since + 0.5 * step
+        imbalances = []
+        for step in range(int(2 * (end - start))):
+            now = start + 0.5 * step
             for n, planner in enumerate(self.planners):
-                moves = planner.plan(now, places or self.places, Book(self.standing[n]))
+                moves = planner.plan(
+                    now, destinations or self.destinations, ConnectionTable(self.connections[n])
+                )
                 target = {move.number: move.target for move in moves}
                 self.moves += [(now, move) for move in moves]
-                self.standing[n] = [
-                    replace(one, destination=target[one.number], since=now) if one.number in target else one
-                    for one in self.standing[n]
+                self.connections[n] = [
+                    replace(connection, destination=target[connection.number], established_at=now)
+                    if connection.number in target
+                    else connection
+                    for connection in self.connections[n]
                 ]
             if step % 10 == 9:
-                found.append(imbalance(self.places, self.all())[0])
-        return found
+                imbalances.append(imbalance(self.destinations, self.all_connections())[0])
+        return imbalances
 
 
 @pytest.mark.parametrize("balancers", [1, 2, 3])
 def test_new_destinations_are_filled_steadily_with_whole_groups(balancers: int) -> None:
-    fleet = Fleet(Terms(pace=12.0, reception=6.0), balancers)
-    before, split = imbalance(fleet.places, fleet.all())
-    windows = fleet.run(100.0, 160.0)
-    assert all(later <= sooner + 0.03 for sooner, later in zip([before, *windows], windows, strict=False))
-    after, still = imbalance(fleet.places, fleet.all())
-    assert before > 1.5 and after <= (1.10 if balancers < 3 else 1.15) and still <= split
-    by_second = Counter(int(now) for now, _ in fleet.moves)
-    assert max(by_second.values()) <= 12 * 2 + 8 * balancers  # the pace, its burst, the last group whole
+    fleet = Fleet(RebalanceSettings(moves_per_s=12.0, receive_moves_per_s=6.0), balancers)
+    before, split_before = imbalance(fleet.destinations, fleet.all_connections())
+    imbalances = fleet.run(100.0, 160.0)
+    assert all(
+        later <= earlier + 0.03 for earlier, later in zip([before, *imbalances], imbalances, strict=False)
+    )
+    after, split_after = imbalance(fleet.destinations, fleet.all_connections())
+    assert before > 1.5 and after <= (1.10 if balancers < 3 else 1.15) and split_after <= split_before
+    moves_by_second = Counter(int(now) for now, _ in fleet.moves)
+    assert max(moves_by_second.values()) <= 12 * 2 + 8 * balancers  # rate, burst, and the last group whole
     assert all(move.gain > 0.0 for _, move in fleet.moves)
 
 
-def test_nobody_is_moved_twice_in_a_rest_nor_before_its_age() -> None:
-    fleet = Fleet(Terms(pace=50.0, reception=50.0, rest=30.0))
+def test_no_client_is_moved_twice_in_the_cooldown_or_below_the_minimum_age() -> None:
+    fleet = Fleet(RebalanceSettings(moves_per_s=50.0, receive_moves_per_s=50.0, client_cooldown_s=30.0))
     fleet.run(100.0, 110.0)
-    first = Counter(move.client for _, move in fleet.moves)
-    assert first and max(first.values()) == 1
-    young = Fleet(Terms(pace=50.0, least_age=200.0))
-    young.run(100.0, 120.0)
-    assert not young.moves
+    moves_by_client = Counter(move.client for _, move in fleet.moves)
+    assert moves_by_client and max(moves_by_client.values()) == 1
+    young_fleet = Fleet(RebalanceSettings(moves_per_s=50.0, min_age_s=200.0))
+    young_fleet.run(100.0, 120.0)
+    assert not young_fleet.moves
 
 
-def test_a_cold_destination_is_filled_no_further_than_it_has_warmed_up() -> None:
-    fleet = Fleet(Terms(pace=100.0, reception=100.0))
+def test_a_destination_is_not_filled_beyond_its_capacity_while_it_warms_up() -> None:
+    fleet = Fleet(RebalanceSettings(moves_per_s=100.0, receive_moves_per_s=100.0))
     for step in range(20):
         now = 100.0 + 0.5 * step
         fleet.run(now, now + 0.5)
-        warm = 0.3 + 0.7 * min(1.0, (now - 100.0) / 10.0)
-        present = [replace(p, capacity=p.capacity * (warm if p.number >= 8 else 1.0)) for p in fleet.places]
-        found, _ = fills(present, fleet.all(), 3.0)
-        assert max(found[number] for number in range(8, 12)) <= 1.05 + 1e-9
-    assert min(found[number] for number in range(8, 12)) > 0.7
-
-
-def test_one_group_that_is_half_of_all_load_stays_where_it_is() -> None:
-    """Moving it would only exchange the crowded one for another: others leave its destination instead."""
-    fleet = Fleet(Terms(pace=20.0, reception=20.0), groups=60)
-    rest = sum(one.load for one in fleet.all())
-    fleet.standing[0] += [Standing(10000 + n, f"big{n}", "big", 0, rest / 40, 0.0) for n in range(40)]
+        warm_fraction = 0.3 + 0.7 * min(1.0, (now - 100.0) / 10.0)
+        present = [
+            replace(
+                destination,
+                capacity=destination.capacity * (warm_fraction if destination.number >= 8 else 1.0),
+            )
+            for destination in fleet.destinations
+        ]
+        ratios, _ = utilization_ratios(present, fleet.all_connections(), 3.0)
+        assert max(ratios[number] for number in range(8, 12)) <= 1.05 + 1e-9
+    assert min(ratios[number] for number in range(8, 12)) > 0.7
+
+
+def test_a_group_with_half_of_all_load_is_not_moved() -> None:
+    """Moving it would only overload another destination: the other groups leave its destination instead."""
+    fleet = Fleet(RebalanceSettings(moves_per_s=20.0, receive_moves_per_s=20.0), groups=60)
+    other_load = sum(connection.load for connection in fleet.all_connections())
+    fleet.connections[0] += [
+        Connection(10000 + n, f"big{n}", "big", 0, other_load / 40, 0.0) for n in range(40)
+    ]
     fleet.run(100.0, 130.0)
-    assert {one.destination for one in fleet.all() if one.group == "big"} == {0}
-    assert {one.group for one in fleet.all() if one.destination == 0} == {"big"}
+    assert {
+        connection.destination for connection in fleet.all_connections() if connection.group == "big"
+    } == {0}
+    assert {connection.group for connection in fleet.all_connections() if connection.destination == 0} == {
+        "big"
+    }
 
 
-def test_who_has_been_moved_rests_and_a_group_waits_for_its_youngest() -> None:
-    def rows(at: int, since: float = 0.0) -> list[Standing]:
-        return [Standing(n, f"c{n}", f"g{n}", at, 1.0, since if n == 0 else 0.0) for n in range(40)]
+def test_a_moved_client_has_a_cooldown_and_a_group_waits_for_its_youngest_connection() -> None:
+    def connections_at(destination: int, established_at: float = 0.0) -> list[Connection]:
+        return [
+            Connection(n, f"c{n}", f"g{n}", destination, 1.0, established_at if n == 0 else 0.0)
+            for n in range(40)
+        ]
 
-    places = [Place(1, 50.0), Place(2, 50.0)]
-    planner = Planner(Terms(pace=5.0, reception=50.0, least_age=0.0, rest=30.0))
-    moved = {move.client for move in planner.plan(100.0, places, Book(rows(1)))}
+    destinations = [Destination(1, 50.0), Destination(2, 50.0)]
+    planner = Planner(
+        RebalanceSettings(moves_per_s=5.0, receive_moves_per_s=50.0, min_age_s=0.0, client_cooldown_s=30.0)
+    )
+    moved = {move.client for move in planner.plan(100.0, destinations, ConnectionTable(connections_at(1)))}
     assert len(moved) == 5
-    assert not moved & {move.client for move in planner.plan(110.0, places, Book(rows(2)))}
-    later = {move.client for t in range(12) for move in planner.plan(131.0 + t, places, Book(rows(2)))}
+    assert not moved & {
+        move.client for move in planner.plan(110.0, destinations, ConnectionTable(connections_at(2)))
+    }
+    later = {
+        move.client
+        for t in range(12)
+        for move in planner.plan(131.0 + t, destinations, ConnectionTable(connections_at(2)))
+    }
     assert moved <= later
-    pair = [
-        Standing(1, "a", "g", 1, 1.0, 0.0),
-        Standing(2, "b", "g", 1, 1.0, 99.0),
-        Standing(3, "c", "h", 1, 1.0, 0.0),
-        Standing(4, "d", "i", 1, 1.0, 0.0),
+    with_young_group = [
+        Connection(1, "a", "g", 1, 1.0, 0.0),
+        Connection(2, "b", "g", 1, 1.0, 99.0),
+        Connection(3, "c", "h", 1, 1.0, 0.0),
+        Connection(4, "d", "i", 1, 1.0, 0.0),
     ]
-    assert {move.client for move in Planner(Terms(pace=9.0)).plan(100.0, places, Book(pair))} <= {"c", "d"}
+    assert {
+        move.client
+        for move in Planner(RebalanceSettings(moves_per_s=9.0)).plan(
+            100.0, destinations, ConnectionTable(with_young_group)
+        )
+    } <= {"c", "d"}
 
 
-def test_a_destination_receives_no_faster_than_it_can_set_up() -> None:
-    places = [Place(1, 50.0), Place(2, 50.0)]
-    rows = [Standing(n, f"c{n}", f"g{n}", 1, 1.0, 0.0) for n in range(60)]
-    planner = Planner(Terms(pace=50.0, reception=3.0))
-    assert [len(planner.plan(now, places, Book(rows))) for now in (100.0, 100.0, 101.0)] == [3, 0, 3]
+def test_a_destination_receives_moves_at_its_rate_only() -> None:
+    destinations = [Destination(1, 50.0), Destination(2, 50.0)]
+    connections = [Connection(n, f"c{n}", f"g{n}", 1, 1.0, 0.0) for n in range(60)]
+    planner = Planner(RebalanceSettings(moves_per_s=50.0, receive_moves_per_s=3.0))
+    assert [
+        len(planner.plan(now, destinations, ConnectionTable(connections))) for now in (100.0, 100.0, 101.0)
+    ] == [3, 0, 3]
 
 
 def test_two_halves_of_a_group_are_joined() -> None:
-    places = [Place(n, 20.0) for n in range(3)]
-    rows = [Standing(n, f"c{n}", "g", n % 2, 1.0, 0.0) for n in range(4)]
-    rows += [Standing(10 + n, f"d{n}", f"h{n}", 0, 1.0, 0.0) for n in range(4)]
-    moves = Planner(Terms(pace=2.0)).plan(100.0, places, Book(rows))
+    destinations = [Destination(n, 20.0) for n in range(3)]
+    connections = [Connection(n, f"c{n}", "g", n % 2, 1.0, 0.0) for n in range(4)]
+    connections += [Connection(10 + n, f"d{n}", f"h{n}", 0, 1.0, 0.0) for n in range(4)]
+    moves = Planner(RebalanceSettings(moves_per_s=2.0)).plan(
+        100.0, destinations, ConnectionTable(connections)
+    )
     assert {(move.client, move.target, move.reason) for move in moves} >= {
         ("c0", 1, "joins its group"),
         ("c2", 1, "joins its group"),
     }
 
 
-def test_between_the_thresholds_nothing_begins_and_nothing_is_cut_short() -> None:
-    places = [Place(1, 100.0), Place(2, 100.0)]
+def test_between_the_thresholds_moves_neither_begin_nor_end() -> None:
+    destinations = [Destination(1, 100.0), Destination(2, 100.0)]
 
-    def at(first: int) -> list[Standing]:
-        return [Standing(n, f"c{n}", f"g{n}", 1 if n < first else 2, 1.0, 0.0) for n in range(200)]
+    def connections_with(first: int) -> list[Connection]:
+        """200 connections, of which ``first`` are at the first destination."""
+        return [Connection(n, f"c{n}", f"g{n}", 1 if n < first else 2, 1.0, 0.0) for n in range(200)]
 
-    planner = Planner(Terms(pace=1.0, reception=100.0))
-    assert not planner.plan(100.0, places, Book(at(110)))  # 1.10 of the mean
-    assert planner.plan(101.0, places, Book(at(120)))
-    assert planner.plan(103.0, places, Book(at(110)))
-    assert not planner.plan(105.0, places, Book(at(104)))
-    assert not planner.plan(107.0, places, Book(at(110)))
+    planner = Planner(RebalanceSettings(moves_per_s=1.0, receive_moves_per_s=100.0))
+    # 110 of 200 connections are 1.10 of the mean.
+    assert not planner.plan(100.0, destinations, ConnectionTable(connections_with(110)))
+    assert planner.plan(101.0, destinations, ConnectionTable(connections_with(120)))
+    assert planner.plan(103.0, destinations, ConnectionTable(connections_with(110)))
+    assert not planner.plan(105.0, destinations, ConnectionTable(connections_with(104)))
+    assert not planner.plan(107.0, destinations, ConnectionTable(connections_with(110)))
 
 
-def test_nothing_to_move_and_nowhere_to_move_it() -> None:
-    planner = Planner(Terms())
-    assert planner.plan(0.0, [], Book()) == [] and planner.plan(0.0, [Place(1, 10.0)], Book()) == []
-    rows = [Standing(n, f"c{n}", "g", 1, 1.0, -100.0) for n in range(9)]
-    assert planner.plan(0.0, [Place(1, 10.0)], Book(rows)) == []
+def test_no_moves_without_connections_or_without_a_second_destination() -> None:
+    planner = Planner(RebalanceSettings())
+    assert (
+        planner.plan(0.0, [], ConnectionTable()) == []
+        and planner.plan(0.0, [Destination(1, 10.0)], ConnectionTable()) == []
+    )
+    connections = [Connection(n, f"c{n}", "g", 1, 1.0, -100.0) for n in range(9)]
+    assert planner.plan(0.0, [Destination(1, 10.0)], ConnectionTable(connections)) == []
 
 
-def test_the_book_sums_up_what_stands_and_forgets_what_has_gone() -> None:
-    rng, book, rows = random.Random(4), Book(), dict[int, Standing]()
+def test_the_table_keeps_totals_and_drops_what_has_ended() -> None:
+    rng, table, connections = random.Random(4), ConnectionTable(), dict[int, Connection]()
     for step in range(3000):
         number = rng.randrange(60)
         if rng.random() < 0.4:
-            book.remove(number)
-            rows.pop(number, None)
+            table.remove(number)
+            connections.pop(number, None)
         else:
-            rows[number] = Standing(
+            connections[number] = Connection(
                 number, f"c{number}", f"g{number % 7}", rng.randrange(4), rng.random(), step
             )
-            book.put(rows[number])
-    fresh = Book(rows.values())
-    assert book.rows == rows and book.homes == fresh.homes and book.groups.keys() == fresh.groups.keys()
-    assert all(abs(book.loads[n] - fresh.loads[n]) < 1e-9 for n in fresh.loads)
-    for number in list(rows):
-        book.remove(number)
-    assert not book.groups and not book.homes and not book.loads and abs(book.load) < 1e-9
+            table.put(connections[number])
+    fresh = ConnectionTable(connections.values())
+    assert (
+        table.connections == connections
+        and table.group_destinations == fresh.group_destinations
+        and table.groups.keys() == fresh.groups.keys()
+    )
+    assert all(abs(table.loads[n] - fresh.loads[n]) < 1e-9 for n in fresh.loads)
+    for number in list(connections):
+        table.remove(number)
+    assert (
+        not table.groups and not table.group_destinations and not table.loads and abs(table.total_load) < 1e-9
+    )
