--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -1,7 +1,9 @@
-"""All of crowgap's decisions.  Its types, events and actions: crowgap/interface.py.
+"""All decisions of one balancer; `crowgap/interface.py` has its settings, events and actions.
 
-Ordinary path: a throttle (token bank and waiting buffer, Berger IV.B) lets setups out, and rendezvous
-hashing on the group key, else the client key, places them.  docs/design.md gives the departures."""
+The ordinary path: a throttle (the token bank and waiting buffer of Berger IV.B) admits setups, and rendezvous
+hashing on the group key, or on the client key where there is none, places them.  docs/design.md describes
+where the module departs from this path.  All times are milliseconds on the caller's clock.
+"""
 
 from __future__ import annotations
 
@@ -13,146 +15,224 @@
 from hashlib import blake2b
 from typing import Any
 
-from crowgap import interface as i
-
-M64 = (1 << 64) - 1
-MAX_GROUPS, RANKS_KEPT = (
-    300,
-    32,
-)  # groups remembered; ranks kept of each: a group's spread and what failures may skip
-BANK_AND_BUFFER_SLOTS = 10.0  # C_J + C_T: Berger IV.A finds 10 enough for a robust throughput
-BANK_AT_TURN_ON_TOKENS = 1.0  # tokens at turn-on, so that a true overload is throttled at once
-BUFFER_SHRINK_DELAY_MS, BUFFER_SHRINK_MS = (
-    2000.0,
-    8000.0,
-)  # ms of overload before the buffer shrinks, and until it is gone
-PERIOD = 500.0  # ms between looks of the monitor: several looks within any patience
-ON, OFF, MANY = 0.35, 0.15, 3.0  # share of trouble: lowers r, counts as healthy; failures that make a share
-FLOOR = 0.1  # of the usual arrivals let out at least: some setups must show when it is over
-UP, DOWN, CALM = 1.1, 0.85, 6  # change of r a look, down faster than up; healthy looks to turn off
-MEMORY = 30000.0  # ms over which arrivals are remembered: about a connection's life
-SLOW, SLOW_FOR = 0.34, 1500.0  # of the shortest aim: late in part from here; ms that trouble counts
-MOVE, SETTLED = 0.25, 2000.0  # chance that one which should leave is moved, a note; ms it stays at least
-SAFE, EVEN = 0.55, 1.08  # load over capacity, and over the fleet's mean, up to which a backend is filled
-QUOTA_FRACTION_OF_CAPACITY = 0.81  # the tenants' quotas together, as part of what the fleet can hold
-GROUP_COST_CONNECTIONS = 3.0  # what a group costs a backend that holds any of it, in mean connections
-COLD_BUDGET_FRACTION = 0.5  # part of the cold budget used: capacity is a guess
-ASK, MORE, ROUNDS, HOT = 3, 2, 5, 1.25  # asked at once; of the longest unasked; times; as slow: passed over
-GROUP_SPLIT_LOAD, STEP, CROSS_ZONE_LOAD = (
-    0.2,
-    0.02,
-    0.1,
-)  # load by which a group's next backend, each rank, a zone must be better
-FULL, RELIEVED, TOLD = 1.0, 0.65, 5000.0  # reported load: messages late, room again; ms it is news
-WAIT, NEWS = 0.15, 1000.0  # of its aim that a setup waits for them; ms that an answer is news
-LEAVE = 2000.0  # ms over which the clients of a backend that leaves are moved
+from crowgap import interface
+
+MASK_64_BITS = (1 << 64) - 1
+
+# Groups whose traffic and ranking are remembered.
+MAX_GROUPS = 300
+# Ranks kept of each group's ranking: enough for the spread of a group and for skipping failed backends.
+RANKS_KEPT = 32
+
+# C_J + C_T, the places in the waiting buffer and the token bank: Berger IV.A finds 10 enough for a robust
+# throughput.
+BANK_AND_BUFFER_SLOTS = 10.0
+# C_T when the throttle turns on; few, so that a true overload is throttled at once.
+BANK_AT_TURN_ON_TOKENS = 1.0
+# How long an overload lasts before the waiting buffer shrinks.
+BUFFER_SHRINK_DELAY_MS = 2000.0
+# How long the waiting buffer then takes to shrink to nothing.
+BUFFER_SHRINK_MS = 8000.0
+
+# Time between two runs of the overload monitor: several runs within any client's patience.
+MONITOR_INTERVAL_MS = 500.0
+# From this fraction of troubled backends or failed attempts the token rate r is lowered.
+OVERLOADED_FRACTION = 0.35
+# Up to this fraction the fleet counts as healthy.
+HEALTHY_FRACTION = 0.15
+# More recent failures than this are needed before their fraction means anything.
+MIN_FAILURE_COUNT = 3.0
+# Lowest token rate, as a fraction of the usual arrivals: the end of an overload shows only where some setups
+# are still let through.
+MIN_RATE_FRACTION = 0.1
+# Change of the token rate at each run of the monitor; it falls faster than it rises.
+RATE_INCREASE_FACTOR = 1.1
+RATE_DECREASE_FACTOR = 0.85
+# Healthy runs of the monitor in a row that turn the throttle off.
+HEALTHY_RUNS_TO_TURN_OFF = 6
+# Time constant of the decaying counts of arrivals: about the lifetime of a connection.
+ARRIVAL_DECAY_MS = 30000.0
+
+# A message delay from this fraction of the shortest message aim on counts as slow.
+SLOW_AIM_FRACTION = 0.34
+# How long a backend counts as slow after it was last seen so.
+SLOW_TTL_MS = 1500.0
+# Probability that one delay report or one run of the monitor moves a connection that should be elsewhere.
+MOVE_PROBABILITY = 0.25
+# A connection stays at its backend at least this long before it may be moved.
+MIN_STAY_MS = 2000.0
+
+# Load over capacity up to which the plan fills a backend in any case.
+TARGET_LOAD_FRACTION = 0.55
+# Load over the fleet's mean up to which the plan fills a backend.
+TARGET_OVER_MEAN_FACTOR = 1.08
+# The quotas of all tenants together, as a fraction of what the fleet can hold.
+QUOTA_FRACTION_OF_CAPACITY = 0.81
+# What a group costs a backend that holds any part of it, in mean connections.
+GROUP_COST_CONNECTIONS = 3.0
+# Fraction of a cold backend's budget that is used, because its capacity is a guess.
+COLD_BUDGET_FRACTION = 0.5
+
+# Backends of the ranking that are probed in one round.
+PROBES_PER_ROUND = 3
+# Backends with the oldest probe results that the first round probes as well.
+OLDEST_PROBES = 2
+MAX_PROBE_ROUNDS = 5
+# A backend that is slower, or more loaded, than another by this factor is clearly worse.
+CLEARLY_WORSE_FACTOR = 1.25
+
+# Load by which another backend must be better before a group is split over it,
+GROUP_SPLIT_LOAD = 0.2
+# for each rank that it is further down the group's ranking,
+RANK_STEP_LOAD = 0.02
+# and before a connection goes to another zone.
+CROSS_ZONE_LOAD = 0.1
+# From this reported load over capacity on messages are late.
+OVERLOADED_LOAD = 1.0
+# Up to this reported load a backend has room again.
+RELIEVED_LOAD = 0.65
+# How long a reported load is used.
+LOAD_REPORT_TTL_MS = 5000.0
+
+# Fraction of its class's aim that a setup waits for probe results.
+PROBE_WAIT_AIM_FRACTION = 0.15
+# How long a probe result counts as fresh, so that the backend is not probed again.
+PROBE_FRESH_MS = 1000.0
+
+# Time over which the clients of a leaving backend are moved.
+LEAVING_MOVE_MS = 2000.0
 
 
 def _hash(text: str) -> int:
+    """Returns a 64-bit hash that is the same in every process; it is odd, so never zero."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") | 1
 
 
 class Backend:
-    """What this balancer knows of one backend, from the list and from its own traffic."""
+    """State of one backend, from the list of backends and from this balancer's own traffic."""
 
     __slots__ = (
-        "chance",
         "down_until",
         "entry",
         "failure_count",
         "flows",
         "hash",
         "id",
-        "leaving",
+        "last_skipped_at",
+        "leaving_since",
         "load",
-        "ping",
-        "ping_at",
+        "probe_time",
+        "probed_at",
         "ready",
-        "relieved",
-        "skipped",
-        "slow",
+        "relieved_at",
+        "rounding_offset",
         "slow_at",
+        "slowness",
         "weight",
     )
 
-    def __init__(self, entry: i.BackendEntry, chance: float = 0.0) -> None:
+    def __init__(self, entry: interface.BackendEntry, rounding_offset: float = 0.0) -> None:
         self.id, self.entry, self.weight, self.ready = entry.backend, entry, 1.0, False
         self.hash = _hash(str(entry.backend))
-        self.ping, self.ping_at = 0.0, -math.inf  # ms times weight that the answer to a probe took last; when
-        self.load = -1.0  # load over capacity as it reported then, -1 where it does not
-        self.down_until = self.skipped = self.slow_at = self.relieved = -math.inf
-        self.failure_count, self.slow, self.chance = (
-            0,
-            0.0,
-            chance,
-        )  # that a part of one of its cold room counts here
-        self.leaving = math.inf  # when the list said that it drains or is gone
+        self.probe_time = 0.0  # ms that the last answer to a probe took, times the weight
+        self.probed_at = -math.inf
+        self.load = -1.0  # load over capacity as last reported, -1 where the backend reports none
+        self.down_until = self.last_skipped_at = self.slow_at = self.relieved_at = -math.inf
+        # The offset is random in [0, 1): it rounds this balancer's fractional share of the budget of a cold
+        # backend up or down by chance.
+        self.failure_count, self.slowness, self.rounding_offset = 0, 0.0, rounding_offset
+        self.leaving_since = math.inf  # when the list first said that it drains or is gone
         self.flows: dict[int, Flow] = {}
 
 
 class Group:
-    """One hash key: the head of its ranking, and how much of this balancer's traffic it draws."""
+    """One hash key: the first ranks of its ranking, and how much of this balancer's traffic it draws."""
 
     def __init__(self, key_hash: int) -> None:
-        self.hash, self.count, self.at = key_hash, 0.0, 0.0
-        self.head: list[tuple[float, int]] = []
-        self.held: Counter[int] = Counter()  # own connections of it by backend
-        self.parts: list[tuple[float, int]] = []  # how far of its clients each backend gets, by the plan
+        self.hash = key_hash
+        self.arrivals = 0.0  # decaying count
+        self.counted_at = 0.0
+        self.top_ranks: list[tuple[float, int]] = []  # score and backend id, best first
+        self.open_by_backend: Counter[int] = Counter()  # this balancer's open connections of the group
+        # The plan: up to which fraction of the group's clients, cumulated, each backend serves.
+        self.planned_split: list[tuple[float, int]] = []
 
 
 class Flow:
-    """A request from its arrival to its end, and the connection it becomes."""
+    """A request from its arrival to its end, and the connection that it becomes."""
 
     __slots__ = (
-        "asked",
-        "attempts",
+        "arrivals_are_few",
+        "attempt_count",
+        "awaited_probes",
         "backend",
-        "calm",
-        "cls",
+        "changed_at",
         "deadline",
         "group",
         "id",
+        "is_open",
+        "is_pending",
         "load",
-        "open",
-        "pending",
-        "pick",
-        "rounds",
-        "since",
-        "stood",
-        "tried",
-        "unsure",
+        "opened_at",
+        "placement_hash",
+        "possible_executions",
+        "probe_rounds",
+        "request_class",
+        "tried_backends",
     )
 
     def __init__(
-        self, e: i.Request | i.ExistingConnection, cls: i.RequestClass, group: Group, end: float, calm: bool
+        self,
+        event: interface.Request | interface.ExistingConnection,
+        request_class: interface.RequestClass,
+        group: Group,
+        deadline: float,
+        arrivals_are_few: bool,
     ):
-        self.id, self.cls, self.group, self.deadline, self.calm = e.request, cls, group, end, calm
-        self.pick = _hash(e.client_key or str(e.request)) >> 32
-        self.attempts, self.pending, self.open, self.backend, self.since = 0, False, False, -1, 0.0
-        self.rounds, self.stood, self.load = 0, 0.0, 1.0  # of asking; when it opened; work a second, as told
-        self.tried: set[int] = set()
-        self.asked: dict[int, None] = {}  # backends whose answers to a probe it waits for
-        self.unsure: list[tuple[Backend, float]] = []  # attempts that may have run: backend, time sent
+        self.id, self.request_class, self.group, self.deadline, self.arrivals_are_few = (
+            event.request,
+            request_class,
+            group,
+            deadline,
+            arrivals_are_few,
+        )
+        self.placement_hash = _hash(event.client_key or str(event.request)) >> 32  # 32 bits
+        self.attempt_count = 0
+        self.is_pending = False  # an attempt has started and has neither opened nor ended
+        self.is_open = False
+        self.backend = -1  # of the last attempt
+        self.changed_at = 0.0  # last time at which it was probed for, attempted, opened or moved
+        self.probe_rounds = 0
+        self.opened_at = 0.0
+        self.load = 1.0  # work a second, as last reported
+        self.tried_backends: set[int] = set()
+        self.awaited_probes: dict[int, None] = {}  # backends whose probe results it waits for, in order
+        self.possible_executions: list[tuple[Backend, float]] = []  # attempts that may have run, time sent
 
 
 class Throttle:
     """Berger's throttle: an evenly refilled bank of C_T tokens and a buffer for C_J waiting setups."""
 
     def __init__(self) -> None:
-        self.active, self.refill_rate, self.tokens, self.at, self.turned_on_at = False, 0.0, 0.0, 0.0, 0.0
-        self.waiting: list[Flow] = []  # the worthiest first, of these the oldest
+        self.active = False
+        self.refill_rate = 0.0  # r, in tokens a ms
+        self.tokens = 0.0
+        self.refilled_at = 0.0
+        self.turned_on_at = 0.0
+        self.waiting: list[Flow] = []  # highest priority first, oldest first within a priority
 
     def bank_capacity(self, now: float) -> float:
-        """C_T now: few at turn-on (a false alarm only delays), all of C_J + C_T if overload lasts."""
+        """Returns C_T: few tokens at turn-on (a false alarm only delays), C_J + C_T if the overload lasts."""
         return BANK_AT_TURN_ON_TOKENS + (BANK_AND_BUFFER_SLOTS - BANK_AT_TURN_ON_TOKENS) * min(
             1.0, max(0.0, (now - self.turned_on_at - BUFFER_SHRINK_DELAY_MS) / BUFFER_SHRINK_MS)
         )
 
-    def take(self, now: float) -> bool:
+    def take_token(self, now: float) -> bool:
+        """Refills the bank and takes a token; returns whether a setup may go out."""
         if not self.active:
             return True
-        self.tokens = min(self.bank_capacity(now), self.tokens + self.refill_rate * (now - self.at))
-        self.at = now
+        self.tokens = min(self.bank_capacity(now), self.tokens + self.refill_rate * (now - self.refilled_at))
+        self.refilled_at = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -160,586 +240,812 @@
 
 
 class Balancer:
-    """One relay's decisions: events with their time in, actions out; nothing is shared or global."""
+    """The decisions of one balancer: events with their time in, actions out; no shared or global state."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.settings, self.random, self.throttle = settings, random.Random(seed), Throttle()
-        self.classes = {c.name: c for c in settings.classes}
-        self.total_quota = sum(t.quota for t in settings.tenants)  # connections over all balancers
-        self.aim = min([c.message_aim for c in settings.classes if c.message_aim > 0], default=100.0)
+        self.classes = {request_class.name: request_class for request_class in settings.classes}
+        self.total_quota = sum(tenant.quota for tenant in settings.tenants)  # connections over all balancers
+        self.shortest_message_aim = min(
+            [
+                request_class.message_aim
+                for request_class in settings.classes
+                if request_class.message_aim > 0
+            ],
+            default=100.0,
+        )
         self.backends: dict[int, Backend] = {}
-        self.ready_backends: list[Backend] = []  # those that may be sent to
-        self.capacity_per_weight = math.inf  # connections that a weight of 1 can hold
-        self.recently_used: dict[int, Backend] = {}  # in use since the monitor's last look
-        self.groups: dict[int, Group] = {}
+        self.ready_backends: list[Backend] = []  # by id
+        self.capacity_per_weight = math.inf  # connections that a backend of weight 1 can hold
+        self.recently_used: dict[int, Backend] = {}  # since the monitor's last run
+        self.groups: dict[int, Group] = {}  # by the hash of the key
         self.flows: dict[int, Flow] = {}
         self.flows_awaiting_probes: dict[int, Flow] = {}
-        self.count, self.count_at, self.open_connections = 0.0, 0.0, 0
-        self.stood, self.failed, self.calm, self.backoff = 0.0, 0.0, 0, PERIOD
-        self.plan_is_current, self.some_warm = False, False
-        self.rush, self.known = 0.0, 0.0  # in the time to fall: who come or lose theirs; who stood before
-        self.buffer_check_at, self.looking, self.now, self.pending_actions = (
-            math.inf,
-            False,
-            0.0,
-            list[i.Action](),
-        )
+        self.arrivals = 0.0  # decaying count
+        self.arrivals_counted_at = 0.0
+        self.open_connections = 0
+        self.recent_successes = 0.0  # decaying count of attempts that opened
+        self.recent_failures = 0.0  # decaying count of attempts that failed
+        self.healthy_runs = 0  # of the monitor, in a row
+        self.list_backoff = MONITOR_INTERVAL_MS
+        self.plan_is_current = False
+        self.any_backend_warm = False
+        # Both decay over the overload window, the time after which an overload makes a backend collapse.
+        self.recent_arrivals = 0.0  # clients that came or lost their connection
+        self.previous_connections = 0.0  # connections that were open before
+        self.buffer_check_at = math.inf
+        self.monitor_started = False
+        self.now = 0.0
+        self.pending_actions = list[interface.Action]()
+        # By token of the timer.
         self.timers: dict[int, Any] = {
-            0: self._pump,
-            1: self._look,
-            3: self._asked,
-            2: lambda: self.pending_actions.append(i.Subscribe()),
+            0: self._drain_buffer,
+            1: self._monitor,
+            3: self._expire_probes,
+            2: lambda: self.pending_actions.append(interface.Subscribe()),
         }
         self.handlers: dict[type, Callable[[Any], None]] = {
-            i.ListUpdate: self._on_list,
-            i.Request: self._on_request,
-            i.ExistingConnection: self._on_carried,
-            i.Established: self._on_established,
-            i.DelayReport: self._on_note,
-            i.LoadReport: self._on_load,
-            i.BackendSilent: self._on_silent,
-            i.Ended: self._on_ended,
-            i.ClientLeft: self._on_gone,
-            i.TimerDue: lambda e: self.timers.get(e.token, lambda: None)(),
-            i.ProbeResult: self._on_probed,
+            interface.ListUpdate: self._on_list,
+            interface.Request: self._on_request,
+            interface.ExistingConnection: self._on_existing_connection,
+            interface.Established: self._on_established,
+            interface.DelayReport: self._on_delay_report,
+            interface.LoadReport: self._on_load_report,
+            interface.BackendSilent: self._on_backend_silent,
+            interface.Ended: self._on_ended,
+            interface.ClientLeft: self._on_client_left,
+            interface.TimerDue: lambda event: self.timers.get(event.token, lambda: None)(),
+            interface.ProbeResult: self._on_probe_result,
         }
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
-        """Take one event; the actions returned are carried out in order."""
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
+        """Take one event at the time ``now``; the returned actions are to be carried out in order."""
         self.now, self.pending_actions = now, []
         self.handlers[type(event)](event)
         return self.pending_actions
 
-    def _timer(self, wait: float, token: int) -> None:
-        self.pending_actions.append(i.SetTimer(self.now + wait, token))
+    def _set_timer(self, wait: float, token: int) -> None:
+        self.pending_actions.append(interface.SetTimer(self.now + wait, token))
 
-    def _jitter(self) -> float:
-        """Balancers that see the same thing must not act on it in step."""
+    def _jitter_factor(self) -> float:
+        """Return a random factor from 0.5 to 1.5, so that balancers do not act in step on the same event."""
         return 0.5 + self.random.random()
 
-    def _on_list(self, e: i.ListUpdate) -> None:
+    def _on_list(self, event: interface.ListUpdate) -> None:
         list_refresh_interval = self.settings.list_refresh_interval
-        if not self.looking:
-            self.looking = True
-            self._timer(PERIOD * self._jitter(), 1)
-            if (
-                self.settings.must_subscribe
-            ):  # all start or restart together: spread the calls on the list service
-                self._timer(
+        if not self.monitor_started:
+            self.monitor_started = True
+            self._set_timer(MONITOR_INTERVAL_MS * self._jitter_factor(), 1)
+            if self.settings.must_subscribe:
+                # All balancers may start or restart together: spread their calls to the list service.
+                self._set_timer(
                     min(0.04 * self.settings.balancers, 0.4) * list_refresh_interval * self.random.random(), 2
                 )
-        if e.kind is i.ListKind.FAILED:
-            self.backoff = min(2 * self.backoff, 0.2 * list_refresh_interval)
-            self._timer(self.backoff * self._jitter(), 2)
+        if event.kind is interface.ListKind.FAILED:
+            self.list_backoff = min(2 * self.list_backoff, 0.2 * list_refresh_interval)
+            self._set_timer(self.list_backoff * self._jitter_factor(), 2)
             return
-        self.backoff = PERIOD
-        if e.kind is not i.ListKind.CHANGES:
-            listed = {entry.backend for entry in e.entries}
-            for b in [b for b in self.ready_backends if b.id not in listed]:
-                self._unrank(b)
-        for entry in e.entries:
-            b = self.backends.setdefault(entry.backend, Backend(entry, self.random.random()))
-            if b.ready and entry.state is not i.State.READY:
-                self._unrank(b)
-            if entry.started != b.entry.started:
-                b.down_until, b.failure_count = -math.inf, 0
-            b.entry = entry
-            b.leaving = math.inf if entry.state is i.State.READY else min(b.leaving, self.now)
-            if entry.state is i.State.READY:
-                self._rank_in(b, 1.0 if self.settings.live_weights or entry.weight <= 0 else entry.weight)
-        if (
-            len(self.backends) > 2 * len(self.ready_backends) + RANKS_KEPT
-        ):  # ids come and go with the machines
-            self.backends = {b.id: b for b in self.backends.values() if b.ready or b.flows}
-            self._forget_ranks()
+        self.list_backoff = MONITOR_INTERVAL_MS
+        if event.kind is not interface.ListKind.CHANGES:
+            listed = {entry.backend for entry in event.entries}
+            for backend in [backend for backend in self.ready_backends if backend.id not in listed]:
+                self._remove_ready(backend)
+        for entry in event.entries:
+            backend = self.backends.setdefault(entry.backend, Backend(entry, self.random.random()))
+            if backend.ready and entry.state is not interface.State.READY:
+                self._remove_ready(backend)
+            if entry.started != backend.entry.started:
+                backend.down_until = -math.inf
+                backend.failure_count = 0
+            backend.entry = entry
+            backend.leaving_since = (
+                math.inf if entry.state is interface.State.READY else min(backend.leaving_since, self.now)
+            )
+            if entry.state is interface.State.READY:
+                self._add_ready(
+                    backend, 1.0 if self.settings.live_weights or entry.weight <= 0 else entry.weight
+                )
+        # Backend ids come and go with the machines: forget those that are no longer needed.
+        if len(self.backends) > 2 * len(self.ready_backends) + RANKS_KEPT:
+            self.backends = {
+                backend.id: backend for backend in self.backends.values() if backend.ready or backend.flows
+            }
+            self._invalidate_rankings()
         if self.capacity_per_weight == math.inf and self.ready_backends and self.total_quota:
             self.capacity_per_weight = (
-                self.total_quota / QUOTA_FRACTION_OF_CAPACITY / sum(b.weight for b in self.ready_backends)
+                self.total_quota
+                / QUOTA_FRACTION_OF_CAPACITY
+                / sum(backend.weight for backend in self.ready_backends)
             )
-        self._pump()
+        self._drain_buffer()
 
-    def _unrank(self, b: Backend) -> None:
-        b.ready, b.leaving = False, min(b.leaving, self.now)
-        self.ready_backends.remove(b)
-        self._forget_ranks()
+    def _remove_ready(self, backend: Backend) -> None:
+        backend.ready, backend.leaving_since = False, min(backend.leaving_since, self.now)
+        self.ready_backends.remove(backend)
+        self._invalidate_rankings()
 
-    def _rank_in(self, b: Backend, weight: float) -> None:
-        if not b.ready:
-            insort(self.ready_backends, b, key=lambda row: row.id)
-        if b.weight != weight or not b.ready:
-            b.weight, b.ready = weight, True
-            self._forget_ranks()
+    def _add_ready(self, backend: Backend, weight: float) -> None:
+        if not backend.ready:
+            insort(self.ready_backends, backend, key=lambda other: other.id)
+        if backend.weight != weight or not backend.ready:
+            backend.weight, backend.ready = weight, True
+            self._invalidate_rankings()
 
-    def _forget_ranks(self) -> None:
+    def _invalidate_rankings(self) -> None:
         self.plan_is_current = False
         for group in [*self.groups.values(), *(flow.group for flow in self.flows.values())]:
-            group.head, group.parts = [], []
+            group.top_ranks = []
+            group.planned_split = []
 
-    def _rank(self, group: Group) -> list[tuple[float, int]]:
-        group.head = (
-            group.head
+    def _ranking(self, group: Group) -> list[tuple[float, int]]:
+        """Return the group's first ranks by weighted rendezvous hashing; cached until the list changes."""
+        group.top_ranks = (
+            group.top_ranks
             or sorted(
-                (-math.log(((group.hash * b.hash & M64) + 1) / M64) / b.weight, b.id)
-                for b in self.ready_backends
+                (
+                    -math.log(((group.hash * backend.hash & MASK_64_BITS) + 1) / MASK_64_BITS)
+                    / backend.weight,
+                    backend.id,
+                )
+                for backend in self.ready_backends
             )[:RANKS_KEPT]
         )
-        return group.head
+        return group.top_ranks
 
-    def _group(self, key: str) -> Group:
+    def _group_for(self, key: str) -> Group:
+        """Return the remembered group of a key, or a new one; without a key a group of its own."""
         if not key:
             return Group(self.random.getrandbits(64) | 1)
-        if len(self.groups) >= MAX_GROUPS:  # keys come and go: the cache must not grow without end
-            self.groups = dict(sorted(self.groups.items(), key=lambda row: -row[1].at)[: MAX_GROUPS // 2])
+        if len(self.groups) >= MAX_GROUPS:
+            # Keys come and go: forget the older half, or the cache would grow without end.
+            self.groups = dict(
+                sorted(self.groups.items(), key=lambda item: -item[1].counted_at)[: MAX_GROUPS // 2]
+            )
         key_hash = _hash(key)
         self.plan_is_current = self.plan_is_current and key_hash in self.groups
         return self.groups.get(key_hash) or self.groups.setdefault(key_hash, Group(key_hash))
 
     def _plan(self) -> None:
-        """Pour each group, its part of all that the quotas allow, into the backends in its ranking's order.
-
-        The groups come in the hash's order, so that balancers agree as far as they have seen the same."""
-        seen = [
-            (g, g.count * math.exp((g.at - self.now) / MEMORY))
-            for g in sorted(self.groups.values(), key=lambda group: group.hash)
+        """Assign each group's share of the total quota to backends, in the order of the group's ranking.
+
+        A backend is filled up to a bound; what is left goes to the next of the ranking.  The groups are taken
+        in the order of their hashes, so that balancers agree as far as they have seen the same groups.
+        """
+        seen_groups = [
+            (group, group.arrivals * math.exp((group.counted_at - self.now) / ARRIVAL_DECAY_MS))
+            for group in sorted(self.groups.values(), key=lambda group: group.hash)
         ]
         room = {
-            b.id: self.capacity_per_weight * b.weight * self._capacity_fraction(b)
-            for b in self.ready_backends
+            backend.id: self.capacity_per_weight * backend.weight * self._capacity_fraction(backend)
+            for backend in self.ready_backends
         }
-        n = 1.0 + sum(count for _, count in seen)  # and by Good and Turing the part that was seen once
-        total = n * n / (n - sum(count for _, count in seen if count <= 1.0))  # is that of groups unseen
+        # Good-Turing: the fraction of arrivals from groups seen once estimates that of groups not yet seen.
+        seen_total = 1.0 + sum(arrivals for _, arrivals in seen_groups)
+        estimated_total = (
+            seen_total
+            * seen_total
+            / (seen_total - sum(arrivals for _, arrivals in seen_groups if arrivals <= 1.0))
+        )
         bound = max(
-            SAFE,
-            EVEN * (self.total_quota + GROUP_COST_CONNECTIONS * len(seen)) / max(1.0, sum(room.values())),
-        )
-        room = {b: bound * most - GROUP_COST_CONNECTIONS for b, most in room.items()}
-        for group, count in seen if room and self.total_quota else ():  # else nothing is known of capacity
-            group.parts, share = [], self.total_quota * count / total
-            left = share
-            for b in (row[1] for row in self._rank(group)):
-                if room[b] >= min(left, GROUP_COST_CONNECTIONS):
-                    part = min(left, room[b])
-                    room[b], left = room[b] - part - GROUP_COST_CONNECTIONS, left - part
-                    group.parts.append((1.0 - left / share, b))
-                    if left <= 0.0:
+            TARGET_LOAD_FRACTION,
+            TARGET_OVER_MEAN_FACTOR
+            * (self.total_quota + GROUP_COST_CONNECTIONS * len(seen_groups))
+            / max(1.0, sum(room.values())),
+        )
+        room = {
+            backend_id: bound * capacity - GROUP_COST_CONNECTIONS for backend_id, capacity in room.items()
+        }
+        # Without quotas the capacity is unknown and nothing can be planned.
+        for group, arrivals in seen_groups if room and self.total_quota else ():
+            group.planned_split = []
+            share = self.total_quota * arrivals / estimated_total
+            remaining = share
+            for backend_id in (rank[1] for rank in self._ranking(group)):
+                if room[backend_id] >= min(remaining, GROUP_COST_CONNECTIONS):
+                    assigned = min(remaining, room[backend_id])
+                    room[backend_id], remaining = (
+                        room[backend_id] - assigned - GROUP_COST_CONNECTIONS,
+                        remaining - assigned,
+                    )
+                    group.planned_split.append((1.0 - remaining / share, backend_id))
+                    if remaining <= 0.0:
                         break
             else:
-                b = max(room, key=lambda b: room[b])
-                room[b] -= left + GROUP_COST_CONNECTIONS
-                group.parts.append((1.0, b))
-        self.plan_is_current, self.some_warm = (
+                backend_id = max(room, key=lambda backend_id: room[backend_id])
+                room[backend_id] -= remaining + GROUP_COST_CONNECTIONS
+                group.planned_split.append((1.0, backend_id))
+        self.plan_is_current, self.any_backend_warm = (
             True,
-            any(self._capacity_fraction(b) >= 1.0 for b in self.ready_backends),
+            any(self._capacity_fraction(backend) >= 1.0 for backend in self.ready_backends),
         )
 
-    def _capacity_fraction(self, b: Backend) -> float:
-        """How much of its capacity a backend has by now."""
-        s, age = self.settings, max(0.0, self.now - b.entry.started)
-        if b.entry.started <= 0 or age >= s.warmup_time:
+    def _capacity_fraction(self, backend: Backend) -> float:
+        """Return the fraction of its capacity that a backend has reached in its warm-up."""
+        settings, age = self.settings, max(0.0, self.now - backend.entry.started)
+        if backend.entry.started <= 0 or age >= settings.warmup_time:
             return 1.0
-        return s.warmup_start_capacity + (1 - s.warmup_start_capacity) * age / s.warmup_time
-
-    def _cold_room(self, flow: Flow, b: Backend) -> bool:
-        """May a cold backend take one more of this balancer's?  All together could push it over."""
-        s, part = self.settings, self._capacity_fraction(b)
-        room = s.collapse_multiple * part * max(self.open_connections, 1) / max(1, len(self.ready_backends))
-        mine = (
-            not s.load_reported
-            or (
-                flow.pick < COLD_BUDGET_FRACTION * part * 2**32  # all see one late report
-                and b.id in [row[1] for row in flow.group.head[:ASK]]
-            )
+        return (
+            settings.warmup_start_capacity + (1 - settings.warmup_start_capacity) * age / settings.warmup_time
         )
-        if flow.calm or not self.some_warm:
+
+    def _has_cold_room(self, flow: Flow, backend: Backend) -> bool:
+        """Return whether a cold backend may take one more of this balancer's flows; a warm one always may.
+
+        All balancers together could overload it, so each uses only its part of the backend's budget.
+        """
+        settings, capacity_fraction = self.settings, self._capacity_fraction(backend)
+        room = (
+            settings.collapse_multiple
+            * capacity_fraction
+            * max(self.open_connections, 1)
+            / max(1, len(self.ready_backends))
+        )
+        # Where loads are reported, all balancers see the same late report of an empty backend: only a part of
+        # the clients, chosen by hash, may go there, and only from groups that rank it high.
+        selected = not settings.load_reported or (
+            flow.placement_hash < COLD_BUDGET_FRACTION * capacity_fraction * 2**32
+            and backend.id in [rank[1] for rank in flow.group.top_ranks[:PROBES_PER_ROUND]]
+        )
+        if flow.arrivals_are_few or not self.any_backend_warm:
             room = 1.0 + COLD_BUDGET_FRACTION * room + math.sqrt(COLD_BUDGET_FRACTION * room)
-        else:  # of what falls it in its time, and one, over all balancers: parts of one by chance, as Poisson
-            room = room * s.overload_window / max(1.0, s.warmup_time) + 1.0 / s.balancers + b.chance
-        return part >= 1.0 or (mine and len(b.flows) + 1 <= room)
+        else:
+            # The setups that make it collapse within the overload window, plus one, over all balancers.  Random
+            # rounding of a fractional share makes their sum over all balancers follow a Poisson distribution.
+            room = (
+                room * settings.overload_window / max(1.0, settings.warmup_time)
+                + 1.0 / settings.balancers
+                + backend.rounding_offset
+            )
+        return capacity_fraction >= 1.0 or (selected and len(backend.flows) + 1 <= room)
 
-    def _could(self, flow: Flow) -> list[Backend]:
-        """The backends that may have it, as its group is poured and then as it ranks them."""
+    def _eligible_backends(self, flow: Flow) -> list[Backend]:
+        """Return the backends that may take the flow: those of its group's plan first, then by rank."""
         group = flow.group
         if not self.plan_is_current:
             self._plan()
-        mine = [row for row in group.parts if flow.pick <= row[0] * 2**32][:1]
+        planned = [entry for entry in group.planned_split if flow.placement_hash <= entry[0] * 2**32][:1]
         return [
-            b
-            for n in dict.fromkeys(row[1] for row in (*mine, *group.parts, *self._rank(group)))
-            if (b := self.backends[n]).ready
-            and b.down_until <= self.now
-            and n not in flow.tried
-            and self._may_repeat(flow, b)
-            and self._cold_room(flow, b)
+            backend
+            for backend_id in dict.fromkeys(
+                entry[1] for entry in (*planned, *group.planned_split, *self._ranking(group))
+            )
+            if (backend := self.backends[backend_id]).ready
+            and backend.down_until <= self.now
+            and backend_id not in flow.tried_backends
+            and self._may_repeat(flow, backend)
+            and self._has_cold_room(flow, backend)
         ]
 
     def _choose_backend(self, flow: Flow) -> Backend | None:
-        """The least loaded that reports; else the first that is not much slower than the others asked."""
-        some, since = self._could(flow), self.now - NEWS
-        if told := [b for b in some if b.load >= 0.0 and b.ping_at >= self.now - TOLD]:
-            near = {row[1]: at for at, row in enumerate(flow.group.head)} | dict.fromkeys(flow.group.held, 0)
-            one = (
-                GROUP_SPLIT_LOAD / GROUP_COST_CONNECTIONS
-            )  # load of a setup that the report, up to NEWS old as it came, cannot know yet
+        """Return the least loaded eligible backend that reports its load.
+
+        Where none reports, return the first of those probed that is not clearly slower than the quickest.
+        """
+        eligible, fresh_since = self._eligible_backends(flow), self.now - PROBE_FRESH_MS
+        if reporting := [
+            backend
+            for backend in eligible
+            if backend.load >= 0.0 and backend.probed_at >= self.now - LOAD_REPORT_TTL_MS
+        ]:
+            # Backends that hold some of the group count as its first rank.
+            rank_by_id = {rank[1]: position for position, rank in enumerate(flow.group.top_ranks)} | (
+                dict.fromkeys(flow.group.open_by_backend, 0)
+            )
+            # Load of one setup that the report cannot contain: it may be PROBE_FRESH_MS old when it arrives.
+            unreported_load = GROUP_SPLIT_LOAD / GROUP_COST_CONNECTIONS
             return min(
-                told,
-                key=lambda b: (
-                    b.load
-                    + GROUP_SPLIT_LOAD * min(1, near[b.id])
-                    + STEP * near[b.id]
-                    + one * sum(f.pending or f.stood > b.ping_at - NEWS for f in b.flows.values())
-                    + CROSS_ZONE_LOAD * (b.entry.zone != self.settings.zone)
+                reporting,
+                key=lambda backend: (
+                    backend.load
+                    + GROUP_SPLIT_LOAD * min(1, rank_by_id[backend.id])
+                    + RANK_STEP_LOAD * rank_by_id[backend.id]
+                    + unreported_load
+                    * sum(
+                        other.is_pending or other.opened_at > backend.probed_at - PROBE_FRESH_MS
+                        for other in backend.flows.values()
+                    )
+                    + CROSS_ZONE_LOAD * (backend.entry.zone != self.settings.zone)
                 ),
             )
-        most = HOT * min([b.ping for b in some[:ASK] if b.ping_at >= since], default=0.0)
-        return next((b for b in some[:ASK] if b.ping_at < since or b.ping <= most), None)
+        slowest_accepted = CLEARLY_WORSE_FACTOR * min(
+            [
+                backend.probe_time
+                for backend in eligible[:PROBES_PER_ROUND]
+                if backend.probed_at >= fresh_since
+            ],
+            default=0.0,
+        )
+        return next(
+            (
+                backend
+                for backend in eligible[:PROBES_PER_ROUND]
+                if backend.probed_at < fresh_since or backend.probe_time <= slowest_accepted
+            ),
+            None,
+        )
+
+    def _may_repeat(self, flow: Flow, backend: Backend) -> bool:
+        """Return whether an attempt at the backend is free of a second effect.
 
-    def _may_repeat(self, flow: Flow, b: Backend) -> bool:
-        """No effect twice: after an attempt that may have run, only where its repeat is dropped."""
-        cls, key = (
-            flow.cls,
+        After an attempt that may have run, a repeat must be safe, or must arrive at a backend that drops it.
+        """
+        request_class, attribute = (
+            flow.request_class,
             {
-                i.DeduplicationScope.ALL: "",
-                i.DeduplicationScope.ZONE: "zone",
-                i.DeduplicationScope.CELL: "cell",
-            }[flow.cls.deduplication_scope],
+                interface.DeduplicationScope.ALL: "",
+                interface.DeduplicationScope.ZONE: "zone",
+                interface.DeduplicationScope.CELL: "cell",
+            }[flow.request_class.deduplication_scope],
         )
         return (
-            not flow.unsure
-            or cls.effect is i.Effect.SAFE
+            not flow.possible_executions
+            or request_class.effect is interface.Effect.SAFE
             or (
-                cls.effect is i.Effect.KEYED
+                request_class.effect is interface.Effect.KEYED
                 and all(
                     self.now + self.settings.connect_timeout + self.settings.timer_resolution
-                    < sent + cls.deduplication_window
-                    and (not key or getattr(first.entry, key) == getattr(b.entry, key))
-                    for first, sent in flow.unsure
+                    < sent_at + request_class.deduplication_window
+                    and (
+                        not attribute
+                        or getattr(first_backend.entry, attribute) == getattr(backend.entry, attribute)
+                    )
+                    for first_backend, sent_at in flow.possible_executions
                 )
             )
         )
 
-    def _create_flow(self, e: i.Request | i.ExistingConnection, deadline: float) -> Flow:
-        group = self._group(e.group_key or e.client_key)
-        group.count = group.count * math.exp((group.at - self.now) / MEMORY) + 1.0
-        self.count = self.count * math.exp((self.count_at - self.now) / MEMORY) + 1.0
-        group.at = self.count_at = self.now
-        self.rush += 1.0  # calm: so few come that a cold backend bears as many at each balancer
-        calm = (
-            self.random.random() * self.rush * self.settings.warmup_time
-            < self.settings.collapse_multiple * self.settings.overload_window * (1.0 + self.known)
+    def _create_flow(self, event: interface.Request | interface.ExistingConnection, deadline: float) -> Flow:
+        group = self._group_for(event.group_key or event.client_key)
+        group.arrivals = group.arrivals * math.exp((group.counted_at - self.now) / ARRIVAL_DECAY_MS) + 1.0
+        self.arrivals = (
+            self.arrivals * math.exp((self.arrivals_counted_at - self.now) / ARRIVAL_DECAY_MS) + 1.0
+        )
+        group.counted_at = self.arrivals_counted_at = self.now
+        self.recent_arrivals += 1.0
+        # Whether so few clients arrive that a cold backend can take as many from each balancer.
+        arrivals_are_few = (
+            self.random.random() * self.recent_arrivals * self.settings.warmup_time
+            < self.settings.collapse_multiple
+            * self.settings.overload_window
+            * (1.0 + self.previous_connections)
+        )
+        flow = Flow(
+            event,
+            self.classes.get(event.class_name) or self.settings.classes[0],
+            group,
+            deadline,
+            arrivals_are_few,
         )
-        flow = Flow(e, self.classes.get(e.class_name) or self.settings.classes[0], group, deadline, calm)
         self.flows[flow.id] = flow
         return flow
 
-    def _on_carried(self, e: i.ExistingConnection) -> None:
-        flow = self._create_flow(e, math.inf)
-        flow.attempts, flow.backend = 1, e.backend
-        self.backends.setdefault(e.backend, Backend(i.BackendEntry(e.backend, i.State.GONE)))
-        self._opened(flow)
+    def _on_existing_connection(self, event: interface.ExistingConnection) -> None:
+        flow = self._create_flow(event, math.inf)
+        flow.attempt_count, flow.backend = 1, event.backend
+        self.backends.setdefault(
+            event.backend, Backend(interface.BackendEntry(event.backend, interface.State.GONE))
+        )
+        self._mark_open(flow)
+
+    def _on_request(self, event: interface.Request) -> None:
+        if event.request not in self.flows:
+            self._admit(self._create_flow(event, self.now + event.patience), event.midflow)
 
-    def _on_request(self, e: i.Request) -> None:
-        if e.request not in self.flows:
-            self._admit(self._create_flow(e, self.now + e.patience), e.midflow)
+    def _send_probes(self, flow: Flow) -> bool:
+        """Probe the backends that may take the flow, and return whether it now waits for the results.
 
-    def _ask(self, flow: Flow) -> bool:
-        """Have those that may get it answer a probe first: what all balancers do there shows nowhere else."""
-        wait, loads = WAIT * flow.cls.aim, self.settings.load_reported
+        What the other balancers send to a backend shows nowhere else.
+        """
+        wait, load_reported = PROBE_WAIT_AIM_FRACTION * flow.request_class.aim, self.settings.load_reported
         if (
             self.settings.probes_allowed
-            and flow.rounds < ROUNDS
-            and self.now + wait < flow.deadline - self._margin(flow)
+            and flow.probe_rounds < MAX_PROBE_ROUNDS
+            and self.now + wait < flow.deadline - self._refusal_margin(flow)
         ):
-            some = [
-                b
-                for b in self._could(flow)
-                if b.ping_at < self.now - TOLD or (b.load <= RELIEVED and (b.load >= 0.0 or not loads))
-            ][:ASK]
-            if loads and not flow.rounds:
-                some += sorted(self.ready_backends, key=lambda b: b.ping_at)[:MORE]
-            flow.rounds += 1
-            flow.asked = {b.id: None for b in some if b.ping_at < self.now - NEWS} if len(some) > 1 else {}
-            self.pending_actions += [i.Probe(n) for n in flow.asked]
-            if flow.asked:
-                flow.since, self.flows_awaiting_probes[flow.id] = self.now, flow
-                self._timer(wait, 3)
-        return bool(flow.asked)
-
-    def _asked(self) -> None:
-        """Who has not answered by now is busy indeed, or away: the setup goes on without."""
+            candidates = [
+                backend
+                for backend in self._eligible_backends(flow)
+                if backend.probed_at < self.now - LOAD_REPORT_TTL_MS
+                or (backend.load <= RELIEVED_LOAD and (backend.load >= 0.0 or not load_reported))
+            ][:PROBES_PER_ROUND]
+            if load_reported and not flow.probe_rounds:
+                candidates += sorted(self.ready_backends, key=lambda backend: backend.probed_at)[
+                    :OLDEST_PROBES
+                ]
+            flow.probe_rounds += 1
+            flow.awaited_probes = (
+                {backend.id: None for backend in candidates if backend.probed_at < self.now - PROBE_FRESH_MS}
+                if len(candidates) > 1
+                else {}
+            )
+            self.pending_actions += [interface.Probe(backend_id) for backend_id in flow.awaited_probes]
+            if flow.awaited_probes:
+                flow.changed_at, self.flows_awaiting_probes[flow.id] = self.now, flow
+                self._set_timer(wait, 3)
+        return bool(flow.awaited_probes)
+
+    def _expire_probes(self) -> None:
+        """Treat probes without an answer in time as failed, so that their setups go on.
+
+        Such a backend is busy or away.
+        """
         for flow in list(self.flows_awaiting_probes.values()):
-            for n in list(flow.asked) if self.now >= flow.since + WAIT * flow.cls.aim - 0.01 else ():
-                self._on_probed(i.ProbeResult(n, -1.0))
+            for backend_id in (
+                list(flow.awaited_probes)
+                if self.now >= flow.changed_at + PROBE_WAIT_AIM_FRACTION * flow.request_class.aim - 0.01
+                else ()
+            ):
+                self._on_probe_result(interface.ProbeResult(backend_id, -1.0))
 
     def _admit(self, flow: Flow, midflow: bool = False) -> None:
-        """The ordinary path: a token lets it out, else it waits, or is refused if the buffer is full."""
-        if not (midflow or self.throttle.take(self.now)) or not self._start_attempt(flow):
-            self._hold(flow)  # also where there is nothing to send to, while there is time
+        """The ordinary path: a token starts an attempt; without one the flow waits, or is refused."""
+        if not (midflow or self.throttle.take_token(self.now)) or not self._start_attempt(flow):
+            self._buffer(flow)  # also where no backend is eligible, as long as there is time
 
-    def _hold(self, flow: Flow) -> None:
+    def _buffer(self, flow: Flow) -> None:
+        """Put the flow into the waiting buffer, and refuse the last one where the buffer is too full."""
         throttle = self.throttle
-        insort(throttle.waiting, flow, key=lambda other: -other.cls.priority)
+        insort(throttle.waiting, flow, key=lambda other: -other.request_class.priority)
         if throttle.active and len(throttle.waiting) > BANK_AND_BUFFER_SLOTS - throttle.bank_capacity(
             self.now
         ):
             self._refuse(throttle.waiting.pop())
-        self._arm()
+        self._arm_buffer_timer()
 
     def _start_attempt(self, flow: Flow, probed: bool = False) -> bool:
-        if not probed and self._ask(flow):
-            return True  # and goes out once they have answered
-        b = self._choose_backend(flow)
-        if b is None:
+        """Start an attempt, after probes where these are needed; return False if no backend is eligible."""
+        if not probed and self._send_probes(flow):
+            return True  # the attempt starts when the probes are answered
+        backend = self._choose_backend(flow)
+        if backend is None:
             return False
-        left = flow.deadline - self.now
-        more = flow.attempts + 1 < self.settings.max_attempts and flow.cls.effect is i.Effect.SAFE
+        time_left = flow.deadline - self.now
+        may_retry = (
+            flow.attempt_count + 1 < self.settings.max_attempts
+            and flow.request_class.effect is interface.Effect.SAFE
+        )
         # Half of the time for one attempt: a backend that hangs must leave time for the next rank.
-        timeout = max(0.5 * left, min(left, flow.cls.aim)) if more else left
-        flow.pending, flow.backend, flow.since, flow.attempts = True, b.id, self.now, flow.attempts + 1
-        b.flows[flow.id] = flow
-        self.recently_used[b.id] = b
-        self.pending_actions.append(i.Send(flow.id, b.id, timeout))
+        timeout = max(0.5 * time_left, min(time_left, flow.request_class.aim)) if may_retry else time_left
+        flow.is_pending, flow.backend, flow.changed_at, flow.attempt_count = (
+            True,
+            backend.id,
+            self.now,
+            flow.attempt_count + 1,
+        )
+        backend.flows[flow.id] = flow
+        self.recently_used[backend.id] = backend
+        self.pending_actions.append(interface.Send(flow.id, backend.id, timeout))
         return True
 
-    def _margin(self, flow: Flow) -> float:
-        """Waiting setups are refused this long before their end, while the answer is still in time."""
-        return min(50.0 + 4 * self.settings.timer_resolution, 0.3 * flow.cls.deadline)
+    def _refusal_margin(self, flow: Flow) -> float:
+        """Return how many ms before its deadline a waiting flow is refused, so that the answer is in time."""
+        return min(50.0 + 4 * self.settings.timer_resolution, 0.3 * flow.request_class.deadline)
 
     def _refuse(self, flow: Flow) -> None:
-        """Where it may have run and the client's repeat might count twice, a refusal promises too much."""
+        """Give the final answer: refused if a repeat by the client is harmless, else failed.
+
+        A refusal promises that the client may repeat the request.  That does not hold where an attempt may
+        have run and the repeat could take effect a second time.
+        """
         self.flows.pop(flow.id, None)
-        cls, wait = flow.cls, self.settings.max_retry_after * self._jitter() / 1.5
-        harmless = (
-            not flow.unsure
-            or cls.effect is i.Effect.SAFE
+        request_class, retry_after = (
+            flow.request_class,
+            self.settings.max_retry_after * self._jitter_factor() / 1.5,
+        )
+        repeat_is_harmless = (
+            not flow.possible_executions
+            or request_class.effect is interface.Effect.SAFE
             or (
-                cls.effect is i.Effect.KEYED
+                request_class.effect is interface.Effect.KEYED
                 and all(
-                    cls.deduplication_scope is i.DeduplicationScope.ALL
-                    and self.now + wait < sent + cls.deduplication_window
-                    for _, sent in flow.unsure
+                    request_class.deduplication_scope is interface.DeduplicationScope.ALL
+                    and self.now + retry_after < sent_at + request_class.deduplication_window
+                    for _, sent_at in flow.possible_executions
                 )
             )
         )
-        self.pending_actions.append(i.Refuse(flow.id, wait) if harmless else i.Fail(flow.id))
+        self.pending_actions.append(
+            interface.Refuse(flow.id, retry_after) if repeat_is_harmless else interface.Fail(flow.id)
+        )
 
-    def _on_established(self, e: i.Established) -> None:
-        flow = self.flows.get(e.request)
-        if flow is None or not flow.pending or e.attempt != flow.attempts - 1:
+    def _on_established(self, event: interface.Established) -> None:
+        flow = self.flows.get(event.request)
+        if flow is None or not flow.is_pending or event.attempt != flow.attempt_count - 1:
             return
-        b = self.backends[flow.backend]
-        if flow.since > b.skipped:  # one that was on its way as others broke says nothing of it now
-            b.failure_count, b.down_until = 0, -math.inf
-        self.stood += 1
-        self._opened(flow)
-
-    def _opened(self, flow: Flow) -> None:
-        flow.pending, flow.open, flow.since, flow.stood = False, True, self.now, self.now
-        flow.tried.clear()
+        backend = self.backends[flow.backend]
+        # A success of an attempt that started before the last failure says nothing about the backend now.
+        if flow.changed_at > backend.last_skipped_at:
+            backend.failure_count = 0
+            backend.down_until = -math.inf
+        self.recent_successes += 1
+        self._mark_open(flow)
+
+    def _mark_open(self, flow: Flow) -> None:
+        flow.is_pending = False
+        flow.is_open = True
+        flow.changed_at = self.now
+        flow.opened_at = self.now
+        flow.tried_backends.clear()
         self.open_connections += 1
-        flow.group.held[flow.backend] += 1
-        self.recently_used[flow.backend] = b = self.backends[flow.backend]
-        b.flows[flow.id] = flow
+        flow.group.open_by_backend[flow.backend] += 1
+        self.recently_used[flow.backend] = backend = self.backends[flow.backend]
+        backend.flows[flow.id] = flow
 
-    def _on_note(self, e: i.DelayReport) -> None:
-        flow = self.flows.get(e.request)
-        if flow is None or not flow.open or e.delay < SLOW * self.aim:
+    def _on_delay_report(self, event: interface.DelayReport) -> None:
+        flow = self.flows.get(event.request)
+        if flow is None or not flow.is_open or event.delay < SLOW_AIM_FRACTION * self.shortest_message_aim:
             return
-        b, hurt = self.backends[flow.backend], min(2.0, e.delay / self.aim)
-        b.slow_at, b.slow = self.now, min(1.0, hurt)
-        self._thin_out(b, 0.0 if self.settings.load_reported else MOVE * hurt)
-
-    def _on_load(self, e: i.LoadReport) -> None:
-        if e.request in self.flows:
-            self.flows[e.request].load = e.load
-
-    def _on_silent(self, e: i.BackendSilent) -> None:
-        """One that is slow answers late, this one answers nobody: all leave it and nothing new goes there."""
-        if b := self.backends.get(e.backend):
-            if b.down_until <= self.now:
-                self._skip(b)
-            self._thin_out(b, 1.0)
-
-    def _on_probed(self, e: i.ProbeResult) -> None:
-        if b := self.backends.get(e.backend):
-            took = e.elapsed if e.elapsed >= 0.0 else self.settings.connect_timeout
-            b.ping, b.ping_at, b.load = took * b.weight, self.now, e.load
+        backend, delay_over_aim = (
+            self.backends[flow.backend],
+            min(2.0, event.delay / self.shortest_message_aim),
+        )
+        backend.slow_at, backend.slowness = self.now, min(1.0, delay_over_aim)
+        self._move_fraction(
+            backend, 0.0 if self.settings.load_reported else MOVE_PROBABILITY * delay_over_aim
+        )
+
+    def _on_load_report(self, event: interface.LoadReport) -> None:
+        if event.request in self.flows:
+            self.flows[event.request].load = event.load
+
+    def _on_backend_silent(self, event: interface.BackendSilent) -> None:
+        """Move all flows off the backend and send nothing new there.
+
+        A slow backend answers late; this one answers nobody.
+        """
+        if backend := self.backends.get(event.backend):
+            if backend.down_until <= self.now:
+                self._skip_backend(backend)
+            self._move_fraction(backend, 1.0)
+
+    def _on_probe_result(self, event: interface.ProbeResult) -> None:
+        if backend := self.backends.get(event.backend):
+            elapsed = event.elapsed if event.elapsed >= 0.0 else self.settings.connect_timeout
+            backend.probe_time, backend.probed_at, backend.load = (
+                elapsed * backend.weight,
+                self.now,
+                event.load,
+            )
         for flow in list(self.flows_awaiting_probes.values()):
-            flow.asked.pop(e.backend, None)
-            if not flow.asked:
+            flow.awaited_probes.pop(event.backend, None)
+            if not flow.awaited_probes:
                 del self.flows_awaiting_probes[flow.id]
                 if not self._start_attempt(flow, probed=not self.settings.load_reported):
-                    self._hold(flow)
-
-    def _move(self, flow: Flow, part: float, most: float = math.inf, after: float = -math.inf) -> bool:
-        """Move one that has stood a while, by chance, to where it would go now if that has so little load."""
+                    self._buffer(flow)
+
+    def _maybe_move(
+        self,
+        flow: Flow,
+        probability: float,
+        max_load: float = math.inf,
+        started_after: float = -math.inf,
+    ) -> bool:
+        """Move the connection with this probability, if it has stayed long enough.
+
+        It moves only if the backend that it would get now is another one, reports less load than ``max_load``
+        and has started later than ``started_after``.  Return whether it moves.
+        """
         moves = (
-            flow.open
-            and self.now - flow.since > SETTLED
-            and self.random.random() < part
-            and (b := self._choose_backend(flow)) is not None
-            and b.id != flow.backend
-            and b.load < most
-            and b.entry.started > after
+            flow.is_open
+            and self.now - flow.changed_at > MIN_STAY_MS
+            and self.random.random() < probability
+            and (backend := self._choose_backend(flow)) is not None
+            and backend.id != flow.backend
+            and backend.load < max_load
+            and backend.entry.started > started_after
         )
         if moves:
-            flow.since = self.now
-            self.pending_actions.append(i.Move(flow.id))
+            flow.changed_at = self.now
+            self.pending_actions.append(interface.Move(flow.id))
         return moves
 
-    def _thin_out(self, b: Backend, part: float) -> None:
-        """Move about this part of a backend's connections to where they would go now."""
-        for flow in b.flows.values():
-            self._move(flow, part)
-
-    def _empty(self) -> None:
-        """Move the clients of backends that leave: not all do it themselves before they cut them off."""
-        for b in self.backends.values() if self.ready_backends else ():  # else they would have nowhere to go
-            if b.flows and not b.ready and self.now >= b.leaving:
-                part = (self.now - b.leaving + PERIOD) / LEAVE
+    def _move_fraction(self, backend: Backend, fraction: float) -> None:
+        """Move about this fraction of a backend's connections to the backends that they would get now."""
+        for flow in backend.flows.values():
+            self._maybe_move(flow, fraction)
+
+    def _move_off_leaving_backends(self) -> None:
+        """Move the clients of leaving backends: not every backend does so itself before it cuts them off."""
+        # Without a ready backend they would have nowhere to go.
+        for backend in self.backends.values() if self.ready_backends else ():
+            if backend.flows and not backend.ready and self.now >= backend.leaving_since:
+                fraction = (self.now - backend.leaving_since + MONITOR_INTERVAL_MS) / LEAVING_MOVE_MS
                 self.pending_actions += [
-                    i.Move(f.id) for f in b.flows.values() if f.open and self.random.random() < part
+                    interface.Move(flow.id)
+                    for flow in backend.flows.values()
+                    if flow.is_open and self.random.random() < fraction
                 ]
 
-    def _relieve(self) -> None:
-        """Where more is asked of a backend than it can do, so much goes to others, group by group."""
-        for b in self.ready_backends:
-            if b.load > FULL and self.now - b.ping_at < NEWS and self.now - b.relieved > 2 * NEWS:
-                b.relieved = self.now
-                over = sum(flow.load for flow in b.flows.values()) * (1.0 - RELIEVED / b.load)
-                for flow in sorted(b.flows.values(), key=lambda flow: flow.group.hash):
-                    if over > 0.0 and self._move(flow, 1.0, most=b.load / HOT):
-                        over -= flow.load
+    def _relieve_overloaded_backends(self) -> None:
+        """Move the load above the relieved level away from each overloaded backend, group by group."""
+        for backend in self.ready_backends:
+            if (
+                backend.load > OVERLOADED_LOAD
+                and self.now - backend.probed_at < PROBE_FRESH_MS
+                and self.now - backend.relieved_at > 2 * PROBE_FRESH_MS
+            ):
+                backend.relieved_at = self.now
+                excess = sum(flow.load for flow in backend.flows.values()) * (
+                    1.0 - RELIEVED_LOAD / backend.load
+                )
+                for flow in sorted(backend.flows.values(), key=lambda flow: flow.group.hash):
+                    if excess > 0.0 and self._maybe_move(
+                        flow, 1.0, max_load=backend.load / CLEARLY_WORSE_FACTOR
+                    ):
+                        excess -= flow.load
 
     def _move_to_new_backends(self) -> None:
-        """Backends that have started since get the clients that the hash gives them."""
-        newest = max([b.entry.started for b in self.ready_backends], default=0.0)
+        """Move connections to backends that started after they opened, where these would be chosen now."""
+        newest = max([backend.entry.started for backend in self.ready_backends], default=0.0)
         for flow in self.flows.values() if newest > 0.0 else ():
-            if flow.stood < newest:
-                self._move(flow, MOVE, after=flow.stood)
+            if flow.opened_at < newest:
+                self._maybe_move(flow, MOVE_PROBABILITY, started_after=flow.opened_at)
 
-    def _on_ended(self, e: i.Ended) -> None:
-        flow, b = self.flows.get(e.request), self.backends.get(e.backend)
-        if flow is None or b is None or not (flow.pending or flow.open) or e.attempt != flow.attempts - 1:
+    def _on_ended(self, event: interface.Ended) -> None:
+        flow, backend = self.flows.get(event.request), self.backends.get(event.backend)
+        if (
+            flow is None
+            or backend is None
+            or not (flow.is_pending or flow.is_open)
+            or event.attempt != flow.attempt_count - 1
+        ):
             return
-        b.flows.pop(flow.id, None)
-        was_open, flow.pending = flow.open, False
+        backend.flows.pop(flow.id, None)
+        was_open = flow.is_open
+        flow.is_pending = False
         self.open_connections -= was_open
-        flow.group.held = flow.group.held - Counter({b.id: int(was_open)})
-        self._judge(b, e.outcome, was_open)
-        if e.closed or was_open or flow.deadline < 0:
+        flow.group.open_by_backend = flow.group.open_by_backend - Counter({backend.id: int(was_open)})
+        self._record_outcome(backend, event.outcome, was_open)
+        if event.closed or was_open or flow.deadline < 0:
             del self.flows[flow.id]
             return
-        flow.tried.add(b.id)
-        if e.outcome not in i.NOT_EXECUTED:
-            flow.unsure.append((b, flow.since))
+        flow.tried_backends.add(backend.id)
+        if event.outcome not in interface.NOT_EXECUTED:
+            flow.possible_executions.append((backend, flow.changed_at))
         if (
-            flow.attempts >= self.settings.max_attempts
-            or e.outcome is i.Outcome.UNSENT
-            or self.now >= flow.deadline - self._margin(flow)
+            flow.attempt_count >= self.settings.max_attempts
+            or event.outcome is interface.Outcome.UNSENT
+            or self.now >= flow.deadline - self._refusal_margin(flow)
         ):
             self._refuse(flow)
-        elif e.outcome is not i.Outcome.CONNECT_FAILED or not self._start_attempt(flow):
-            self._admit(flow)  # further attempts in overload would be a storm of their own: a token each
-
-    def _judge(self, b: Backend, outcome: i.Outcome, was_open: bool) -> None:
-        """A backend's own troubles are its own: skip it for a while; the monitor sees only how many."""
-        if outcome in (i.Outcome.OK, i.Outcome.CANCELLED, i.Outcome.UNSENT) or self.now >= b.leaving:
-            return  # what a backend drops as it leaves is no trouble
-        self.rush += was_open  # its clients come again at once, all over the fleet
-        if outcome in (i.Outcome.FULL, i.Outcome.TIMEOUT):
-            b.slow_at, b.slow = self.now, 1.0  # who breaks off in a moment is not crowded
-        self.failed += not was_open and outcome is not i.Outcome.ERROR
-        if outcome is i.Outcome.FULL:
-            b.down_until = self.now + 200.0 * self._jitter()
-        elif outcome is not i.Outcome.ERROR:  # it costs a moment, and may be the fault of the request
-            self._skip(b)
-
-    def _skip(self, b: Backend) -> None:
-        """Nothing new goes to it for a while that doubles with each failure, until it serves again."""
-        b.failure_count, b.skipped = min(b.failure_count + 1, 5), self.now
-        b.down_until = max(
-            b.down_until, self.now + self.settings.connect_timeout * 2.0**b.failure_count * self._jitter()
-        )
-
-    def _on_gone(self, e: i.ClientLeft) -> None:
-        flow = self.flows.get(e.request)
-        if flow is not None and (flow.pending or flow.open):
-            flow.deadline = -math.inf  # its attempt still ends; nothing more goes out for it
+        elif event.outcome is not interface.Outcome.CONNECT_FAILED or not self._start_attempt(flow):
+            self._admit(flow)  # each further attempt takes a token: retries would add to an overload
+
+    def _record_outcome(self, backend: Backend, outcome: interface.Outcome, was_open: bool) -> None:
+        """Skip a backend that failed for a while; the monitor only counts how many backends have failed."""
+        if (
+            outcome in (interface.Outcome.OK, interface.Outcome.CANCELLED, interface.Outcome.UNSENT)
+            or self.now >= backend.leaving_since
+        ):
+            return  # connections that a backend drops as it leaves are no failure
+        self.recent_arrivals += was_open  # its clients come again at once, at any balancer
+        # A backend that breaks connections off at once is not overloaded; a full or slow one is.
+        if outcome in (interface.Outcome.FULL, interface.Outcome.TIMEOUT):
+            backend.slow_at = self.now
+            backend.slowness = 1.0
+        self.recent_failures += not was_open and outcome is not interface.Outcome.ERROR
+        if outcome is interface.Outcome.FULL:
+            backend.down_until = self.now + 200.0 * self._jitter_factor()
+        elif outcome is not interface.Outcome.ERROR:  # an error costs little and may be the request's fault
+            self._skip_backend(backend)
+
+    def _skip_backend(self, backend: Backend) -> None:
+        """Send nothing new to the backend for a time that doubles with each failure in a row."""
+        backend.failure_count, backend.last_skipped_at = min(backend.failure_count + 1, 5), self.now
+        backend.down_until = max(
+            backend.down_until,
+            self.now + self.settings.connect_timeout * 2.0**backend.failure_count * self._jitter_factor(),
+        )
+
+    def _on_client_left(self, event: interface.ClientLeft) -> None:
+        flow = self.flows.get(event.request)
+        if flow is not None and (flow.is_pending or flow.is_open):
+            flow.deadline = -math.inf  # its attempt still ends, but nothing more is sent for it
         elif flow is not None:
             del self.flows[flow.id]
             self.flows_awaiting_probes.pop(flow.id, None)
             self.throttle.waiting = [other for other in self.throttle.waiting if other is not flow]
 
-    def _arm(self) -> None:
-        """Wake for the next token or the next waiting setup at its end, whichever is first."""
+    def _arm_buffer_timer(self) -> None:
+        """Set a timer for the next token or for the next refusal of a waiting flow, whichever is first."""
         throttle, wait = self.throttle, 100.0
         if not throttle.waiting:
             return
         if throttle.active and throttle.refill_rate > 0:
             wait = min(wait, max(0.0, 1.0 - throttle.tokens) / throttle.refill_rate)
-        end = min(flow.deadline - self._margin(flow) for flow in throttle.waiting)
-        wait = max(min(wait, end - self.now), self.settings.timer_resolution)
+        next_refusal = min(flow.deadline - self._refusal_margin(flow) for flow in throttle.waiting)
+        wait = max(min(wait, next_refusal - self.now), self.settings.timer_resolution)
         if self.now + wait < self.buffer_check_at:
             self.buffer_check_at = self.now + wait
-            self._timer(wait, 0)
+            self._set_timer(wait, 0)
 
-    def _pump(self) -> None:
-        """Let out what has a token, refuse what nears its end and what a shrunken buffer no longer holds."""
-        if (
-            self.now >= self.buffer_check_at - 0.01
-        ):  # the clock counts microseconds: a timer may seem early by less
+    def _drain_buffer(self) -> None:
+        """Start waiting flows for which there is a token.
+
+        Refuse those that near their deadline and those for which a buffer that shrank has no place.
+        """
+        if self.now >= self.buffer_check_at - 0.01:  # times are rounded to us: a timer may seem early by less
             self.buffer_check_at = math.inf
-        throttle, kept = self.throttle, list[Flow]()
+        throttle, still_waiting = self.throttle, list[Flow]()
         for flow in throttle.waiting:
-            if self.now >= flow.deadline - self._margin(flow):
+            if self.now >= flow.deadline - self._refusal_margin(flow):
                 self._refuse(flow)
-            elif not throttle.take(self.now):
-                kept.append(flow)
+            elif not throttle.take_token(self.now):
+                still_waiting.append(flow)
             elif not self._start_attempt(flow):
                 throttle.tokens += 1.0
-                kept.append(flow)
-        while throttle.active and len(kept) > math.ceil(
+                still_waiting.append(flow)
+        while throttle.active and len(still_waiting) > math.ceil(
             BANK_AND_BUFFER_SLOTS - throttle.bank_capacity(self.now)
         ):
-            self._refuse(kept.pop())
-        throttle.waiting = kept
-        self._arm()
+            self._refuse(still_waiting.pop())
+        throttle.waiting = still_waiting
+        self._arm_buffer_timer()
+
+    def _monitor(self) -> None:
+        """Turn the throttle on or off and set its rate r, by how many of the backends in use are in trouble.
 
-    def _look(self) -> None:
-        """The monitor: how many of the backends in use are in trouble decides on the throttle and r."""
-        self._timer(PERIOD, 1)
+        It also brings the plan up to date and moves connections where a backend leaves, is overloaded or has
+        just started.
+        """
+        self._set_timer(MONITOR_INTERVAL_MS, 1)
         self._plan()
-        fade = math.exp(-PERIOD / max(1.0, self.settings.overload_window))
-        self.rush, self.known = (
-            self.rush * fade,
-            self.open_connections + (self.known - self.open_connections) * fade,
+        decay = math.exp(-MONITOR_INTERVAL_MS / max(1.0, self.settings.overload_window))
+        self.recent_arrivals, self.previous_connections = (
+            self.recent_arrivals * decay,
+            self.open_connections + (self.previous_connections - self.open_connections) * decay,
         )
-        self._empty()
-        self._relieve()
+        self._move_off_leaving_backends()
+        self._relieve_overloaded_backends()
         self._move_to_new_backends()
-        bad = [b for b in self.recently_used.values() if self.now - b.slow_at < SLOW_FOR]
-        used = [b for b in self.recently_used.values() if b.ready and b.down_until <= self.now]
-        part = sum(b.slow for b in bad if b in used) / max(1, len(used))
-        if told := sorted(
-            b.load for b in self.ready_backends if b.load >= 0.0 and self.now - b.ping_at < TOLD
+        slow = [
+            backend for backend in self.recently_used.values() if self.now - backend.slow_at < SLOW_TTL_MS
+        ]
+        usable = [
+            backend
+            for backend in self.recently_used.values()
+            if backend.ready and backend.down_until <= self.now
+        ]
+        troubled_fraction = sum(backend.slowness for backend in slow if backend in usable) / max(
+            1, len(usable)
+        )
+        if reported_loads := sorted(
+            backend.load
+            for backend in self.ready_backends
+            if backend.load >= 0.0 and self.now - backend.probed_at < LOAD_REPORT_TTL_MS
         ):
-            part = float(told[len(told) // 4] >= RELIEVED)  # they tell themselves whether there is room
-        self.recently_used = {b.id: b for b in self.recently_used.values() if b.flows}
-        self.stood, self.failed = 0.75 * self.stood, 0.75 * self.failed
-        share = self.failed / (self.failed + self.stood) if self.failed > MANY else 0.0
-        pressure = max(share, part if told or sum(b.slow for b in bad) > 1.0 else 0.0)
-        throttle, usual = self.throttle, max(self.count, 1.0) / MEMORY
-        self.calm = self.calm + 1 if pressure <= OFF else 0
-        if not throttle.active and pressure >= ON:
-            throttle.active, throttle.tokens, throttle.at, throttle.turned_on_at = (
-                True,
-                BANK_AT_TURN_ON_TOKENS,
-                self.now,
-                self.now,
-            )
-            throttle.refill_rate = usual
+            # Reported loads show directly whether there is room; room at a quarter of the backends is enough.
+            troubled_fraction = float(reported_loads[len(reported_loads) // 4] >= RELIEVED_LOAD)
+        self.recently_used = {backend.id: backend for backend in self.recently_used.values() if backend.flows}
+        self.recent_successes, self.recent_failures = (
+            0.75 * self.recent_successes,
+            0.75 * self.recent_failures,
+        )
+        failed_fraction = (
+            self.recent_failures / (self.recent_failures + self.recent_successes)
+            if self.recent_failures > MIN_FAILURE_COUNT
+            else 0.0
+        )
+        pressure = max(
+            failed_fraction,
+            troubled_fraction if reported_loads or sum(backend.slowness for backend in slow) > 1.0 else 0.0,
+        )
+        throttle, usual_rate = self.throttle, max(self.arrivals, 1.0) / ARRIVAL_DECAY_MS
+        self.healthy_runs = self.healthy_runs + 1 if pressure <= HEALTHY_FRACTION else 0
+        if not throttle.active and pressure >= OVERLOADED_FRACTION:
+            throttle.active = True
+            throttle.tokens = BANK_AT_TURN_ON_TOKENS
+            throttle.refilled_at = self.now
+            throttle.turned_on_at = self.now
+            throttle.refill_rate = usual_rate
         elif throttle.active:
-            change = DOWN if pressure >= ON else UP if pressure <= OFF else 1.0
-            throttle.refill_rate = max(throttle.refill_rate * change, FLOOR * usual)
-            throttle.active = self.calm < CALM
-            self._pump()
+            rate_factor = (
+                RATE_DECREASE_FACTOR
+                if pressure >= OVERLOADED_FRACTION
+                else RATE_INCREASE_FACTOR
+                if pressure <= HEALTHY_FRACTION
+                else 1.0
+            )
+            throttle.refill_rate = max(throttle.refill_rate * rate_factor, MIN_RATE_FRACTION * usual_rate)
+            throttle.active = self.healthy_runs < HEALTHY_RUNS_TO_TURN_OFF
+            self._drain_buffer()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -81,7 +81,7 @@
     for bench in holders:
         bench.run(fleet.now + 3000.0)
         bench.actions.clear()
-        held = {flow.id for flow in bench.balancer.backends[silent].flows.values() if flow.open}
+        held = {flow.id for flow in bench.balancer.backends[silent].flows.values() if flow.is_open}
         bench.put(i.BackendSilent(silent))
         assert {move.request for move in bench.all(i.Move)} == held
         tried.append(bench.balancer.backends[silent].down_until - bench.now)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -57,7 +57,7 @@
     place(fresh, 1, "g")
     (cached,) = bench.balancer.groups.values()
     (new,) = fresh.balancer.groups.values()
-    assert cached.head == new.head and len(new.head) == RANKS_KEPT
+    assert cached.top_ranks == new.top_ranks and len(new.top_ranks) == RANKS_KEPT
 
 
 def test_heavier_backends_get_more() -> None:
@@ -473,7 +473,7 @@
     assert send.backend == 4
     bench.stand(send)
     reported(bench, {b: 0.5 for b in range(1, 9)} | {4: 0.49 + GROUP_SPLIT_LOAD})
-    first = bench.balancer.flows[1].group.head[0][1]
+    first = bench.balancer.flows[1].group.top_ranks[0][1]
     (send,) = [a for a in bench.ask(2) if isinstance(a, i.Send)]
     assert send.backend in (4, first), "one more place costs more; the ranking's first is the same for all"
     reported(bench, {b: 1.5 for b in range(1, 9)} | {7: 0.0})
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,7 @@
 def out(bench: Bench) -> list[i.Send]:
     """The attempts that have not ended."""
     last = {a.request: a for a in bench.all(i.Send)}
-    return [a for n, a in last.items() if n in bench.balancer.flows and bench.balancer.flows[n].pending]
+    return [a for n, a in last.items() if n in bench.balancer.flows and bench.balancer.flows[n].is_pending]
 
 
 @given(
