--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -489,8 +489,8 @@
         if flow.arrivals_are_few or not self.any_backend_warm:
             room = 1.0 + COLD_BUDGET_FRACTION * room + math.sqrt(COLD_BUDGET_FRACTION * room)
         else:
-            # The setups that make it collapse within the overload window, plus one, over all balancers.  Random
-            # rounding of a fractional share makes their sum over all balancers follow a Poisson distribution.
+            # The setups that make it collapse within the overload window, plus one, over all balancers.
+            # Random rounding of a fractional share gives their sum over all balancers a Poisson distribution.
             room = (
                 room * settings.overload_window / max(1.0, settings.warmup_time)
                 + 1.0 / settings.balancers
