--- a/snowwick/net/pool_deciders.py
+++ b/snowwick/net/pool_deciders.py
@@ -94,6 +94,6 @@
             for decider in self.by_pool.values():
                 decider.post(message)
             return
-        ask: Any = getattr(message.client, "ask", None)
+        ask: Any = getattr(message.client, "request", None)
         if ask is not None:
             ask.post(message)
