--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker's core on a driven clock: limits, lending, reclaiming, come-back times, changes of contract."""
+"""Admission control on a controlled clock: limits, lending, reclaiming, retry times and changes of limits."""
 
 from __future__ import annotations
 
@@ -25,31 +25,37 @@
 from snowwick.broker.gcra import Gcra
 from snowwick.broker.retry_queue import ENTRIES_PER_ROW, RetryTable
 
-FREE = (0.0, 1e6)  # setups a second that are no limit
-QUIET, LOUD = "quiet", "loud"
-TWO = BalancerLimits(
+UNLIMITED_SETUPS_PER_S = (0.0, 1e6)  # a rate that no test reaches
+QUIET = "quiet"  # a team that uses little
+LOUD = "loud"  # a team that asks for more than its guarantee
+TWO_TEAMS = BalancerLimits(
     300.0,
     1e6,
-    {QUIET: TeamLimits((100.0, 200.0), FREE), LOUD: TeamLimits((100.0, 300.0), FREE)},
+    {
+        QUIET: TeamLimits((100.0, 200.0), UNLIMITED_SETUPS_PER_S),
+        LOUD: TeamLimits((100.0, 300.0), UNLIMITED_SETUPS_PER_S),
+    },
     reclaim_within_s=5.0,
 )
 
 
-def ask(
-    ledger: AdmissionController, now: float, team: str, key: Any = "k", cls: str = "c"
+def request_connection(
+    controller: AdmissionController, now: float, team: str, key: Any = "k", class_name: str = "c"
 ) -> Lease | Refusal:
-    got = ledger.admit(now, key, team, cls, str(key))
-    if isinstance(got, Lease):
-        ledger.mark_established(got)
-    return got
+    result = controller.admit(now, key, team, class_name, str(key))
+    if isinstance(result, Lease):
+        controller.mark_established(result)
+    return result
 
 
-def fill(ledger: AdmissionController, now: float, team: str, most: int = 10000) -> list[Lease]:
-    """Take connections until one is refused."""
-    held: list[Lease] = []
-    while len(held) < most and isinstance(got := ask(ledger, now, team, f"{team}{len(held)}"), Lease):
-        held.append(got)
-    return held
+def fill_up(controller: AdmissionController, now: float, team: str, count: int = 10000) -> list[Lease]:
+    """Request connections until one is refused."""
+    leases: list[Lease] = []
+    while len(leases) < count and isinstance(
+        result := request_connection(controller, now, team, f"{team}{len(leases)}"), Lease
+    ):
+        leases.append(result)
+    return leases
 
 
 @given(st.floats(0.1, 50.0), st.floats(1.0, 20.0), st.lists(st.floats(0.0, 3.0), max_size=80))
@@ -68,126 +74,140 @@
 
 
 @pytest.mark.parametrize("jump", [0.0, 600.0, -50.0])
-def test_time_that_stands_still_or_jumps_lets_one_burst_out(jump: float) -> None:
-    book = BalancerLimits(1000.0, 10.0, {QUIET: TeamLimits((0.0, 1000.0), (5.0, 10.0))}, burst_s=2.0)
-    ledger = AdmissionController(book, max_retry_after_s=1.0)
-    first = len(fill(ledger, 100.0, QUIET))
+def test_a_clock_that_stands_still_or_jumps_admits_one_burst(jump: float) -> None:
+    limits = BalancerLimits(1000.0, 10.0, {QUIET: TeamLimits((0.0, 1000.0), (5.0, 10.0))}, burst_s=2.0)
+    controller = AdmissionController(limits, max_retry_after_s=1.0)
+    first = len(fill_up(controller, 100.0, QUIET))
     assert first == 20
-    again = len(fill(ledger, 100.0 + jump, QUIET))
+    again = len(fill_up(controller, 100.0 + jump, QUIET))
     assert again == (20 if jump > 0 else 0)
 
 
-def test_idle_room_is_lent_but_for_a_tenth_of_what_its_owners_do_not_use() -> None:
-    ledger = AdmissionController(TWO)
-    assert len(fill(ledger, 0.0, LOUD)) == 290
-    assert len(fill(ledger, 0.0, QUIET)) == 10  # the reserve: the first asks succeed before anything moved
-    assert ledger.connection_budget.total_in_use == 300
+def test_unused_room_is_lent_except_for_a_tenth_of_the_unused_guarantees() -> None:
+    controller = AdmissionController(TWO_TEAMS)
+    assert len(fill_up(controller, 0.0, LOUD)) == 290
+    assert len(fill_up(controller, 0.0, QUIET)) == 10  # the reserve: no move needed
+    assert controller.connection_budget.total_in_use == 300
 
 
 @pytest.mark.parametrize("balancers", [1, 2, 3])
-def test_an_owner_has_its_guarantee_in_the_stated_time_and_the_newest_are_moved(balancers: int) -> None:
-    parted = BalancerLimits(
+def test_a_guarantee_is_reclaimed_in_the_stated_time_and_the_newest_connections_are_moved(
+    balancers: int,
+) -> None:
+    limits = BalancerLimits(
         300.0 / balancers,
         1e6,
         {
             name: replace(
-                terms, connections=(terms.connections[0] // balancers, terms.connections[1] // balancers)
+                team_limits,
+                connections=(
+                    team_limits.connections[0] // balancers,
+                    team_limits.connections[1] // balancers,
+                ),
             )
-            for name, terms in TWO.teams.items()
+            for name, team_limits in TWO_TEAMS.teams.items()
         },
-        reclaim_within_s=TWO.reclaim_within_s,
+        reclaim_within_s=TWO_TEAMS.reclaim_within_s,
+    )
+    controller = AdmissionController(limits, max_retry_after_s=0.6)
+    borrowed = fill_up(controller, 0.0, LOUD)
+    owner_connections, readmitted, now, moved, pending_releases = (
+        0,
+        0,
+        0.0,
+        list[Lease](),
+        list[tuple[float, Lease]](),
     )
-    ledger = AdmissionController(parted, max_retry_after_s=0.6)
-    held = fill(ledger, 0.0, LOUD)
-    mine, back, now, moved, gone = 0, 0, 0.0, list[Lease](), list[tuple[float, Lease]]()
-    while mine < parted.teams[QUIET].connections[0]:
+    while owner_connections < limits.teams[QUIET].connections[0]:
         now += 0.02
-        mine += isinstance(ask(ledger, now, QUIET, f"q{mine}"), Lease)
-        for lease in ledger.reclaim(now):
+        owner_connections += isinstance(
+            request_connection(controller, now, QUIET, f"q{owner_connections}"), Lease
+        )
+        for lease in controller.reclaim(now):
             moved.append(lease)
-            gone.append((now + 0.1, lease))
-        while gone and gone[0][0] <= now:
-            ledger.release(gone.pop(0)[1])
-            # A client that was moved off borrowed room comes back and must not get it again.
-            back += isinstance(ask(ledger, now, LOUD, "returned"), Lease)
-        assert now <= TWO.reclaim_within_s + 0.7, (mine, len(moved))
-    assert moved == list(reversed(held))[: len(moved)]
-    assert len(moved) <= parted.teams[QUIET].connections[0] + 1 and back <= 2
-    assert len(moved) <= 200 / balancers / TWO.reclaim_within_s * now + 2  # at the bounded rate
-
-
-def test_an_owner_whose_connections_come_and_go_moves_nobody() -> None:
-    """Moving one borrower for each connection of an owner would be a storm without end."""
-    ledger = AdmissionController(TWO)
-    fill(ledger, 0.0, LOUD)
+            pending_releases.append((now + 0.1, lease))
+        while pending_releases and pending_releases[0][0] <= now:
+            controller.release(pending_releases.pop(0)[1])
+            # A client that was moved off borrowed room retries and must not get that room again.
+            readmitted += isinstance(request_connection(controller, now, LOUD, "returned"), Lease)
+        assert now <= TWO_TEAMS.reclaim_within_s + 0.7, (owner_connections, len(moved))
+    assert moved == list(reversed(borrowed))[: len(moved)]
+    assert len(moved) <= limits.teams[QUIET].connections[0] + 1 and readmitted <= 2
+    assert len(moved) <= 200 / balancers / TWO_TEAMS.reclaim_within_s * now + 2  # the reclaim rate
+
+
+def test_short_connections_within_a_guarantee_move_no_borrower() -> None:
+    """If each of these connections moved one of a borrower's, the moves would never end."""
+    controller = AdmissionController(TWO_TEAMS)
+    fill_up(controller, 0.0, LOUD)
     moved = 0
     for n in range(200):
-        lease = ask(ledger, n * 0.1, QUIET, n)
+        lease = request_connection(controller, n * 0.1, QUIET, n)
         assert isinstance(lease, Lease)
-        moved += len(ledger.reclaim(n * 0.1))
-        ledger.release(lease)
+        moved += len(controller.reclaim(n * 0.1))
+        controller.release(lease)
     assert moved == 0
 
 
-def test_borrowers_end_with_room_by_weight_whoever_came_first() -> None:
-    book = BalancerLimits(
+def test_borrowed_connections_are_divided_by_weight_whatever_the_order_of_arrival() -> None:
+    limits = BalancerLimits(
         400.0,
         1e6,
         {
-            "a": TeamLimits((0.0, 400.0), FREE, weight=1.0),
-            "b": TeamLimits((0.0, 400.0), FREE, weight=3.0),
-            "c": TeamLimits((0.0, 30.0), FREE),
+            "a": TeamLimits((0.0, 400.0), UNLIMITED_SETUPS_PER_S, weight=1.0),
+            "b": TeamLimits((0.0, 400.0), UNLIMITED_SETUPS_PER_S, weight=3.0),
+            "c": TeamLimits((0.0, 30.0), UNLIMITED_SETUPS_PER_S),
         },
         reclaim_within_s=5.0,
     )
-    ledger = AdmissionController(book, max_retry_after_s=0.6)
-    fill(ledger, 0.0, "a")
+    controller = AdmissionController(limits, max_retry_after_s=0.6)
+    fill_up(controller, 0.0, "a")
     moves = 0
     for n in range(2500):
         now = 0.02 * n
-        for lease in ledger.reclaim(now):
+        for lease in controller.reclaim(now):
             moves += 1
-            ledger.release(lease)
+            controller.release(lease)
         for team in "abc":
-            ask(ledger, now, team, f"{team}{n}")
-    held = {name: team.connection_share.in_use for name, team in ledger.teams.items()}
-    assert held["c"] == 30 and abs(held["a"] - 92.5) <= 3 and abs(held["b"] - 277.5) <= 3, held
-    assert moves <= 330  # 307.5 have to change hands
+            request_connection(controller, now, team, f"{team}{n}")
+    in_use = {name: team.connection_share.in_use for name, team in controller.teams.items()}
+    assert in_use["c"] == 30 and abs(in_use["a"] - 92.5) <= 3 and abs(in_use["b"] - 277.5) <= 3, in_use
+    assert moves <= 330  # 307.5 have to pass to other teams
 
 
-def test_a_team_at_ten_times_its_rate_leaves_the_other_its_own() -> None:
-    book = BalancerLimits(
+def test_a_team_at_ten_times_its_rate_does_not_reduce_the_other_s_rate() -> None:
+    limits = BalancerLimits(
         1e6, 100.0, {QUIET: TeamLimits((0.0, 1e6), (30.0, 60.0)), LOUD: TeamLimits((0.0, 1e6), (30.0, 100.0))}
     )
-    ledger, let_in, now = AdmissionController(book, max_retry_after_s=0.6), Counter[str](), 0.0
+    controller, admitted, now = AdmissionController(limits, max_retry_after_s=0.6), Counter[str](), 0.0
     rng = random.Random(3)
     for n in range(40000):
         now += 0.001
-        if now < 10.0 or now >= 20.0:  # the quiet team wakes up again in the middle
+        if now < 10.0 or now >= 20.0:  # the quiet team pauses from 10 s to 20 s
             if n % 34 == 0:
-                let_in[f"{QUIET}{now >= 20.0}"] += isinstance(
-                    ledger.admit(now, n, QUIET, "c", f"q{n}"), Lease
+                admitted[f"{QUIET}{now >= 20.0}"] += isinstance(
+                    controller.admit(now, n, QUIET, "c", f"q{n}"), Lease
                 )
         elif n % 2:
-            let_in["idle"] += isinstance(ledger.admit(now, n, LOUD, "c", f"l{n}"), Lease)
+            admitted["idle"] += isinstance(controller.admit(now, n, LOUD, "c", f"l{n}"), Lease)
         if n % 2 and not 10.0 <= now < 20.0:
-            let_in[LOUD] += isinstance(ledger.admit(now, n, LOUD, "c", f"l{rng.random()}"), Lease)
-    assert let_in[f"{QUIET}False"] >= 0.95 * 10000 / 34 and let_in[f"{QUIET}True"] >= 0.95 * 20000 / 34
-    assert let_in["idle"] >= 0.9 * 100.0 * 10.0
-    assert sum(let_in.values()) <= 100.0 * 40.0 + 100.0 + 30.0  # nothing is lent twice
+            admitted[LOUD] += isinstance(controller.admit(now, n, LOUD, "c", f"l{rng.random()}"), Lease)
+    assert admitted[f"{QUIET}False"] >= 0.95 * 10000 / 34 and admitted[f"{QUIET}True"] >= 0.95 * 20000 / 34
+    assert admitted["idle"] >= 0.9 * 100.0 * 10.0
+    assert sum(admitted.values()) <= 100.0 * 40.0 + 100.0 + 30.0  # nothing is lent twice
 
 
-def test_a_burst_of_all_teams_at_once_passes_the_fleet_s_burst_and_their_own() -> None:
-    book = BalancerLimits(1e6, 100.0, {name: TeamLimits((0.0, 1e6), (5.0, 100.0)) for name in "abcdef"})
-    ledger = AdmissionController(book, max_retry_after_s=0.6)
-    let_in = sum(
-        isinstance(ledger.admit(0.0005 * n, n, "abcdef"[n % 6], "c", str(n)), Lease) for n in range(2000)
+def test_a_burst_of_all_teams_at_once_is_limited_to_the_fleet_s_burst_and_the_guarantees() -> None:
+    limits = BalancerLimits(1e6, 100.0, {name: TeamLimits((0.0, 1e6), (5.0, 100.0)) for name in "abcdef"})
+    controller = AdmissionController(limits, max_retry_after_s=0.6)
+    admitted = sum(
+        isinstance(controller.admit(0.0005 * n, n, "abcdef"[n % 6], "c", str(n)), Lease) for n in range(2000)
     )
-    assert 150 <= let_in <= 100.0 * 1.0 + 100.0 + 6 * 5.0
+    assert 150 <= admitted <= 100.0 * 1.0 + 100.0 + 6 * 5.0
 
 
-def test_borrowed_rate_is_shared_by_weight_whoever_asks_more() -> None:
-    book = BalancerLimits(
+def test_the_borrowed_rate_is_divided_by_weight_whatever_the_request_rates() -> None:
+    limits = BalancerLimits(
         1e6,
         100.0,
         {
@@ -195,276 +215,323 @@
             "b": TeamLimits((0.0, 1e6), (0.0, 100.0), weight=3.0),
         },
     )
-    ledger, let_in = AdmissionController(book, max_retry_after_s=0.6), Counter[str]()
+    controller, admitted = AdmissionController(limits, max_retry_after_s=0.6), Counter[str]()
     for n in range(60000):
-        team = "b" if n % 6 == 0 else "a"  # a asks five times as often
-        let_in[team] += isinstance(ledger.admit(0.002 * n, n, team, "c", f"{n}"), Lease)
-    assert 0.23 <= let_in["a"] / sum(let_in.values()) <= 0.27, let_in
-    assert sum(let_in.values()) >= 0.95 * 100.0 * 120.0
+        team = "b" if n % 6 == 0 else "a"  # a requests five times as often
+        admitted[team] += isinstance(controller.admit(0.002 * n, n, team, "c", f"{n}"), Lease)
+    assert 0.23 <= admitted["a"] / sum(admitted.values()) <= 0.27, admitted
+    assert sum(admitted.values()) >= 0.95 * 100.0 * 120.0
 
 
-def test_a_class_used_up_inside_a_team_with_budget_left() -> None:
-    book = BalancerLimits(
+def test_a_class_at_its_limit_is_refused_while_its_team_has_room() -> None:
+    limits = BalancerLimits(
         100.0,
         1e6,
         {
             QUIET: TeamLimits(
-                (50.0, 100.0), FREE, classes={"c": ClassLimits(0.2), "d": ClassLimits(1.0, 900.0)}
+                (50.0, 100.0),
+                UNLIMITED_SETUPS_PER_S,
+                classes={"c": ClassLimits(0.2), "d": ClassLimits(1.0, 900.0)},
             )
         },
     )
-    ledger = AdmissionController(book)
-    assert len(fill(ledger, 0.0, QUIET)) == 20
-    refused = ask(ledger, 0.0, QUIET, "more")
+    controller = AdmissionController(limits)
+    assert len(fill_up(controller, 0.0, QUIET)) == 20
+    refused = request_connection(controller, 0.0, QUIET, "more")
     assert isinstance(refused, Refusal) and (refused.reason, refused.limit) == ("over-class", "connections")
     assert (
-        isinstance(other := ask(ledger, 0.0, QUIET, "other", "d"), Lease)
+        isinstance(other := request_connection(controller, 0.0, QUIET, "other", "d"), Lease)
         and other.class_state.max_wait_ms == 900.0
     )
-    assert isinstance(refused := ask(ledger, 0.0, QUIET, "none", "e"), Refusal)
+    assert isinstance(refused := request_connection(controller, 0.0, QUIET, "none", "e"), Refusal)
     assert refused.reason == "no-contract"
 
 
-def crowd(
-    book: BalancerLimits, clients: int, life: float, longest: float, until: float, deaf: int = 0
+def run_overload(
+    limits: BalancerLimits,
+    clients: int,
+    mean_lifetime_s: float,
+    max_retry_after_s: float,
+    until: float,
+    ignoring: int = 0,
 ) -> tuple[float, Counter[str]]:
-    """A closed crowd in steady overload: the part of the honest let in when told, connections by kind.
+    """Run a fixed set of clients in steady overload.
 
-    The first ``deaf`` clients ignore what they are told and ask again every 50 ms.
+    Returns the part of the retries at the stated time that were admitted, and the admitted connections by
+    kind of client.  The first ``ignoring`` clients ignore the stated time and retry every 50 ms.
     """
-    rng, ledger, seq = random.Random(5), AdmissionController(book, 5, longest), clients
+    rng, controller, sequence = random.Random(5), AdmissionController(limits, 5, max_retry_after_s), clients
     events: list[tuple[float, int, int, Lease | None, bool]] = [
         (2.0 * rng.random(), n, n, None, False) for n in range(clients)
     ]
     heapq.heapify(events)
-    told = right = 0
-    served: Counter[str] = Counter()
+    retries_on_time = admitted_on_time = 0
+    admitted: Counter[str] = Counter()
     while events and events[0][0] < until:
-        now, _, client, lease, honoured = heapq.heappop(events)
-        seq += 1
-        kind = "deaf" if client < deaf else "honest"
+        now, _, client, lease, retried_on_time = heapq.heappop(events)
+        sequence += 1
+        kind = "ignoring" if client < ignoring else "compliant"
         if lease is not None:
-            ledger.release(lease)
-            heapq.heappush(events, (now + 0.1 + 0.2 * rng.random(), seq, client, None, False))
+            controller.release(lease)
+            heapq.heappush(events, (now + 0.1 + 0.2 * rng.random(), sequence, client, None, False))
             continue
-        got = ledger.admit(now, client, QUIET, "c", f"k{client}")
-        if honoured and now > until / 3:
-            told, right = told + 1, right + isinstance(got, Lease)
-        if isinstance(got, Lease):
-            served[kind] += now > until / 3
-            heapq.heappush(events, (now + rng.expovariate(1.0 / life), seq, client, got, False))
+        result = controller.admit(now, client, QUIET, "c", f"k{client}")
+        if retried_on_time and now > until / 3:
+            retries_on_time, admitted_on_time = (
+                retries_on_time + 1,
+                admitted_on_time + isinstance(result, Lease),
+            )
+        if isinstance(result, Lease):
+            admitted[kind] += now > until / 3
+            heapq.heappush(
+                events, (now + rng.expovariate(1.0 / mean_lifetime_s), sequence, client, result, False)
+            )
         else:
-            wait = 0.05 if kind == "deaf" else got.retry_after_s + 0.01 * rng.random()
-            heapq.heappush(events, (now + wait, seq, client, None, kind == "honest"))
-    return right / max(1, told), served
+            wait = 0.05 if kind == "ignoring" else result.retry_after_s + 0.01 * rng.random()
+            heapq.heappush(events, (now + wait, sequence, client, None, kind == "compliant"))
+    return admitted_on_time / max(1, retries_on_time), admitted
 
 
 @pytest.mark.parametrize(
-    "seats,rate,clients,life", [(1e4, 30.0, 300, 2.0), (100.0, 1e4, 300, 3.0), (60.0, 1e4, 100, 4.0)]
+    "connections,rate,clients,mean_lifetime_s",
+    [(1e4, 30.0, 300, 2.0), (100.0, 1e4, 300, 3.0), (60.0, 1e4, 100, 4.0)],
 )
-def test_who_honours_a_come_back_time_is_let_in(seats: float, rate: float, clients: int, life: float) -> None:
-    book = BalancerLimits(1e4, 1e4, {QUIET: TeamLimits((0.0, seats), (0.0, rate))})
-    right, served = crowd(book, clients, life, 20.0, 90.0)
-    assert right >= 0.8
-    assert served["honest"] >= 0.93 * 60.0 * min(rate, seats / life)
+def test_a_retry_at_the_stated_time_is_admitted(
+    connections: float, rate: float, clients: int, mean_lifetime_s: float
+) -> None:
+    limits = BalancerLimits(1e4, 1e4, {QUIET: TeamLimits((0.0, connections), (0.0, rate))})
+    admitted_on_time, admitted = run_overload(limits, clients, mean_lifetime_s, 20.0, 90.0)
+    assert admitted_on_time >= 0.8
+    assert admitted["compliant"] >= 0.93 * 60.0 * min(rate, connections / mean_lifetime_s)
 
 
-def test_who_ignores_the_advice_gains_nothing() -> None:
-    book = BalancerLimits(1e4, 1e4, {QUIET: TeamLimits((0.0, 1e4), (0.0, 30.0))})
-    right, served = crowd(book, 300, 2.0, 20.0, 90.0, deaf=150)
-    assert served["deaf"] <= 1.25 * served["honest"] and right >= 0.8
+def test_clients_that_ignore_the_retry_time_gain_nothing() -> None:
+    limits = BalancerLimits(1e4, 1e4, {QUIET: TeamLimits((0.0, 1e4), (0.0, 30.0))})
+    admitted_on_time, admitted = run_overload(limits, 300, 2.0, 20.0, 90.0, ignoring=150)
+    assert admitted["ignoring"] <= 1.25 * admitted["compliant"] and admitted_on_time >= 0.8
 
 
-def test_the_table_of_promises_is_of_one_size_and_forgets_the_nearest_first() -> None:
+def test_the_retry_table_has_a_fixed_size_and_replaces_the_earliest_slot() -> None:
     table = RetryTable(64)
-    marks = [1 + 16 * n for n in range(8)]  # all of one row
-    for n, mark in enumerate(marks):
-        table.set(mark, 10.0 + n)
-    assert [table.find(mark, 0.0) for mark in marks[-ENTRIES_PER_ROW + 1 :]] == [15.0, 16.0, 17.0]
-    assert sum(table.find(mark, 0.0) is not None for mark in marks) == ENTRIES_PER_ROW
-    table.remove(marks[-1])
-    assert table.find(marks[-1], 0.0) is None and len(table.fingerprints) == 64
-
-
-def test_contracts_change_under_what_stands() -> None:
-    ledger = AdmissionController(TWO, max_retry_after_s=0.6)
-    held = {name: fill(ledger, 0.0, name, 100) for name in (QUIET, LOUD)}
-    small = replace(TWO, teams={QUIET: TeamLimits((10.0, 20.0), FREE)})  # one shrunk, one removed
-    ledger.apply(small, 1.0)
-    ledger.apply(small, 1.0)  # twice within one step: no more moves than for one
-    refused = ask(ledger, 1.0, LOUD)
+    fingerprints = [1 + 16 * n for n in range(8)]  # all in one row
+    for n, fingerprint in enumerate(fingerprints):
+        table.set(fingerprint, 10.0 + n)
+    assert [table.find(fingerprint, 0.0) for fingerprint in fingerprints[-ENTRIES_PER_ROW + 1 :]] == [
+        15.0,
+        16.0,
+        17.0,
+    ]
+    assert sum(table.find(fingerprint, 0.0) is not None for fingerprint in fingerprints) == ENTRIES_PER_ROW
+    table.remove(fingerprints[-1])
+    assert table.find(fingerprints[-1], 0.0) is None and len(table.fingerprints) == 64
+
+
+def test_limits_change_under_established_connections() -> None:
+    controller = AdmissionController(TWO_TEAMS, max_retry_after_s=0.6)
+    leases = {name: fill_up(controller, 0.0, name, 100) for name in (QUIET, LOUD)}
+    reduced = replace(
+        TWO_TEAMS, teams={QUIET: TeamLimits((10.0, 20.0), UNLIMITED_SETUPS_PER_S)}
+    )  # smaller, and one team removed
+    controller.apply(reduced, 1.0)
+    controller.apply(reduced, 1.0)  # a second change at once allows no more moves
+    refused = request_connection(controller, 1.0, LOUD)
     assert isinstance(refused, Refusal) and refused.reason == "no-contract"
     now, moved = 1.0, 0
-    while ledger.reclaim_delay_s() is not None:
+    while controller.reclaim_delay_s() is not None:
         now += 0.05
-        for lease in ledger.reclaim(now):
+        for lease in controller.reclaim(now):
             moved += 1
-            ledger.release(lease)
-        assert moved <= ledger.reclaim_rate.rate * (now - 1.0) + ledger.reclaim_rate.burst + 1
-    assert ledger.connection_budget.total_in_use == 20 and set(ledger.teams) == {QUIET} and moved == 180
-    ledger.apply(TWO, now)
-    assert len(fill(ledger, now, LOUD)) == 200 - 20 + 100 - 8
-    for lease in held[QUIET]:
-        ledger.release(lease)  # those moved before are given back a second time
-    assert ledger.teams[QUIET].connection_share.in_use == 0
-
-
-def test_a_team_that_gets_another_pool_has_its_connections_moved_there() -> None:
-    book = BalancerLimits(100.0, 1e6, {QUIET: TeamLimits((50.0, 50.0), FREE, pool="a")}, reclaim_within_s=1.0)
-    ledger = AdmissionController(book)
-    fill(ledger, 0.0, QUIET, 10)
-    ledger.apply(replace(book, teams={QUIET: TeamLimits((50.0, 50.0), FREE, pool="b")}), 0.0)
-    moved = [lease for n in range(40) for lease in ledger.reclaim(0.05 * n)]
+            controller.release(lease)
+        assert moved <= controller.reclaim_rate.rate * (now - 1.0) + controller.reclaim_rate.burst + 1
+    assert (
+        controller.connection_budget.total_in_use == 20 and set(controller.teams) == {QUIET} and moved == 180
+    )
+    controller.apply(TWO_TEAMS, now)
+    assert len(fill_up(controller, now, LOUD)) == 200 - 20 + 100 - 8
+    for lease in leases[QUIET]:
+        controller.release(lease)  # for those moved before this is the second release
+    assert controller.teams[QUIET].connection_share.in_use == 0
+
+
+def test_a_team_s_connections_are_moved_when_it_gets_another_pool() -> None:
+    limits = BalancerLimits(
+        100.0, 1e6, {QUIET: TeamLimits((50.0, 50.0), UNLIMITED_SETUPS_PER_S, pool="a")}, reclaim_within_s=1.0
+    )
+    controller = AdmissionController(limits)
+    fill_up(controller, 0.0, QUIET, 10)
+    controller.apply(
+        replace(limits, teams={QUIET: TeamLimits((50.0, 50.0), UNLIMITED_SETUPS_PER_S, pool="b")}), 0.0
+    )
+    moved = [lease for n in range(40) for lease in controller.reclaim(0.05 * n)]
     assert len(moved) == 10 and {lease.pool for lease in moved} == {"a"}
 
 
-def test_load_over_a_ceiling_is_brought_down_and_stops_new_ones() -> None:
-    book = BalancerLimits(
+def test_load_over_a_ceiling_is_reduced_and_refuses_new_connections() -> None:
+    limits = BalancerLimits(
         100.0,
         1e6,
         {
-            QUIET: TeamLimits((10.0, 90.0), FREE, (20.0, 50.0)),
-            LOUD: TeamLimits((10.0, 90.0), FREE, (20.0, 100.0)),
+            QUIET: TeamLimits((10.0, 90.0), UNLIMITED_SETUPS_PER_S, (20.0, 50.0)),
+            LOUD: TeamLimits((10.0, 90.0), UNLIMITED_SETUPS_PER_S, (20.0, 100.0)),
         },
         load=100.0,
         reclaim_within_s=1.0,
     )
-    ledger = AdmissionController(book)
-    held = fill(ledger, 0.0, QUIET, 10)
-    for lease in held:
-        ledger.update_load(lease, 8.0)
-    refused = ask(ledger, 0.0, QUIET)
+    controller = AdmissionController(limits)
+    leases = fill_up(controller, 0.0, QUIET, 10)
+    for lease in leases:
+        controller.update_load(lease, 8.0)
+    refused = request_connection(controller, 0.0, QUIET)
     assert isinstance(refused, Refusal) and refused.reason == "over-load"
-    moved = [lease for n in range(100) for lease in ledger.reclaim(0.05 * n)]
-    assert len(moved) == 4  # 48 of 50 is what six bring
+    moved = [lease for n in range(100) for lease in controller.reclaim(0.05 * n)]
+    assert len(moved) == 4  # six connections cause 48 of 50
     for lease in moved:
-        ledger.release(lease)
-    assert math.isclose(ledger.load_budget.total_in_use, 48.0)
+        controller.release(lease)
+    assert math.isclose(controller.load_budget.total_in_use, 48.0)
 
 
-class Traffic(RuleBasedStateMachine):
-    """The ledger against a plain count: what is held, by whom, and whether a refusal was right."""
+class AdmissionMachine(RuleBasedStateMachine):
+    """Checks the controller against a plain count of leases, and that each refusal was justified."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now, self.key = 0.0, 0
-        self.book = BalancerLimits(
+        self.limits = BalancerLimits(
             30.0,
             1e6,
             {
                 "a": TeamLimits(
-                    (10.0, 20.0), FREE, weight=2.0, classes={"c": ClassLimits(), "d": ClassLimits(0.1)}
+                    (10.0, 20.0),
+                    UNLIMITED_SETUPS_PER_S,
+                    weight=2.0,
+                    classes={"c": ClassLimits(), "d": ClassLimits(0.1)},
                 ),
-                "b": TeamLimits((5.0, 30.0), FREE),
-                "z": TeamLimits((0.0, 30.0), FREE),
+                "b": TeamLimits((5.0, 30.0), UNLIMITED_SETUPS_PER_S),
+                "z": TeamLimits((0.0, 30.0), UNLIMITED_SETUPS_PER_S),
             },
             reclaim_within_s=2.0,
         )
-        self.ledger, self.forced = AdmissionController(self.book, max_retry_after_s=0.6), False
+        self.controller, self.forced = AdmissionController(self.limits, max_retry_after_s=0.6), False
         self.leases: list[Lease] = []
 
-    def held(self, team: str) -> int:
+    def active_connections(self, team: str) -> int:
         return sum(lease.active and lease.team.name == team for lease in self.leases)
 
-    @rule(team=st.sampled_from("abz"), cls=st.sampled_from("cd"), stands=st.booleans())
-    def ask(self, team: str, cls: str, stands: bool) -> None:
+    @rule(team=st.sampled_from("abz"), class_name=st.sampled_from("cd"), established=st.booleans())
+    def request_connection(self, team: str, class_name: str, established: bool) -> None:
         self.key += 1
-        before = {name: self.held(name) for name in "abz"}
-        total, terms = sum(before.values()), self.book.teams.get(team)
-        got = self.ledger.admit(self.now, None, team, cls, f"{self.key}")
-        if isinstance(got, Lease):
-            assert terms is not None and before[team] + 1 <= terms.connections[1]
-            assert total + 1 <= self.book.connections  # nothing is lent twice
-            self.leases.append(got)
-            if stands:
-                self.ledger.mark_established(got)
+        before = {name: self.active_connections(name) for name in "abz"}
+        total, team_limits = sum(before.values()), self.limits.teams.get(team)
+        result = self.controller.admit(self.now, None, team, class_name, f"{self.key}")
+        if isinstance(result, Lease):
+            assert team_limits is not None and before[team] + 1 <= team_limits.connections[1]
+            assert total + 1 <= self.limits.connections  # nothing is lent twice
+            self.leases.append(result)
+            if established:
+                self.controller.mark_established(result)
             return
-        assert 0.0 <= got.retry_after_s <= 0.6
-        if terms is None or (terms.classes and cls not in terms.classes):
-            assert got.reason == "no-contract"
-        elif got.reason == "over-connections" and got.limit == "team":
-            assert before[team] + 2 > terms.connections[1]  # one is left for those promised a place
-        elif got.reason == "over-connections":  # no idle room while one under its ceiling is refused
-            unused = sum(max(0.0, one.connections[0] - before[name]) for name, one in self.book.teams.items())
-            kept = (
+        assert 0.0 <= result.retry_after_s <= 0.6
+        if team_limits is None or (team_limits.classes and class_name not in team_limits.classes):
+            assert result.reason == "no-contract"
+        elif result.reason == "over-connections" and result.limit == "team":
+            assert before[team] + 2 > team_limits.connections[1]  # one is left for clients with a retry slot
+        elif result.reason == "over-connections":  # no free room while a team below its ceiling is refused
+            unused = sum(
+                max(0.0, other.connections[0] - before[name]) for name, other in self.limits.teams.items()
+            )
+            not_lent = (
                 math.ceil(0.1 * unused)
-                + self.ledger.connection_budget.reserved
-                - self.ledger.teams[team].connection_share.reserved
+                + self.controller.connection_budget.reserved
+                - self.controller.teams[team].connection_share.reserved
+            )
+            within_guarantee = before[team] < team_limits.connections[0]
+            retry_connections = 1  # left for clients with a retry slot, from 20 connections on
+            assert (
+                total + 1 + (0 if within_guarantee else not_lent + retry_connections)
+                > self.limits.connections
             )
-            own = before[team] < terms.connections[0]
-            promised = 1  # for those who were promised a place, of at least 20 connections
-            assert total + 1 + (0 if own else kept + promised) > self.book.connections
         else:
-            state = self.ledger.teams[team].classes[cls]
-            held = sum(one.active and one.class_state is state for one in self.leases)
-            assert got.reason == "over-class" and held + 2 > 0.1 * terms.connections[1]
+            class_state = self.controller.teams[team].classes[class_name]
+            class_connections = sum(
+                lease.active and lease.class_state is class_state for lease in self.leases
+            )
+            assert result.reason == "over-class" and class_connections + 2 > 0.1 * team_limits.connections[1]
 
     @precondition(lambda self: self.leases)
-    @rule(at=st.integers(0, 1000))
-    def end(self, at: int) -> None:
-        self.ledger.release(self.leases[at % len(self.leases)])  # now and then a second time
+    @rule(index=st.integers(0, 1000))
+    def release(self, index: int) -> None:
+        self.controller.release(self.leases[index % len(self.leases)])  # sometimes a second time
 
     @precondition(lambda self: self.leases)
-    @rule(at=st.integers(0, 1000), figure=st.floats(0.0, 100.0))
-    def load(self, at: int, figure: float) -> None:
-        self.ledger.update_load(self.leases[at % len(self.leases)], figure)
+    @rule(index=st.integers(0, 1000), load=st.floats(0.0, 100.0))
+    def update_load(self, index: int, load: float) -> None:
+        self.controller.update_load(self.leases[index % len(self.leases)], load)
 
     @rule(seconds=st.sampled_from([0.0, 0.03, 0.7, 300.0, -5.0]))
-    def time_passes(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now += seconds
-        for lease in self.ledger.reclaim(self.now):
+        for lease in self.controller.reclaim(self.now):
             assert lease.active
-            self.ledger.release(lease)
+            self.controller.release(lease)
 
     @rule(team=st.sampled_from("ab"))
     def adopt(self, team: str) -> None:
-        lease = self.ledger.adopt(self.now, None, team, "c")
+        lease = self.controller.adopt(self.now, None, team, "c")
         if lease is not None:
             self.leases.append(lease)
-            self.ledger.mark_established(lease)
+            self.controller.mark_established(lease)
 
-    @rule(left=st.sampled_from(["ab", "abz", "b"]), most=st.sampled_from([20.0, 30.0]))
-    def change(self, left: str, most: float) -> None:
-        terms = {
+    @rule(remaining=st.sampled_from(["ab", "abz", "b"]), ceiling=st.sampled_from([20.0, 30.0]))
+    def change_limits(self, remaining: str, ceiling: float) -> None:
+        team_limits = {
             "a": TeamLimits(
-                (10.0, 20.0), FREE, weight=2.0, classes={"c": ClassLimits(), "d": ClassLimits(0.1)}
+                (10.0, 20.0),
+                UNLIMITED_SETUPS_PER_S,
+                weight=2.0,
+                classes={"c": ClassLimits(), "d": ClassLimits(0.1)},
             ),
-            "b": TeamLimits((5.0, most), FREE),
-            "z": TeamLimits((0.0, most), FREE),
+            "b": TeamLimits((5.0, ceiling), UNLIMITED_SETUPS_PER_S),
+            "z": TeamLimits((0.0, ceiling), UNLIMITED_SETUPS_PER_S),
         }
-        self.book = replace(self.book, connections=most, teams={name: terms[name] for name in left})
-        self.ledger.apply(self.book, self.now)
+        self.limits = replace(
+            self.limits, connections=ceiling, teams={name: team_limits[name] for name in remaining}
+        )
+        self.controller.apply(self.limits, self.now)
 
     @rule(team=st.sampled_from("ab"))
-    def wants_its_guarantee(self, team: str) -> None:
-        """Whoever asks for its guarantee again and again has it in the stated time."""
-        terms = self.book.teams.get(team)
-        end = self.now + self.book.reclaim_within_s + 0.8
-        while terms is not None and self.held(team) < terms.connections[0] and self.now < end:
-            self.ask(team, "c", True)
-            self.time_passes(0.03)
+    def fill_guarantee(self, team: str) -> None:
+        """A team that keeps requesting connections has its guarantee in the stated time."""
+        team_limits = self.limits.teams.get(team)
+        end = self.now + self.limits.reclaim_within_s + 0.8
+        while (
+            team_limits is not None
+            and self.active_connections(team) < team_limits.connections[0]
+            and self.now < end
+        ):
+            self.request_connection(team, "c", True)
+            self.advance_time(0.03)
         pending = sum(lease.active and lease not in lease.team.established for lease in self.leases)
-        assert terms is None or self.held(team) >= terms.connections[0] or pending
+        assert team_limits is None or self.active_connections(team) >= team_limits.connections[0] or pending
 
     @invariant()
-    def holds_what_stands(self) -> None:
+    def usage_matches_the_leases(self) -> None:
         by_team = Counter(lease.team.name for lease in self.leases if lease.active)
-        for name, team in self.ledger.teams.items():
+        for name, team in self.controller.teams.items():
             assert team.connection_share.in_use == by_team[name]
-            assert sum(cls.connections for cls in team.classes.values()) <= by_team[name]
+            assert sum(class_state.connections for class_state in team.classes.values()) <= by_team[name]
             assert math.isclose(
                 team.load_share.in_use,
-                sum(one.load for one in self.leases if one.active and one.team is team),
+                sum(lease.load for lease in self.leases if lease.active and lease.team is team),
                 abs_tol=1e-6,
             )
-        assert self.ledger.connection_budget.total_in_use == sum(by_team.values())
-        assert set(by_team) <= set(self.ledger.teams)
-        unused = sum(team.connection_share.unused_guarantee for team in self.ledger.teams.values())
+        assert self.controller.connection_budget.total_in_use == sum(by_team.values())
+        assert set(by_team) <= set(self.controller.teams)
+        unused = sum(team.connection_share.unused_guarantee for team in self.controller.teams.values())
         assert (
-            self.ledger.connection_budget.unused_guarantees == unused
-            and self.ledger.connection_budget.draining == 0
+            self.controller.connection_budget.unused_guarantees == unused
+            and self.controller.connection_budget.draining == 0
         )
 
 
-TestTraffic = Traffic.TestCase
-TestTraffic.settings = settings(max_examples=60, stateful_step_count=40, derandomize=True, deadline=None)
+TestAdmission = AdmissionMachine.TestCase
+TestAdmission.settings = settings(max_examples=60, stateful_step_count=40, derandomize=True, deadline=None)
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""The contracts file: every fault is named with its key path, and parts sum up."""
+"""The contracts file: faults are reported with their key paths, and the parts of all balancers sum to it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from snowwick.broker.fair import Claim, max_min_shares, round_robin_count
 from snowwick.broker.pools import Labels, Match, PoolAssignment
 
-GOOD = """
+VALID = """
 version = 1
 [fleet]
 connections = 100
@@ -77,39 +77,40 @@
         ("weight = 3", "weight = 0", "teams.y.weight: expected"),
     ],
 )
-def test_every_fault_is_named_with_its_key_path(old: str, new: str, fault: str) -> None:
-    assert parse(GOOD, ["feed"], ["t1", "t2", "t3"]).tenants == {"t1": "x", "t2": "x", "t3": "y"}
-    assert old in GOOD
+def test_every_fault_is_reported_with_its_key_path(old: str, new: str, fault: str) -> None:
+    assert parse(VALID, ["feed"], ["t1", "t2", "t3"]).tenants == {"t1": "x", "t2": "x", "t3": "y"}
+    assert old in VALID
     with pytest.raises(BadContracts) as caught:
-        parse(GOOD.replace(old, new, 1), ["feed"], ["t1", "t2", "t3"])
-    start, _, more = fault.partition("*")
-    assert any(one.startswith(start) and more in one for one in caught.value.faults), caught.value.faults
+        parse(VALID.replace(old, new, 1), ["feed"], ["t1", "t2", "t3"])
+    start, _, rest = fault.partition("*")
+    assert any(line.startswith(start) and rest in line for line in caught.value.faults), caught.value.faults
 
 
-def test_all_faults_are_told_at_once() -> None:
+def test_all_faults_are_reported_together() -> None:
     with pytest.raises(BadContracts) as caught:
-        parse(GOOD.replace("share = 0.5", "share = 7.0").replace("weight = 3", "weight = -3"))
-    assert [one.split(":")[0] for one in caught.value.faults] == [
+        parse(VALID.replace("share = 0.5", "share = 7.0").replace("weight = 3", "weight = -3"))
+    assert [line.split(":")[0] for line in caught.value.faults] == [
         "teams.x.classes.feed.share",
         "teams.y.weight",
     ]
 
 
 @given(st.lists(st.integers(0, 50), min_size=1, max_size=6), st.integers(1, 7), st.integers(0, 60))
-def test_units_dealt_out_sum_exactly_and_never_pass_the_fleet_s_part(
-    counts: list[int], balancers: int, more: int
+def test_round_robin_counts_sum_exactly_and_never_exceed_the_balancer_s_part(
+    counts: list[int], balancers: int, unassigned: int
 ) -> None:
-    whole = sum(counts) + more
+    total = sum(counts) + unassigned
     for index in range(balancers):
-        first, held = 0, 0
-        for number in counts:
-            held += round_robin_count(first, number, balancers, index)
-            first += number
-        assert held <= round_robin_count(0, whole, balancers, index)
+        first = 0
+        balancer_part = 0
+        for count in counts:
+            balancer_part += round_robin_count(first, count, balancers, index)
+            first += count
+        assert balancer_part <= round_robin_count(0, total, balancers, index)
     first = 0
-    for number in counts:
-        assert sum(round_robin_count(first, number, balancers, n) for n in range(balancers)) == number
-        first += number
+    for count in counts:
+        assert sum(round_robin_count(first, count, balancers, n) for n in range(balancers)) == count
+        first += count
 
 
 @given(
@@ -120,64 +121,71 @@
         max_size=6,
     ),
 )
-def test_max_min_gives_guarantees_first_and_then_by_weight(
-    more: int, rows: list[tuple[int, int, int, int]]
+def test_max_min_shares_give_guarantees_first_and_the_rest_by_weight(
+    not_guaranteed: int, rows: list[tuple[int, int, int, int]]
 ) -> None:
-    claims = [Claim(low, low + up, weight, demand) for low, up, weight, demand in rows]
-    total = sum(one.guarantee for one in claims) + more
+    claims = [
+        Claim(guarantee, guarantee + above, weight, demand) for guarantee, above, weight, demand in rows
+    ]
+    total = sum(claim.guarantee for claim in claims) + not_guaranteed
     shares = max_min_shares(total, claims)
     assert sum(shares) <= total + 1e-6
-    for one, share in zip(claims, shares, strict=True):
-        assert min(one.guarantee, one.demand) - 1e-6 <= share <= min(one.ceiling, one.demand) + 1e-6
-    hungry = [n for n, one in enumerate(claims) if shares[n] < min(one.ceiling, one.demand) - 1e-6]
-    if hungry:
-        assert sum(shares) >= total - 1e-6  # nothing idle while a claim is not satisfied
-    for n in hungry:  # nobody who has extra has more of it, for its weight, than one who goes short
-        for one, share in zip(claims, shares, strict=True):
-            extra = max(0.0, share - one.guarantee) / one.weight
+    for claim, share in zip(claims, shares, strict=True):
+        assert min(claim.guarantee, claim.demand) - 1e-6 <= share <= min(claim.ceiling, claim.demand) + 1e-6
+    unsatisfied = [n for n, claim in enumerate(claims) if shares[n] < min(claim.ceiling, claim.demand) - 1e-6]
+    if unsatisfied:
+        assert sum(shares) >= total - 1e-6  # nothing is left over while a claim is not satisfied
+    for n in unsatisfied:  # no claim gets more beyond its guarantee, for its weight, than an unsatisfied one
+        for claim, share in zip(claims, shares, strict=True):
+            extra = max(0.0, share - claim.guarantee) / claim.weight
             assert extra <= (shares[n] - claims[n].guarantee) / claims[n].weight + 1e-6
 
 
 @pytest.mark.parametrize("balancers", [1, 2, 3])
-def test_parts_of_all_balancers_make_the_contract(balancers: int) -> None:
-    contracts = parse(GOOD)
-    books = [balancer_limits(contracts, balancers, n) for n in range(balancers)]
-    assert sum(one.connections for one in books) == 100
-    assert sum(one.teams["x"].connections[0] for one in books) == 40
-    assert sum(one.teams["x"].connections[1] for one in books) == 80
-    assert abs(sum(one.teams["x"].setups_per_s[0] for one in books) - 10.0) < 1e-9
-    for book in books:
-        assert sum(terms.connections[0] for terms in book.teams.values()) <= book.connections
-        assert all(low <= high for low, high in (terms.connections for terms in book.teams.values()))
+def test_the_parts_of_all_balancers_sum_to_the_contract(balancers: int) -> None:
+    contracts = parse(VALID)
+    parts = [balancer_limits(contracts, balancers, n) for n in range(balancers)]
+    assert sum(part.connections for part in parts) == 100
+    assert sum(part.teams["x"].connections[0] for part in parts) == 40
+    assert sum(part.teams["x"].connections[1] for part in parts) == 80
+    assert abs(sum(part.teams["x"].setups_per_s[0] for part in parts) - 10.0) < 1e-9
+    for part in parts:
+        assert sum(team.connections[0] for team in part.teams.values()) <= part.connections
+        assert all(
+            guarantee <= ceiling for guarantee, ceiling in (team.connections for team in part.teams.values())
+        )
     rows = {row["team"]: row for row in explain(contracts, balancers)}
-    assert rows["x"]["connections"][0] == books[0].teams["x"].connections[0]
-    if balancers == 1:  # ten are left, three in four of them for y
+    assert rows["x"]["connections"][0] == parts[0].teams["x"].connections[0]
+    if balancers == 1:  # ten connections are not guaranteed; y has three times the weight of x
         assert rows["x"]["connections"] == (40, 80, 42) and rows["y"]["connections"] == (50, 100, 57)
 
 
 def test_a_destination_that_changes_its_kind_leaves_one_pool_and_enters_the_other() -> None:
-    split = PoolAssignment({"a": Match(kind=frozenset({"k1"})), "b": Match(kind=frozenset({"k2"}))})
-    one, two = BackendEntry(1, State.READY), BackendEntry(2, State.READY)
+    assignment = PoolAssignment({"a": Match(kind=frozenset({"k1"})), "b": Match(kind=frozenset({"k2"}))})
+    first, second = BackendEntry(1, State.READY), BackendEntry(2, State.READY)
     labels = {1: Labels("k1"), 2: Labels("k2")}
 
-    def told(news: dict[str, ListUpdate]) -> dict[str, list[tuple[int, str]]]:
-        return {pool: [(e.backend, e.state.value) for e in part.entries] for pool, part in news.items()}
-
-    first = split.apply(ListUpdate(ListKind.FULL, [one, two]), labels)
-    assert told(first) == {"a": [(1, "ready")], "b": [(2, "ready")]}
-    changed = split.apply(ListUpdate(ListKind.CHANGES, [one]), {1: Labels("k2")})
-    assert told(changed) == {"a": [(1, "gone")], "b": [(1, "ready")]}
-    assert split.available_pools == {"b"}
-    back = split.apply(ListUpdate(ListKind.FULL, [one, two]), labels)
-    assert told(back) == {"a": [(1, "ready")], "b": [(2, "ready"), (1, "gone")]}
-    gone = split.apply(ListUpdate(ListKind.CHANGES, [BackendEntry(1, State.GONE)]), {})
-    assert told(gone) == {"a": [(1, "gone")], "b": []}
-    assert split.apply(ListUpdate(ListKind.FAILED), {})["b"].kind is ListKind.FAILED
-
-
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+    def states(updates: dict[str, ListUpdate]) -> dict[str, list[tuple[int, str]]]:
+        return {
+            pool: [(entry.backend, entry.state.value) for entry in update.entries]
+            for pool, update in updates.items()
+        }
+
+    full = assignment.apply(ListUpdate(ListKind.FULL, [first, second]), labels)
+    assert states(full) == {"a": [(1, "ready")], "b": [(2, "ready")]}
+    changed = assignment.apply(ListUpdate(ListKind.CHANGES, [first]), {1: Labels("k2")})
+    assert states(changed) == {"a": [(1, "gone")], "b": [(1, "ready")]}
+    assert assignment.available_pools == {"b"}
+    restored = assignment.apply(ListUpdate(ListKind.FULL, [first, second]), labels)
+    assert states(restored) == {"a": [(1, "ready")], "b": [(2, "ready"), (1, "gone")]}
+    removed = assignment.apply(ListUpdate(ListKind.CHANGES, [BackendEntry(1, State.GONE)]), {})
+    assert states(removed) == {"a": [(1, "gone")], "b": []}
+    assert assignment.apply(ListUpdate(ListKind.FAILED), {})["b"].kind is ListKind.FAILED
+
+
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "snowwick", *words],
+        [sys.executable, "-m", "snowwick", *arguments],
         text=True,
         capture_output=True,
         timeout=20,
@@ -188,16 +196,16 @@
 
 def test_commands_check_and_explain_a_file(tmp_path: Path) -> None:
     path = tmp_path / "contracts.toml"
-    path.write_text(GOOD)
-    assert command("contracts", "check", str(path)).returncode == 0
-    said = command("contracts", "explain", str(path), "--balancers", "2").stdout
-    assert "guarantee back within 10.0 s" in said and said.splitlines()[1].split()[:4] == [
+    path.write_text(VALID)
+    assert run_command("contracts", "check", str(path)).returncode == 0
+    output = run_command("contracts", "explain", str(path), "--balancers", "2").stdout
+    assert "guarantee back within 10.0 s" in output and output.splitlines()[1].split()[:4] == [
         "x",
         "a",
         "connections",
         "20",
     ]
-    path.write_text(GOOD.replace("connections = 40", "connections = -1"))
-    bad = command("contracts", "check", str(path))
-    assert bad.returncode == 2 and "teams.x.guarantee.connections: expected" in bad.stderr
-    assert bad.stderr.count("\n") == 1
+    path.write_text(VALID.replace("connections = 40", "connections = -1"))
+    failed = run_command("contracts", "check", str(path))
+    assert failed.returncode == 2 and "teams.x.guarantee.connections: expected" in failed.stderr
+    assert failed.stderr.count("\n") == 1
