--- a/crowgap/interface.py
+++ b/crowgap/interface.py
@@ -1,7 +1,7 @@
-"""The decision module's interface: settings, events in, actions out.
+"""The interface of the decision module: its settings, the events that go in, the actions that come out.
 
-All times are milliseconds on the caller's clock.  ``Balancer.handle`` takes one event and returns the
-actions to carry out, in order.
+All times and durations are milliseconds on the caller's clock.  ``Balancer.handle`` takes one event and
+returns the actions to carry out, in order.
 """
 
 from __future__ import annotations
@@ -11,39 +11,40 @@
 
 
 class Effect(Enum):
-    """What repeating a request would do."""
+    """Whether a request may be sent again after an attempt that may have run."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # a repeat changes nothing
+    KEYED = "keyed"  # backends drop repeats by an idempotency key
+    UNSAFE = "unsafe"  # a repeat may take effect a second time
 
 
 class DeduplicationScope(Enum):
-    """Which backends drop the repeats of a keyed request."""
+    """Which backends recognise and drop the repeats of a keyed request."""
 
     ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ZONE = "zone"  # those in the zone of the backend that got the request first
+    CELL = "cell"  # those in its cell
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """How an attempt or an open connection ended."""
 
     OK = "ok"
-    ERROR = "error"
-    FULL = "full"
+    ERROR = "error"  # the backend answered with an error
+    FULL = "full"  # the backend refused the connection
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    UNSENT = "unsent"
+    RESET = "reset"  # the backend broke the connection off
+    CANCELLED = "cancelled"  # the client or the caller ended it
+    UNSENT = "unsent"  # the caller never started the attempt
 
 
-NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.UNSENT)  # that prove that the request never ran
+# Outcomes that prove that the request never ran.
+NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.UNSENT)
 
 
 class State(Enum):
-    """What the list says of a backend."""
+    """State of a backend according to the list of backends."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -51,59 +52,60 @@
 
 
 class ListKind(Enum):
-    """What a list event brings: changes, all entries, a remembered list, or news of a failed call."""
+    """What an update of the list of backends contains."""
 
-    CHANGES = "changes"
-    FULL = "full"
-    RESTORED = "remembered"
-    FAILED = "failed"
+    CHANGES = "changes"  # the entries that have changed
+    FULL = "full"  # all entries
+    RESTORED = "remembered"  # all entries as they were stored before a restart
+    FAILED = "failed"  # nothing: the call to the list service failed
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One kind of request: how soon it is wanted, what it is worth, whether it may be repeated."""
+    """One kind of request: its latency targets, its priority, and whether it may be repeated."""
 
     name: str
-    aim: float
-    deadline: float
-    priority: float = 1.0
-    message_aim: float = 0.0
+    aim: float  # target time from the request to the open connection
+    deadline: float  # longest time from the request to the final answer
+    priority: float = 1.0  # requests of the lowest priority are refused first
+    message_aim: float = 0.0  # target delay of a message on the open connection; 0 if there is none
     effect: Effect = Effect.SAFE
-    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # for KEYED requests
+    deduplication_window: float = 0.0  # how long backends recognise a repeat of an attempt
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer and its quota: the open connections over all balancers that count in full."""
+    """A customer and its quota."""
 
     name: str
-    quota: float
+    quota: float  # open connections over all balancers that count in full
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What one balancer is told at start."""
+    """Settings of one balancer."""
 
     classes: tuple[RequestClass, ...]
-    balancers: int = 1
-    index: int = 0
-    zone: str = ""
-    tenants: tuple[Tenant, ...] = ()
-    must_subscribe: bool = False
-    list_refresh_interval: float = 10000.0
-    max_attempts: int = 3
+    balancers: int = 1  # number of balancers that share the backends
+    index: int = 0  # of this balancer, from 0
+    zone: str = ""  # of this balancer
+    tenants: tuple[Tenant, ...] = ()  # those with a quota
+    must_subscribe: bool = False  # lists are sent after a subscription only; else they are pushed
+    list_refresh_interval: float = 10000.0  # of the list service; scales the first call and the backoff
+    max_attempts: int = 3  # for each request
     connect_timeout: float = 250.0
-    max_retry_after: float = 0.0
-    warmup_time: float = 0.0
-    warmup_start_capacity: float = 1.0
+    max_retry_after: float = 0.0  # longest wait that a refusal names; 0 where refusals name none
+    warmup_time: float = 0.0  # from a backend's start until it reaches its full capacity
+    warmup_start_capacity: float = 1.0  # fraction of its capacity that a backend has at its start
+    # A backend collapses when it is asked for this multiple of its present capacity for the overload window.
     collapse_multiple: float = 2.0
     overload_window: float = 1000.0
-    drain_grace: float = 3000.0
-    load_reported: bool = False  # a probe's answer tells the load asked of a backend over what it can do
-    live_weights: bool = False
+    drain_grace: float = 3000.0  # how long after a backend is listed as draining it may still be sent to
+    load_reported: bool = False  # the answer to a probe contains the backend's load over its capacity
+    live_weights: bool = False  # the list's weights are live figures, which placement ignores
     probes_allowed: bool = False
-    timer_resolution: float = 1.0
+    timer_resolution: float = 1.0  # how late a timer may fire
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -126,26 +128,32 @@
         for name in ("warmup_start_capacity", "collapse_multiple"):
             if not getattr(self, name) > 0:
                 raise ValueError(f"{name}: must be positive")
-        for one in self.classes:
-            if not (one.deadline > 0 and one.aim >= 0 and one.deduplication_window >= 0):
-                raise ValueError(f"classes: {one.name!r} needs a positive deadline and no negative time")
+        for request_class in self.classes:
+            if not (
+                request_class.deadline > 0
+                and request_class.aim >= 0
+                and request_class.deduplication_window >= 0
+            ):
+                raise ValueError(
+                    f"classes: {request_class.name!r} needs a positive deadline and no negative duration"
+                )
 
 
 @dataclass(slots=True)
 class BackendEntry:
-    """One line of the list of backends."""
+    """One entry of the list of backends."""
 
-    backend: int
+    backend: int  # id
     state: State
     zone: str = ""
     cell: int = 0
-    weight: float = 1.0
-    started: float = 0.0
+    weight: float = 1.0  # capacity relative to other backends
+    started: float = 0.0  # time of its start; 0 if unknown
 
 
 @dataclass(slots=True)
 class ListUpdate:
-    """News of the list of backends."""
+    """An update of the list of backends, or the failure of a call to the list service."""
 
     kind: ListKind
     entries: list[BackendEntry] = field(default_factory=list)
@@ -153,20 +161,20 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client wants a connection; ``patience`` is how long it waits for the final answer."""
+    """A client asks for a connection."""
 
-    request: int
+    request: int  # id; the other events and the actions refer to it
     class_name: str
-    patience: float
+    patience: float  # how long the client waits for the final answer
     client_key: str = ""
-    group_key: str = ""
+    group_key: str = ""  # requests with the same key are placed together
     tenant: str = ""
-    midflow: bool = False
+    midflow: bool = False  # continues work that has begun, so it needs no token of the throttle
 
 
 @dataclass(slots=True)
 class ExistingConnection:
-    """A connection that stood through this balancer when it started; its attempt is number 0."""
+    """A connection that was open through this balancer before it started; its attempt is number 0."""
 
     request: int
     class_name: str
@@ -178,17 +186,17 @@
 
 @dataclass(slots=True)
 class Established:
-    """The connection stands."""
+    """An attempt has opened its connection."""
 
     request: int
-    attempt: int
+    attempt: int  # number of the attempt, from 0
     backend: int
     elapsed: float
 
 
 @dataclass(slots=True)
 class DelayReport:
-    """News of an open connection: how long a message takes at its backend now."""
+    """How long a message on an open connection takes at its backend now."""
 
     request: int
     backend: int
@@ -197,7 +205,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """News of an open connection: the work a second that it asks for now, in any one unit."""
+    """The work a second that an open connection asks for now, in any unit that all reports share."""
 
     request: int
     backend: int
@@ -206,45 +214,42 @@
 
 @dataclass(slots=True)
 class BackendSilent:
-    """Nothing comes back from a backend on any connection, though messages wait on several."""
+    """A backend answers on none of its connections, although messages wait on several."""
 
     backend: int
 
 
 @dataclass(slots=True)
 class Ended:
-    """An attempt is over; ``closed`` says that the client has its final answer."""
+    """An attempt, or the connection that it opened, has ended."""
 
     request: int
     attempt: int
     backend: int
     outcome: Outcome
     elapsed: float
-    closed: bool = False
+    client_answered: bool = False  # the client has its final answer, so no further attempt is needed
 
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client left."""
+    """The client has left."""
 
     request: int
 
 
 @dataclass(slots=True)
 class ProbeResult:
-    """A probe has ended: ``elapsed`` is the time of its answer alone, or -1 where none came.
-
-    ``load`` is what the backend reports: the load asked of it over what it can do; -1 where it does not.
-    """
+    """The result of a probe."""
 
     backend: int
-    elapsed: float
-    load: float = -1.0
+    elapsed: float  # time to the answer, without the connect; -1 if no answer came
+    load: float = -1.0  # load over capacity as reported by the backend; -1 if it reports none
 
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer set by ``SetTimer`` is due."""
+    """A timer that was set by ``SetTimer`` is due."""
 
     token: int
 
@@ -266,7 +271,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; it ends as a time-out after ``timeout``."""
+    """Start an attempt at a backend; after ``timeout`` it ends with ``Outcome.TIMEOUT``."""
 
     request: int
     backend: int
@@ -275,7 +280,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused; trying again after ``retry_after`` is harmless."""
+    """Final answer: refused; the client may safely repeat the request after ``retry_after``."""
 
     request: int
     retry_after: float
@@ -283,21 +288,21 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; nothing is promised of its effect."""
+    """Final answer: failed; the request may or may not have taken effect."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Move:
-    """Ask the client of an open connection to come again."""
+    """Ask the client of an open connection to reconnect."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Wake the balancer at a time."""
+    """Send ``TimerDue`` with the token at the time ``at``."""
 
     at: float
     token: int
@@ -305,12 +310,12 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask the list service for changes from now on."""
+    """Subscribe to the list service's changes from now on."""
 
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a backend for a sign of life; it costs the backend a little work."""
+    """Probe a backend, which costs it a little work; the answer comes as ``ProbeResult``."""
 
     backend: int
 
--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -634,7 +634,7 @@
     def _send_probes(self, flow: Flow) -> bool:
         """Probe the backends that may take the flow, and return whether it now waits for the results.
 
-        What the other balancers send to a backend shows nowhere else.
+        Only the results show what the other balancers send to a backend.
         """
         wait, load_reported = PROBE_WAIT_AIM_FRACTION * flow.request_class.aim, self.settings.load_reported
         if (
@@ -896,7 +896,7 @@
         self.open_connections -= was_open
         flow.group.open_by_backend = flow.group.open_by_backend - Counter({backend.id: int(was_open)})
         self._record_outcome(backend, event.outcome, was_open)
-        if event.closed or was_open or flow.deadline < 0:
+        if event.client_answered or was_open or flow.deadline < 0:
             del self.flows[flow.id]
             return
         flow.tried_backends.add(backend.id)
