--- a/snowwick/rebalance/plan.py
+++ b/snowwick/rebalance/plan.py
@@ -51,7 +51,7 @@
 class Destination:
     """A destination that takes new connections."""
 
-    destination_number: int
+    number: int
     capacity: float
     started_at: float = -math.inf
 
@@ -168,7 +168,7 @@
 
     def plan(self, now: float, destinations: Collection[Destination], table: ConnectionTable) -> list[Move]:
         """The moves of one round; none while the destinations are level enough."""
-        self._drop_expired(now, {destination.destination_number for destination in destinations})
+        self._drop_expired(now, {destination.number for destination in destinations})
         group_load = self.settings.group_cost * table.total_load / max(1, len(table.connections))
         states = self._destination_states(now, destinations, table, group_load)
         total_load, total_capacity = (
@@ -199,7 +199,7 @@
                 continue
             group, target, gain = best
             moves += self._move_group(now, source, target, group, group_load, gain / mean)
-            heapq.heappush(targets, (target.utilization, target.destination.destination_number))
+            heapq.heappush(targets, (target.utilization, target.destination.number))
             heapq.heappush(sources, (-source.utilization, number))
         return moves
 
@@ -220,9 +220,9 @@
         """The destinations before any move; ``group_load`` is what each group costs a destination."""
         states = {}
         for destination in destinations:
-            groups = table.groups.get(destination.destination_number, {})
-            load = table.loads[destination.destination_number] + group_load * len(groups) if groups else 0.0
-            states[destination.destination_number] = _DestinationState(
+            groups = table.groups.get(destination.number, {})
+            load = table.loads[destination.number] + group_load * len(groups) if groups else 0.0
+            states[destination.number] = _DestinationState(
                 destination, self.capacity(destination, now), load, groups
             )
         return states
@@ -314,15 +314,15 @@
         reason = "joins its group" if joins else "crowded"
         for connection in connections:
             self.move_rate.consume(now)
-            self.receive_rates[target.destination.destination_number].consume(now)
+            self.receive_rates[target.destination.number].consume(now)
             self.moved_at.pop(connection.client, None)
             self.moved_at[connection.client] = now
         return [
             Move(
                 connection.number,
                 connection.client,
-                source.destination.destination_number,
-                target.destination.destination_number,
+                source.destination.number,
+                target.destination.number,
                 gain,
                 reason,
             )
@@ -344,7 +344,7 @@
     for numbers in groups.values():
         for number in numbers:
             loads[number] += group_load
-    capacity = {destination.destination_number: destination.capacity for destination in destinations}
+    capacity = {destination.number: destination.capacity for destination in destinations}
     mean = sum(loads.values()) / sum(capacity.values())
     ratios = {number: loads[number] / capacity[number] / mean for number in capacity}
     return ratios, sum(len(numbers) > 1 for numbers in groups.values())
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -119,8 +119,7 @@
         present = [
             replace(
                 destination,
-                capacity=destination.capacity
-                * (warm_fraction if destination.destination_number >= 8 else 1.0),
+                capacity=destination.capacity * (warm_fraction if destination.number >= 8 else 1.0),
             )
             for destination in fleet.destinations
         ]
