--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -26,6 +26,7 @@
 from snowwick.net.contracts import ContractStage
 from snowwick.net.decider import Decider
 from snowwick.net.loop import Loop
+from snowwick.net.path import Request, make_request
 from snowwick.net.pool_deciders import PoolDeciders
 
 BEFORE = "52cd155a84a0"  # the last commit without contracts, for the memory of a program without them
