--- a/snowwick/broker/admission.py
+++ b/snowwick/broker/admission.py
@@ -2,7 +2,7 @@
 
 The module does no I/O; times are seconds on the caller's clock.  An admitted connection is a ``Lease``, which
 the caller releases once.  State is kept for each team, class and established connection; of refused clients
-only a fingerprint is kept, in a table of fixed size.
+only a fingerprint and a retry time are kept, in a table of fixed size.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 MIN_LENT_FRACTION = 0.25
 # Part of a ceiling that is left for clients with a retry slot by clients without one.
 RETRY_CONNECTION_FRACTION = 0.03
-MAX_RETRY_CONNECTIONS = 4  # most connections that are left for clients with a retry slot
-MIN_CEILING_FOR_RETRY_CONNECTIONS = 20  # connections: under a smaller ceiling none is left
+MAX_RETRY_CONNECTIONS = 4  # upper bound of that part
+MIN_CEILING_FOR_RETRY_CONNECTIONS = 20  # connections; below it that part is 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -178,15 +178,15 @@
         self.load_budget.limit = limits.load
         self.load_budget.reserve_fraction = limits.reserve_fraction
         self.fleet_rate.change_rate(now, limits.setups_per_s, limits.setups_per_s * limits.burst_s)
-        lent = max(
+        lendable_connections = max(
             1.0,
             sum(team_limits.connections[0] for team_limits in limits.teams.values()),
             MIN_LENT_FRACTION * limits.connections,
         )
         self.reclaim_rate.change_rate(
             now,
-            lent / limits.reclaim_within_s,
-            max(1.0, lent / limits.reclaim_within_s * RECLAIM_INTERVAL_S),
+            lendable_connections / limits.reclaim_within_s,
+            max(1.0, lendable_connections / limits.reclaim_within_s * RECLAIM_INTERVAL_S),
         )
         total_weight = sum(team_limits.weight for team_limits in limits.teams.values())
         self.fair_rate = min(
@@ -315,7 +315,7 @@
             return Refusal(reason, limit, retry_at - now)
         fingerprint = fingerprint or self.retry_table.fingerprint(class_state.fingerprint_salt, key)
         if not rate:
-            # This limit has no rate of its own; the rate of past admissions stands in for it.
+            # This limit has no rate of its own: the slot rate follows from recent admissions.
             rate = class_state.slot_rate(now)
         if slot_reached:  # no room at its slot: the client gets another soon, not one at the end of the queue
             class_state.record_retry(False)
@@ -405,7 +405,7 @@
             if used_s <= 0.0 or fleet_rate.rate == math.inf
             else 1.0 - used_s / (fleet_rate.burst * fleet_rate.interval_s)
         )
-        # The update counts elapsed time, not requests: a thousand refusals at once weigh no more than one.
+        # The update counts elapsed time, not requests: a thousand refusals at once count like one.
         elapsed_s = now - self.fair_rate_updated_at
         if elapsed_s > 0.0:
             self.fair_rate_updated_at, setups_per_s = now, self.limits.setups_per_s
@@ -431,7 +431,7 @@
         return team.borrowed_arrival - now <= max(0.0, self.limits.burst_s - team.borrowed_interval_s) + 1e-9
 
     def _admit(self, now: float, owner: object, team: TeamState, class_state: ClassState) -> Lease:
-        """Count an admitted request against every limit that it is held to."""
+        """Count an admitted request against the rate limits, and create its lease."""
         if team.guaranteed_rate.conforms(now):
             team.guaranteed_rate.consume(now)
         else:
--- a/snowwick/broker/pools.py
+++ b/snowwick/broker/pools.py
@@ -39,8 +39,12 @@
     def overlaps(self, other: Match) -> bool:
         """Whether one destination could belong to both pools."""
         return all(
-            mine is None or theirs is None or mine & theirs
-            for mine, theirs in ((self.kind, other.kind), (self.zone, other.zone), (self.cell, other.cell))
+            accepted is None or other_accepted is None or accepted & other_accepted
+            for accepted, other_accepted in (
+                (self.kind, other.kind),
+                (self.zone, other.zone),
+                (self.cell, other.cell),
+            )
         )
 
 
