--- a/crowgap/benchlink.py
+++ b/crowgap/benchlink.py
@@ -1,6 +1,6 @@
-"""Adapter between the bench's wire and the decision module: it translates and dispatches, it decides nothing.
+"""Adapter between the simulator's JSON messages and the decision module: it translates and decides nothing.
 
-One JSON batch a line comes in on standard input, one reply a line goes out on standard output.
+It reads one JSON batch a line from standard input and writes one reply a line to standard output.
 """
 
 from __future__ import annotations
@@ -10,80 +10,83 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-from crowgap import interface as i
+from crowgap import interface
 from crowgap.policy import Balancer
 
 EFFECTS = {
-    "read_like": i.Effect.SAFE,
-    "idempotency_key": i.Effect.KEYED,
-    "non_idempotent": i.Effect.UNSAFE,
+    "read_like": interface.Effect.SAFE,
+    "idempotency_key": interface.Effect.KEYED,
+    "non_idempotent": interface.Effect.UNSAFE,
 }
 OUTCOMES = {
-    0: i.Outcome.ERROR,
-    1: i.Outcome.OK,
-    2: i.Outcome.FULL,
-    3: i.Outcome.TIMEOUT,
-    4: i.Outcome.CONNECT_FAILED,
-    5: i.Outcome.RESET,
-    6: i.Outcome.CANCELLED,
-    7: i.Outcome.UNSENT,
+    0: interface.Outcome.ERROR,
+    1: interface.Outcome.OK,
+    2: interface.Outcome.FULL,
+    3: interface.Outcome.TIMEOUT,
+    4: interface.Outcome.CONNECT_FAILED,
+    5: interface.Outcome.RESET,
+    6: interface.Outcome.CANCELLED,
+    7: interface.Outcome.UNSENT,
 }
-STATES = {"active": i.State.READY, "leaving": i.State.DRAINING, "left": i.State.GONE}
+STATES = {"active": interface.State.READY, "leaving": interface.State.DRAINING, "left": interface.State.GONE}
 LIST_KINDS = {
-    "update": i.ListKind.CHANGES,
-    "replace": i.ListKind.FULL,
-    "restored": i.ListKind.RESTORED,
-    "unavailable": i.ListKind.FAILED,
+    "update": interface.ListKind.CHANGES,
+    "replace": interface.ListKind.FULL,
+    "restored": interface.ListKind.RESTORED,
+    "unavailable": interface.ListKind.FAILED,
 }
-LOAD_FIELD = "over what it can do"  # how the settings describe the field that `Settings.loads` is about
-MIDFLOW, LOAD_CHANGED, MESSAGE_DELAY = 8, 1, 2
-Wire = dict[str, Any]
+# How the settings describe the report's field with the load over the capacity, see `Settings.load_reported`.
+LOAD_FIELD_DESCRIPTION = "over what it can do"
+MIDFLOW_BIT = 8  # in the field "bitmap" of a request
+LOAD_CHANGED_CODE = 1  # values of the field "what" of an update of a connection
+MESSAGE_DELAY_CODE = 2
+JsonObject = dict[str, Any]
 
 
-class Malformed(Exception):
-    """The input breaks the wire; the text says how."""
+class MalformedInput(Exception):
+    """The input is not in the simulator's format; the text says why."""
 
 
-def settings_from(setup: Wire) -> i.Settings:
-    """Translate the wire's settings; keys that are not known are skipped, missing ones take defaults."""
+def settings_from(setup: JsonObject) -> interface.Settings:
+    """Translate the simulator's settings; unknown keys are ignored, missing ones take defaults."""
     family, limits = setup.get("familyInfo", {}), setup.get("limits", {})
-    rules = setup.get("invariants", {})
+    invariants = setup.get("invariants", {})
     message_aims = family.get("messageAim") or []
     quotas = family.get("tenantQuotaConnections") or []
     classes = tuple(
-        i.RequestClass(
-            name=one["name"],
-            aim=one.get("aim", one["deadline"]),
-            deadline=one["deadline"],
-            priority=one.get("points", 1.0),
-            message_aim=message_aims[at] if at < len(message_aims) else 0.0,
-            effect=EFFECTS[one.get("effect", "non_idempotent")],
-            deduplication_scope=i.DeduplicationScope(one.get("keyScope", "all")),
-            deduplication_window=one.get("memorySpan", 0.0),
+        interface.RequestClass(
+            name=class_setup["name"],
+            aim=class_setup.get("aim", class_setup["deadline"]),
+            deadline=class_setup["deadline"],
+            priority=class_setup.get("points", 1.0),
+            message_aim=message_aims[class_index] if class_index < len(message_aims) else 0.0,
+            effect=EFFECTS[class_setup.get("effect", "non_idempotent")],
+            deduplication_scope=interface.DeduplicationScope(class_setup.get("keyScope", "all")),
+            deduplication_window=class_setup.get("memorySpan", 0.0),
         )
-        for at, one in enumerate(setup.get("classes", []))
+        for class_index, class_setup in enumerate(setup.get("classes", []))
     )
     tenants = tuple(
-        i.Tenant(one["name"], quota)
-        for one, quota in zip(setup.get("tenants") or [], quotas, strict=False)
+        interface.Tenant(tenant["name"], quota)
+        for tenant, quota in zip(setup.get("tenants") or [], quotas, strict=False)
         if quota is not None
     )
-    return i.Settings(
+    return interface.Settings(
         classes=classes,
         balancers=setup.get("nInstances", 1),
         index=setup.get("selfIndex", 0),
         zone=setup.get("zone", ""),
         tenants=tenants,
         must_subscribe=setup.get("registryMode") == "on_request",
-        list_refresh_interval=rules.get("askEvery", 10000.0),
+        list_refresh_interval=invariants.get("askEvery", 10000.0),
         max_attempts=limits.get("mostTries", 1),
         connect_timeout=limits.get("connectTimeout", 250.0),
         max_retry_after=limits.get("maxRetryAfter", 0.0) if limits.get("retryAfter") else 0.0,
-        warmup_time=rules.get("cold", 0.0),
-        warmup_start_capacity=rules.get("coldFrom", 1.0),
-        collapse_multiple=rules.get("fallMultiple", 1.0),
-        overload_window=rules.get("overloadFor", 1000.0),
-        drain_grace=rules.get("drainGrace", 3000.0),
+        warmup_time=invariants.get("cold", 0.0),
+        warmup_start_capacity=invariants.get("coldFrom", 1.0),
+        collapse_multiple=invariants.get("fallMultiple", 1.0),
+        overload_window=invariants.get("overloadFor", 1000.0),
+        drain_grace=invariants.get("drainGrace", 3000.0),
         load_reported=load_field_index(setup) is not None,
         live_weights=setup.get("weights") == "live",
         probes_allowed=bool(limits.get("probes", False)),
@@ -91,197 +94,214 @@
     )
 
 
-def load_field_index(setup: Wire) -> int | None:
-    """Where in a load report the load asked of a server over what it can do stands, if it does."""
+def load_field_index(setup: JsonObject) -> int | None:
+    """Return the index of the field in a load report that is the load over the capacity, if there is one."""
     fields = setup.get("report", {}).get("fields") or []
-    meaning = setup.get("familyInfo", {})
+    descriptions = setup.get("familyInfo", {})
     return next(
         (
-            at
-            for at, name in enumerate(fields)
-            if LOAD_FIELD in str(meaning.get(f"report{str(name).upper()}", ""))
+            index
+            for index, name in enumerate(fields)
+            if LOAD_FIELD_DESCRIPTION in str(descriptions.get(f"report{str(name).upper()}", ""))
         ),
         None,
     )
 
 
-def _entry(one: Wire) -> i.BackendEntry:
-    return i.BackendEntry(
-        one["backend"],
-        STATES[one["status"]],
-        one.get("rackZone", ""),
-        one.get("unitGroup", 0),
-        one.get("powerHint", 1.0),
-        one.get("born", 0.0),
+def _backend_entry(member: JsonObject) -> interface.BackendEntry:
+    return interface.BackendEntry(
+        member["backend"],
+        STATES[member["status"]],
+        member.get("rackZone", ""),
+        member.get("unitGroup", 0),
+        member.get("powerHint", 1.0),
+        member.get("born", 0.0),
     )
 
 
-def _members(e: Wire) -> i.ListUpdate:
-    return i.ListUpdate(LIST_KINDS[e["form"]], [_entry(one) for one in e.get("members") or []])
+def _list_update(event: JsonObject) -> interface.ListUpdate:
+    return interface.ListUpdate(
+        LIST_KINDS[event["form"]], [_backend_entry(member) for member in event.get("members") or []]
+    )
 
 
-def _request(e: Wire) -> i.Request:
-    return i.Request(
-        e["msgId"],
-        e["type"],
-        e["patienceLeft"],
-        e.get("nameKey", ""),
-        e.get("teamId", ""),
-        e.get("party") or "",
-        bool(e.get("bitmap", 0) & MIDFLOW),
+def _request(event: JsonObject) -> interface.Request:
+    return interface.Request(
+        event["msgId"],
+        event["type"],
+        event["patienceLeft"],
+        event.get("nameKey", ""),
+        event.get("teamId", ""),
+        event.get("party") or "",
+        bool(event.get("bitmap", 0) & MIDFLOW_BIT),
     )
 
 
-def _carried(e: Wire) -> i.ExistingConnection:
-    return i.ExistingConnection(
-        e["msgId"],
-        e["type"],
-        e["backend"],
-        e.get("nameKey", ""),
-        e.get("teamId", ""),
-        e.get("party") or "",
+def _existing_connection(event: JsonObject) -> interface.ExistingConnection:
+    return interface.ExistingConnection(
+        event["msgId"],
+        event["type"],
+        event["backend"],
+        event.get("nameKey", ""),
+        event.get("teamId", ""),
+        event.get("party") or "",
     )
 
 
-def _established(e: Wire) -> i.Established:
-    return i.Established(e["msgId"], e.get("attempt", 0), e["backend"], e.get("delaySeen", 0.0))
+def _established(event: JsonObject) -> interface.Established:
+    return interface.Established(
+        event["msgId"], event.get("attempt", 0), event["backend"], event.get("delaySeen", 0.0)
+    )
 
 
-def _note(e: Wire) -> i.DelayReport | i.LoadReport | None:
-    if e["what"] == LOAD_CHANGED:
-        return i.LoadReport(e["msgId"], e["backend"], e["amount"])
-    return i.DelayReport(e["msgId"], e["backend"], e["amount"]) if e["what"] == MESSAGE_DELAY else None
+def _connection_report(event: JsonObject) -> interface.DelayReport | interface.LoadReport | None:
+    if event["what"] == LOAD_CHANGED_CODE:
+        return interface.LoadReport(event["msgId"], event["backend"], event["amount"])
+    return (
+        interface.DelayReport(event["msgId"], event["backend"], event["amount"])
+        if event["what"] == MESSAGE_DELAY_CODE
+        else None
+    )
 
 
-def _ended(e: Wire) -> i.Ended:
-    return i.Ended(
-        e["msgId"],
-        e.get("attempt", 0),
-        e["backend"],
-        OUTCOMES[e.get("code", 0)],
-        e.get("delaySeen", 0.0),
-        e.get("doneFlag", False),
+def _ended(event: JsonObject) -> interface.Ended:
+    return interface.Ended(
+        event["msgId"],
+        event.get("attempt", 0),
+        event["backend"],
+        OUTCOMES[event.get("code", 0)],
+        event.get("delaySeen", 0.0),
+        event.get("doneFlag", False),
     )
 
 
-def _gone(e: Wire) -> i.ClientLeft:
-    return i.ClientLeft(e["msgId"])
+def _client_left(event: JsonObject) -> interface.ClientLeft:
+    return interface.ClientLeft(event["msgId"])
 
 
-def _timer(e: Wire) -> i.TimerDue:
-    return i.TimerDue(e.get("cookie", 0))
+def _timer_due(event: JsonObject) -> interface.TimerDue:
+    return interface.TimerDue(event.get("cookie", 0))
 
 
-def _probed(e: Wire, load: int | None = None) -> i.ProbeResult:
-    if OUTCOMES[e.get("code", 0)] is not i.Outcome.OK:
-        return i.ProbeResult(e["backend"], -1.0)
-    row = e.get("gauge") or []
-    told = row[load] if load is not None and load < len(row) else None
-    return i.ProbeResult(e["backend"], e.get("delaySeen", 0.0), -1.0 if told is None else float(told))
+def _probe_result(event: JsonObject, load_index: int | None = None) -> interface.ProbeResult:
+    if OUTCOMES[event.get("code", 0)] is not interface.Outcome.OK:
+        return interface.ProbeResult(event["backend"], -1.0)
+    report = event.get("gauge") or []
+    load = report[load_index] if load_index is not None and load_index < len(report) else None
+    return interface.ProbeResult(
+        event["backend"], event.get("delaySeen", 0.0), -1.0 if load is None else float(load)
+    )
 
 
-EVENTS: dict[str, Callable[[Wire], i.Event | None]] = {
-    "MEMBERSHIP": _members,
+EVENT_TRANSLATORS: dict[str, Callable[[JsonObject], interface.Event | None]] = {
+    "MEMBERSHIP": _list_update,
     "ORDER": _request,
-    "CARRIED": _carried,
+    "CARRIED": _existing_connection,
     "HEAD_RECEIVED": _established,
-    "UPDATE_OF": _note,
+    "UPDATE_OF": _connection_report,
     "COMPLETED": _ended,
-    "GONE": _gone,
-    "TICK_DUE": _timer,
-    "PROBE_RESULT": _probed,
+    "GONE": _client_left,
+    "TICK_DUE": _timer_due,
+    "PROBE_RESULT": _probe_result,
 }
-# Messages between balancers are never asked for; what should still arrive is passed over.
-UNUSED = frozenset({"MEMO"})
-
-ACTIONS: dict[type, Callable[[Any], Wire]] = {
-    i.Send: lambda a: {"verb": "HAND_OFF", "msgId": a.request, "backend": a.backend, "maxWait": a.timeout},
-    i.Refuse: lambda a: {"verb": "SHED", "msgId": a.request, "pause": a.retry_after},
-    i.Fail: lambda a: {"verb": "LOSE", "msgId": a.request},
-    i.Move: lambda a: {"verb": "SHIFT", "msgId": a.request},
-    i.SetTimer: lambda a: {"verb": "DEFER", "at": a.at, "cookie": a.token},
-    i.Subscribe: lambda a: {"verb": "TRACK", "enable": True},
-    i.Probe: lambda a: {"verb": "PROBE", "backend": a.backend},
+# Messages between balancers are never requested; any that still arrive are ignored.
+IGNORED_EVENTS = frozenset({"MEMO"})
+
+ACTION_TRANSLATORS: dict[type, Callable[[Any], JsonObject]] = {
+    interface.Send: lambda action: {
+        "verb": "HAND_OFF",
+        "msgId": action.request,
+        "backend": action.backend,
+        "maxWait": action.timeout,
+    },
+    interface.Refuse: lambda action: {"verb": "SHED", "msgId": action.request, "pause": action.retry_after},
+    interface.Fail: lambda action: {"verb": "LOSE", "msgId": action.request},
+    interface.Move: lambda action: {"verb": "SHIFT", "msgId": action.request},
+    interface.SetTimer: lambda action: {"verb": "DEFER", "at": action.at, "cookie": action.token},
+    interface.Subscribe: lambda action: {"verb": "TRACK", "enable": True},
+    interface.Probe: lambda action: {"verb": "PROBE", "backend": action.backend},
 }
 
 
-class Link:
-    """The instances of this process and their translation."""
+class Adapter:
+    """The balancers of this process by instance, and the translation of their events and actions."""
 
     def __init__(self) -> None:
-        self.balancers: dict[int, Balancer | None] = {}
-        self.loads: dict[int, int | None] = {}
+        self.balancers: dict[int, Balancer | None] = {}  # None where the settings were refused
+        self.load_indexes: dict[int, int | None] = {}  # of the load in a report
 
-    def batch(self, line: str) -> Wire:
-        """Answer one line of input."""
+    def answer_batch(self, line: str) -> JsonObject:
+        """Handle the events of one line of input and return the reply; raise MalformedInput for other input."""
         try:
             message = json.loads(line)
         except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from error
+            raise MalformedInput(f"not JSON: {error}") from error
         if not isinstance(message, dict):
-            raise Malformed("a batch must be an object")
-        out: list[Wire] = []
+            raise MalformedInput("a batch must be an object")
+        reply: list[JsonObject] = []
         try:
             now, events = float(message["moment"]), message["input"]
             for event in events:
-                self._one(now, event, out)
+                self._handle_event(now, event, reply)
         except KeyError as error:
-            raise Malformed(f"missing field or unknown name {error}") from error
+            raise MalformedInput(f"missing field or unknown name {error}") from error
         except (TypeError, ValueError, AttributeError) as error:
-            raise Malformed(f"unusable value: {error}") from error
-        return {"out": out}
+            raise MalformedInput(f"unusable value: {error}") from error
+        return {"out": reply}
 
-    def _one(self, now: float, event: Wire, out: list[Wire]) -> None:
+    def _handle_event(self, now: float, event: JsonObject, reply: list[JsonObject]) -> None:
         verb, instance = event["verb"], event["i"]
         if verb == "ATTACH":
             setup, salt = event["setup"], int(event["salt"])
             try:
                 self.balancers[instance] = Balancer(settings_from(setup), salt)
-                self.loads[instance] = load_field_index(setup)
+                self.load_indexes[instance] = load_field_index(setup)
             except ValueError as error:
                 self.balancers[instance] = None
-                out.append(crash(instance, error))
+                reply.append(crash_report(instance, error))
             return
         if instance not in self.balancers:
-            raise Malformed(f"instance {instance} never attached")
+            raise MalformedInput(f"instance {instance} never attached")
         balancer = self.balancers[instance]
         if balancer is None:
-            return  # its settings were refused, which the reply has said
+            return  # its settings were refused; the reply to ATTACH reported that
         if verb == "CRASH_NOW":
             del self.balancers[instance]
-        elif verb in EVENTS:
+        elif verb in EVENT_TRANSLATORS:
             translated = (
-                _probed(event, self.loads[instance]) if verb == "PROBE_RESULT" else EVENTS[verb](event)
+                _probe_result(event, self.load_indexes[instance])
+                if verb == "PROBE_RESULT"
+                else EVENT_TRANSLATORS[verb](event)
             )
             if translated is None:
                 return
             try:
                 actions = balancer.handle(now, translated)
             except Exception as error:
-                out.append(crash(instance, error))
+                reply.append(crash_report(instance, error))
                 return
             for action in actions:
-                wire = ACTIONS[type(action)](action)
-                wire["i"] = instance
-                out.append(wire)
-        elif verb not in UNUSED:
-            raise Malformed(f"unknown event {verb!r}")
+                message = ACTION_TRANSLATORS[type(action)](action)
+                message["i"] = instance
+                reply.append(message)
+        elif verb not in IGNORED_EVENTS:
+            raise MalformedInput(f"unknown event {verb!r}")
 
 
-def crash(instance: int, error: Exception) -> Wire:
-    """The wire's word for an exception in the module, so that a fault is told apart from bad input."""
+def crash_report(instance: int, error: Exception) -> JsonObject:
+    """Return the message for an exception in the decision module, as opposed to malformed input."""
     return {"verb": "CRASH", "i": instance, "bodyText": f"{type(error).__name__}: {error}"}
 
 
 def main(source: IO[str] = sys.stdin, sink: IO[str] = sys.stdout) -> int:
-    """Answer batches until the input ends."""
-    link = Link()
+    """Answer batches until the input ends; return the exit status."""
+    adapter = Adapter()
     for line in source:
         if not line.strip():
             continue
         try:
-            reply = link.batch(line)
-        except Malformed as error:
+            reply = adapter.answer_batch(line)
+        except MalformedInput as error:
             print(f"crowgap: bad input: {error}", file=sys.stderr)
             return 2
         sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 from wire import SETTINGS, World
 
 from crowgap import interface as i
-from crowgap.benchlink import Link
+from crowgap.benchlink import Adapter
 
 QUOTAS: dict[str, Any] = {
     **SETTINGS,
@@ -67,17 +67,17 @@
 
 
 def test_instance_that_is_attached_again_with_other_settings_keeps_nothing() -> None:
-    link = Link()
+    adapter = Adapter()
 
     def attach(name: str, effect: str) -> None:
         setup = {"classes": [{"name": name, "deadline": 1000.0, "effect": effect}]}
         event = {"verb": "ATTACH", "i": 1, "salt": 5, "setup": setup}
-        link.batch(json.dumps({"moment": 1, "input": [event]}))
+        adapter.answer_batch(json.dumps({"moment": 1, "input": [event]}))
 
     attach("a", "read_like")
-    first = link.balancers[1]
+    first = adapter.balancers[1]
     attach("b", "non_idempotent")
-    second = link.balancers[1]
+    second = adapter.balancers[1]
     assert first is not None and second is not None and second is not first
     assert second.classes.keys() == {"b"} and second.classes["b"].effect is i.Effect.UNSAFE
     assert first.classes.keys() == {"a"}
