--- a/crowgap/benchlink.py
+++ b/crowgap/benchlink.py
@@ -231,7 +231,7 @@
         self.load_indexes: dict[int, int | None] = {}  # of the load in a report
 
     def answer_batch(self, line: str) -> JsonObject:
-        """Handle the events of one line of input and return the reply; raise MalformedInput for other input."""
+        """Handle the events of one line of input and return the reply; raises MalformedInput."""
         try:
             message = json.loads(line)
         except ValueError as error:
