--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -159,7 +159,7 @@
             dict,
         )
         self.stage = ContractStage(loop, many_teams(count), pool_deciders, 1, 0, 1, 600.0, lambda: 300.0)
-        self.stage.pool_deciders.split = None  # every pool counts as having destinations
+        self.stage.pool_deciders.assignment = None  # every pool counts as having destinations
         self.openings = [
             lines.parse_opening(b"OPEN 1 k%d c=feed,t=t%d,d=1200,g=g\r\n" % (n, n * 7919 % count))
             for n in range(20000)
--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -1,8 +1,10 @@
-"""The decision module's actor: what peers and the pool config report goes in, what to do comes out.
+"""The actor that runs the decision module.
 
-It knows no wire: it speaks to a client's side through ``Client`` and to the pool config through a callback,
-so that another protocol can stand before the same decisions.  Here, and only here, the network code's names
-become the module's: a destination is a backend, a route step an attempt, a busy reply a refusal.
+It translates messages from connections and the pool config into the module's events, and carries out the
+actions that the module returns. It does not depend on the wire protocol: it reaches a client's side through
+``Client`` and the pool config through a callback, so that another protocol can use the same decisions. This
+is the only place where the network code's terms are mapped to the module's: a destination is a backend, a
+route step an attempt, a busy reply a refusal.
 """
 
 from __future__ import annotations
@@ -24,14 +26,14 @@
 
 
 class Client(Protocol):
-    """The side of a client, as the decider sees it: somewhere to leave a message."""
+    """A client's side of a connection: accepts messages from the decider."""
 
     def post(self, message: object) -> None: ...
 
 
 @dataclass(slots=True)
 class ConnectionRequested:
-    """A client asks for a connection; ``patience`` is how many ms it waits for the answer."""
+    """A client requests a connection and waits at most ``max_wait_ms`` for the answer."""
 
     client: Client
     class_name: str
@@ -43,7 +45,7 @@
 
 @dataclass(slots=True)
 class ConnectionResumed:
-    """A client's connection stood at that destination before this program started."""
+    """A client resumed a connection that existed at the destination before this process started."""
 
     client: Client
     class_name: str
@@ -55,7 +57,7 @@
 
 @dataclass(slots=True)
 class RouteStepEstablished:
-    """The route step's connection stands."""
+    """A route step has established its connection to the destination."""
 
     client: Client
     destination: int
@@ -64,7 +66,10 @@
 
 @dataclass(slots=True)
 class RouteStepEnded:
-    """The route step is over; ``final`` says that the client needs no more answer."""
+    """A route step, or the connection that it established, has ended.
+
+    ``final`` is true if the client needs no further answer.
+    """
 
     client: Client
     destination: int
@@ -75,7 +80,10 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client left before its answer; a route step that is out still ends."""
+    """The client closed before it got its answer.
+
+    If ``step_active``, a ``RouteStepEnded`` still follows for the route step in progress.
+    """
 
     client: Client
     step_active: bool
@@ -83,7 +91,7 @@
 
 @dataclass(slots=True)
 class MessageDelay:
-    """How many ms a message takes at a destination now, seen on that client's connection."""
+    """The present message delay at a destination, measured on this client's connection."""
 
     client: Client
     destination: int
@@ -92,14 +100,14 @@
 
 @dataclass(slots=True)
 class DestinationSilent:
-    """No line comes back from a destination on any connection, though lines wait there."""
+    """A destination answers on no connection although lines are waiting for an answer."""
 
     destination: int
 
 
 @dataclass(slots=True)
 class ProbeAnswer:
-    """How many ms a destination took to answer a probe (-1: it did not), and the load it reports, if any."""
+    """A destination's response time to a probe, -1 if none came, and its reported load, -1 if unknown."""
 
     destination: int
     elapsed_ms: float
@@ -108,7 +116,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """The work a second that a connection asks of its destination now."""
+    """The load, in work per second, that a connection puts on its destination now."""
 
     client: Client
     destination: int
@@ -117,7 +125,7 @@
 
 @dataclass(slots=True)
 class RouteStep:
-    """To the client's side: try that destination, for so many ms."""
+    """Sent to the client's side: try this destination for at most ``timeout_ms``."""
 
     destination: int
     timeout_ms: float
@@ -125,29 +133,29 @@
 
 @dataclass(slots=True)
 class BusyReply:
-    """To the client's side: refused, come again after so many ms."""
+    """Sent to the client's side: the request is refused, retry after ``retry_after_ms``."""
 
     retry_after_ms: float
 
 
 @dataclass(slots=True)
 class FailReply:
-    """To the client's side: failed."""
+    """Sent to the client's side: the request has failed."""
 
 
 @dataclass(slots=True)
 class MoveAway:
-    """To the client's side: have the client come again."""
+    """Sent to the client's side: tell the client to reconnect."""
 
     reason: str
 
 
 class StopDecider:
-    """To a decider: its pool is over and nothing of it stands any more."""
+    """Sent to a decider: its pool was removed and has no connections left."""
 
 
 class Decider(Actor):
-    """Feeds the module one event at a time on one clock and carries out what it answers."""
+    """Passes events to the decision module one at a time and carries out the returned actions."""
 
     restart_after_fault = True
 
@@ -163,14 +171,14 @@
         super().__init__(loop)
         self.balancer = Balancer(settings, seed)
         self.now_ms, self.watch_pool, self.probe = now_ms, watch_pool, probe
-        # Told first of all that comes, where there is a fleet
-        self.observe: Callable[[object], None] | None = None
-        self.timers: list[tuple[float, int]] = []
+        # If there is a fleet, receives each message before the module does.
+        self.observer: Callable[[object], None] | None = None
+        self.timers: list[tuple[float, int]] = []  # heap of (due time in ms, token)
         self.request_numbers: dict[Client, int] = {}
-        self.clients: dict[int, Client] = {}
-        self.attempt_counts: dict[int, int] = {}
-        self.active_steps: dict[int, int] = {}  # destinations of those that have not ended, by request
-        self.last = 0
+        self.clients: dict[int, Client] = {}  # by request number
+        self.attempt_counts: dict[int, int] = {}  # route steps started, by request number
+        self.active_steps: dict[int, int] = {}  # destination of the route step in progress, by request number
+        self.last_number = 0  # of the last request
 
     def run(self) -> Coroutine:
         while True:
@@ -181,24 +189,26 @@
             for message in self.take_messages():
                 if isinstance(message, StopDecider):
                     return
-                if self.observe is not None:
-                    self.observe(message)
-                lost = self._lost_step(message)
+                if self.observer is not None:
+                    self.observer(message)
+                unsent_step = self._unsent_step(message)
                 event = self._translate(message)
                 if event is not None:
                     self._handle(event)
-                if lost is not None:
-                    self._handle(lost)
+                if unsent_step is not None:
+                    self._handle(unsent_step)
             while self.timers and self.timers[0][0] <= self.now_ms():
                 self._handle(i.TimerDue(heapq.heappop(self.timers)[1]))
 
-    def _lost_step(self, m: object) -> i.Ended | None:
-        """The end of a step that its client never saw: it left in the turn in which the step was asked for.
+    def _unsent_step(self, message: object) -> i.Ended | None:
+        """Return the end of a route step that its client left before starting, in the same turn of the loop.
 
-        Without it the module would hold that step for good, and count it at its backend.
+        Without this event the module would keep the step forever and count it at its backend.
         """
         number = (
-            self.request_numbers.get(m.client) if isinstance(m, ClientLeft) and not m.step_active else None
+            self.request_numbers.get(message.client)
+            if isinstance(message, ClientLeft) and not message.step_active
+            else None
         )
         if number is None or number not in self.active_steps:
             return None
@@ -206,59 +216,82 @@
             number, self.attempt_counts[number] - 1, self.active_steps[number], Outcome.UNSENT, 0.0, True
         )
 
-    def _translate(self, m: object) -> i.Event | None:
-        if isinstance(m, PoolUpdate):
-            return m
-        if isinstance(m, ConnectionRequested):
-            return i.Request(self._number(m.client, 0), m.class_name, m.max_wait_ms, m.key, m.group, m.tenant)
-        if isinstance(m, ConnectionResumed):
+    def _translate(self, message: object) -> i.Event | None:
+        if isinstance(message, PoolUpdate):
+            return message
+        if isinstance(message, ConnectionRequested):
+            return i.Request(
+                self._assign_number(message.client, 0),
+                message.class_name,
+                message.max_wait_ms,
+                message.key,
+                message.group,
+                message.tenant,
+            )
+        if isinstance(message, ConnectionResumed):
             return i.ExistingConnection(
-                self._number(m.client, 1), m.class_name, m.destination, m.key, m.group, m.tenant
+                self._assign_number(message.client, 1),
+                message.class_name,
+                message.destination,
+                message.key,
+                message.group,
+                message.tenant,
             )
-        if isinstance(m, DestinationSilent):
-            return i.BackendSilent(m.destination)
-        if isinstance(m, ProbeAnswer):
-            return i.ProbeResult(m.destination, m.elapsed_ms, m.load)
-        assert isinstance(m, RouteStepEstablished | RouteStepEnded | ClientLeft | MessageDelay | LoadReport)
-        number = self.request_numbers.get(m.client)
+        if isinstance(message, DestinationSilent):
+            return i.BackendSilent(message.destination)
+        if isinstance(message, ProbeAnswer):
+            return i.ProbeResult(message.destination, message.elapsed_ms, message.load)
+        assert isinstance(
+            message, RouteStepEstablished | RouteStepEnded | ClientLeft | MessageDelay | LoadReport
+        )
+        number = self.request_numbers.get(message.client)
         if number is None:
             return None
-        step = self.attempt_counts[number] - 1
-        if isinstance(m, RouteStepEstablished):
-            return i.Established(number, step, m.destination, m.elapsed_ms)
-        if isinstance(m, RouteStepEnded):
+        attempt = self.attempt_counts[number] - 1
+        if isinstance(message, RouteStepEstablished):
+            return i.Established(number, attempt, message.destination, message.elapsed_ms)
+        if isinstance(message, RouteStepEnded):
             self.active_steps.pop(number, None)
-            if m.final:
-                self._drop(number)
-            return i.Ended(number, step, m.destination, m.outcome, m.elapsed_ms, m.final)
-        if isinstance(m, MessageDelay):
-            return i.DelayReport(number, m.destination, m.delay_ms)
-        if isinstance(m, LoadReport):
-            return i.LoadReport(number, m.destination, m.load)
-        if not m.step_active:
-            self._drop(number)
+            if message.final:
+                self._forget(number)
+            return i.Ended(
+                number, attempt, message.destination, message.outcome, message.elapsed_ms, message.final
+            )
+        if isinstance(message, MessageDelay):
+            return i.DelayReport(number, message.destination, message.delay_ms)
+        if isinstance(message, LoadReport):
+            return i.LoadReport(number, message.destination, message.load)
+        if not message.step_active:
+            self._forget(number)
         return i.ClientLeft(number)
 
     def update_tenants(self, settings: i.Settings) -> None:
-        """Other tenants from now on; what their quotas say of capacity is reckoned with the next list."""
+        """Replace the tenants; the module derives capacity from their quotas with the next list update."""
         self.balancer.settings = settings
-        self.balancer.total_quota = sum(one.quota for one in settings.tenants)
-        self.balancer.capacity_per_weight, self.balancer.plan_is_current = math.inf, False
+        self.balancer.total_quota = sum(tenant.quota for tenant in settings.tenants)
+        self.balancer.capacity_per_weight = math.inf
+        self.balancer.plan_is_current = False
 
     def connection_counts(self) -> dict[int, int]:
-        """How many connections stand or are being set up at each destination."""
-        return {one.id: len(one.flows) for one in self.balancer.backends.values() if one.flows}
-
-    def _number(self, client: Client, steps: int) -> int:
-        self.last += 1
-        self.request_numbers[client], self.clients[self.last], self.attempt_counts[self.last] = (
-            self.last,
+        """Return the number of connections, established or being set up, by destination."""
+        return {
+            backend.id: len(backend.flows) for backend in self.balancer.backends.values() if backend.flows
+        }
+
+    def _assign_number(self, client: Client, attempts: int) -> int:
+        self.last_number += 1
+        (
+            self.request_numbers[client],
+            self.clients[self.last_number],
+            self.attempt_counts[self.last_number],
+        ) = (
+            self.last_number,
             client,
-            steps,
+            attempts,
         )
-        return self.last
+        return self.last_number
 
-    def _drop(self, number: int) -> None:
+    def _forget(self, number: int) -> None:
         client = self.clients.pop(number, None)
         if client is not None:
             del self.request_numbers[client], self.attempt_counts[number]
@@ -268,20 +301,21 @@
         try:
             actions = self.balancer.handle(self.now_ms(), event)
         except Exception as error:
-            # The module must not take all standing connections with it.
+            # A fault in the module must not end all established connections.
             self.loop.log.event(
                 "fault",
                 "fault: {where}: {error}",
                 where=f"decision on {type(event).__name__}",
                 error=f"{type(error).__name__}: {error}",
             )
-            # What was decided before it holds: without its timer the monitor would never look again.
+            # Actions decided before the fault still count: without its timer the module's periodic check
+            # would never run again.
             actions = list(self.balancer.pending_actions)
             if isinstance(event, i.Request) and not any(
                 getattr(action, "request", None) == event.request for action in actions
             ):
                 self._handle(i.ClientLeft(event.request))
-                actions.append(i.Fail(event.request))  # given up, so answered at once
+                actions.append(i.Fail(event.request))  # abandoned, so answered at once
         for action in actions:
             self._carry_out(action)
 
@@ -305,5 +339,5 @@
         elif isinstance(action, i.Move):
             client.post(MoveAway("moved"))
         else:
-            self._drop(action.request)
+            self._forget(action.request)
             client.post(BusyReply(action.retry_after) if isinstance(action, i.Refuse) else FailReply())
--- a/snowwick/net/delay_monitor.py
+++ b/snowwick/net/delay_monitor.py
@@ -1,4 +1,8 @@
-"""How long messages take at each destination: the wire does not tell, so the lines are timed."""
+"""Measures the message delay of each destination.
+
+The wire protocol reports no delays, so this module times the lines of connections to detect slow and
+unresponsive destinations.
+"""
 
 from __future__ import annotations
 
@@ -10,41 +14,43 @@
 from snowwick.net.decider import Client, DestinationSilent, MessageDelay
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 
-PERIOD = 1.0  # s between notes of one destination, and how long an answered line counts
-LOOK = 0.25  # s between looks: a hang must show well before the next note of a delay
-SILENT, ALONE = 0.5, 1.5  # s without an answer that make a hang, where several lines wait, and where one does
-MAX_PENDING_LINES = 1024  # unanswered lines that a connection is timed by
+REPORT_INTERVAL_S = 1.0  # between reports on one destination; also how long an answered line counts
+SILENCE_CHECK_INTERVAL_S = 0.25  # short, so that a hang is reported well before the next delay report
+# Time without an answer after which a destination counts as silent
+SILENCE_S = 0.5  # if several connections are waiting for it
+SILENCE_SINGLE_S = 1.5  # if only one connection is waiting for it
+MAX_PENDING_LINES = 1024  # unanswered lines of one connection that are timed
 
 
 class DestinationTiming:
-    """What the lines of all connections to one destination tell together.
+    """The timing of all connections to one destination.
 
-    Kept up with every line, so that a look costs what has passed since the last one and not what stands.
+    It is updated with every line, so that a check costs time in proportion to the lines since the last check
+    and not to the number of open connections.
     """
 
     def __init__(self) -> None:
-        self.connections, self.last_reply = 0, 0.0
-        self.awaiting_reply: dict[
-            ConnectionTiming, None
-        ] = {}  # those that have sent since a line last came back, in order
-        self.recently_answered: dict[
-            ConnectionTiming, None
-        ] = {}  # those whose line came back of late, the latest last
+        self.connections = 0
+        self.last_reply = 0.0  # s, on the loop's clock
+        # Connections that have sent since the last line came back, in the order of sending
+        self.awaiting_reply: dict[ConnectionTiming, None] = {}
+        # Connections that were answered within the report interval, the latest last
+        self.recently_answered: dict[ConnectionTiming, None] = {}
 
 
 @dataclass(slots=True, eq=False)
 class ConnectionTiming:
-    """The lines of one connection: when the unanswered ones were sent, how long the last took."""
+    """The timing of the lines of one connection, in s on the loop's clock."""
 
     client: Client
     destination: int
     destination_timing: DestinationTiming
-    pending: deque[float] = field(default_factory=deque)
+    pending: deque[float] = field(default_factory=deque)  # when each unanswered line was sent, oldest first
     last_reply: float = 0.0
     last_delay: float = 0.0
 
     def record_sent(self, now: float, count: int) -> None:
-        # Bounded: a client may send at full speed to a destination that answers nothing.
+        # Bounded, since a client may send at full speed to a destination that answers nothing.
         self.pending.extend([now] * min(count, MAX_PENDING_LINES - len(self.pending)))
         self.destination_timing.awaiting_reply[self] = None
 
@@ -58,41 +64,45 @@
 
 
 def message_delay(timing: DestinationTiming, now: float) -> tuple[float, Client] | None:
-    """Seconds that a message takes at a destination now and a client who sees it, or None if nothing tells.
+    """Return a destination's message delay in s and a client that observes it, or None if unknown.
 
-    Usually that of the median of the lines answered of late.  But lines that wait while none has been
-    answered since say more: counted among the others, a hang would show only once half of them were old.
+    This is the median delay of recently answered lines, unless a line has waited for longer and none was
+    answered since it was sent. Counted among the others, a hang would show only once half of them were old.
     """
     for connection in list(
-        takewhile(lambda connection: now - connection.last_reply >= PERIOD, timing.recently_answered)
+        takewhile(
+            lambda connection: now - connection.last_reply >= REPORT_INTERVAL_S, timing.recently_answered
+        )
     ):
         del timing.recently_answered[connection]
     answered = sorted(
         (connection.last_delay, n, connection) for n, connection in enumerate(timing.recently_answered)
     )
-    stuck = [
+    unanswered = [
         (now - connection.pending[0], -n, connection)
         for n, connection in enumerate(timing.awaiting_reply)
         if connection.pending and connection.pending[0] >= timing.last_reply
     ]
-    found = [*answered[len(answered) // 2 :][:1], *stuck]
-    if not found:
+    candidates = [*answered[len(answered) // 2 :][:1], *unanswered]
+    if not candidates:
         return None
-    delay, _, connection = max(found, key=lambda row: row[0])
+    delay, _, connection = max(candidates, key=lambda row: row[0])
     return delay, connection.client
 
 
 def is_silent(timing: DestinationTiming, now: float) -> bool:
-    """Does the destination answer nobody, though it is asked?"""
+    """Return whether lines are waiting at the destination and no connection was answered for too long."""
     waiting = [connection.pending[0] for connection in timing.awaiting_reply if connection.pending]
     return bool(waiting) and now - max(timing.last_reply, min(waiting)) >= (
-        SILENT if len(waiting) > 1 else ALONE
+        SILENCE_S if len(waiting) > 1 else SILENCE_SINGLE_S
     )
 
 
 class Gauge(Actor):
-    """Tells the decider, once a second, of each destination whose messages take long or do not come back,
-    and once of recovery."""
+    """Reports destinations whose message delay is high or that do not answer, once per second.
+
+    A destination that recovers is reported once more.
+    """
 
     restart_after_fault = True
 
@@ -100,10 +110,11 @@
         self, loop: Loop, report: Callable[[MessageDelay | DestinationSilent], None], shortest_aim_ms: float
     ) -> None:
         super().__init__(loop)
-        self.report, self.limit = report, shortest_aim_ms / 3000.0
+        # Delays above a third of the shortest target delay are reported.
+        self.report, self.report_threshold_s = report, shortest_aim_ms / 3000.0
         self.timings: dict[int, DestinationTiming] = {}
         self.slow: set[int] = set()
-        self.silence_reported: dict[int, float] = {}  # those that answer nobody, and when that was told
+        self.silence_reported: dict[int, float] = {}  # silent destinations and when each was last reported
 
     def add(self, client: Client, destination: int) -> ConnectionTiming:
         timing = self.timings.setdefault(destination, DestinationTiming())
@@ -112,7 +123,7 @@
         return ConnectionTiming(client, destination, timing, last_reply=timing.last_reply)
 
     def remove(self, connection: ConnectionTiming) -> None:
-        """The connection is over; a connection that was never added changes nothing."""
+        """Remove a closed connection; does nothing for one that was never added."""
         timing = connection.destination_timing
         if timing is not self.timings.get(connection.destination):
             return
@@ -125,35 +136,44 @@
             self.silence_reported.pop(connection.destination, None)
 
     def run(self) -> Coroutine:
-        due = self.loop.clock() + PERIOD
+        next_report = self.loop.clock() + REPORT_INTERVAL_S
         while True:
-            look = self.loop.clock() + LOOK
-            yield Wait(until=min(due, look))
+            next_check = self.loop.clock() + SILENCE_CHECK_INTERVAL_S
+            yield Wait(until=min(next_report, next_check))
             self.report_silent()
-            if self.loop.clock() >= due:
-                due = max(due + PERIOD, self.loop.clock())
+            if self.loop.clock() >= next_report:
+                next_report = max(next_report + REPORT_INTERVAL_S, self.loop.clock())
                 self.report_delays()
 
     def report_silent(self) -> None:
-        """Tell of those that hang.  Where most do, it is rather this program that was held up."""
+        """Report silent destinations.
+
+        If most destinations are silent, none is reported: probably this process was held up itself.
+        """
         now = self.loop.clock()
-        silent = [one for one, timing in self.timings.items() if is_silent(timing, now)]
-        self.silence_reported = {one: self.silence_reported.get(one, -PERIOD) for one in silent}
+        silent = [number for number, timing in self.timings.items() if is_silent(timing, now)]
+        self.silence_reported = {
+            number: self.silence_reported.get(number, -REPORT_INTERVAL_S) for number in silent
+        }
         for destination in silent:
-            if 2 * len(silent) <= len(self.timings) and now - self.silence_reported[destination] >= PERIOD:
+            if (
+                2 * len(silent) <= len(self.timings)
+                and now - self.silence_reported[destination] >= REPORT_INTERVAL_S
+            ):
                 self.silence_reported[destination] = now
                 self.report(DestinationSilent(destination))
 
     def report_delays(self) -> None:
+        """Report the delay of each slow destination, and once that of one that is no longer slow."""
         now = self.loop.clock()
         for destination, timing in self.timings.items():
             found = message_delay(timing, now)
             if found is None:
                 continue
             delay, client = found
-            if delay > self.limit or destination in self.slow:
+            if delay > self.report_threshold_s or destination in self.slow:
                 self.report(MessageDelay(client, destination, 1000.0 * delay))
-            if delay > self.limit:
+            if delay > self.report_threshold_s:
                 self.slow.add(destination)
             else:
                 self.slow.discard(destination)
--- a/snowwick/net/pool_deciders.py
+++ b/snowwick/net/pool_deciders.py
@@ -1,4 +1,4 @@
-"""The deciders of the pools: one instance of the module for each, fed the news of its own destinations."""
+"""The deciders of all pools: one instance of the decision module for each pool of destinations."""
 
 from __future__ import annotations
 
@@ -11,89 +11,93 @@
 if TYPE_CHECKING:
     from snowwick.broker.pools import Labels, Match, PoolAssignment
 
-ALL = ""  # the one pool of a program without contracts
+DEFAULT_POOL = ""  # the only pool of a process without contracts
 
 
 class PoolDeciders:
-    """Without pools one decider hears everything; with them each hears its part.
+    """Routes list updates and reports to the decider of each pool.
 
-    A pool that a change of contracts leaves out takes nothing new, but its decider goes on for those that
-    stand there, and ends with the last of them.
+    Without pools, one decider handles everything. A pool that a change of contracts removes accepts no new
+    requests, but its decider keeps running for the connections that it still has and stops with the last one.
     """
 
     def __init__(
         self,
-        make: Callable[[str, frozenset[str] | None], Decider],
-        settings: Callable[[frozenset[str]], Settings],
+        make_decider: Callable[[str, frozenset[str] | None], Decider],
+        settings_for: Callable[[frozenset[str]], Settings],
         labels: Callable[[], Mapping[int, Labels]],
     ) -> None:
-        self.make, self.settings, self.labels = make, settings, labels
+        self.make_decider, self.settings_for, self.labels = make_decider, settings_for, labels
         self.by_pool: dict[str, Decider] = {}
-        self.split: PoolAssignment | None = None
-        self.current: frozenset[str] = frozenset([ALL])
+        self.assignment: PoolAssignment | None = None
+        self.current_pools: frozenset[str] = frozenset([DEFAULT_POOL])
 
     def start(self) -> None:
-        """One decider for everything, unless pools have been set before."""
+        """Start all deciders; without pools, create the one that handles everything."""
         if not self.by_pool:
-            self.by_pool[ALL] = self.make(ALL, None)
+            self.by_pool[DEFAULT_POOL] = self.make_decider(DEFAULT_POOL, None)
         for decider in self.by_pool.values():
             decider.start()
 
     def set_pools(
         self, matches: Mapping[str, Match], tenants: Mapping[str, frozenset[str]], running: bool
     ) -> None:
-        """Other pools from now on, each with the tenants whose requests go there."""
+        """Replace the pools; ``tenants`` lists, by pool, the tenants whose requests go there."""
         from snowwick.broker.pools import PoolAssignment
 
-        standing = {name: one for name, one in self.by_pool.items() if name not in matches and one.clients}
-        for name in self.by_pool.keys() - standing.keys() - matches.keys():
+        draining = {
+            name: decider for name, decider in self.by_pool.items() if name not in matches and decider.clients
+        }
+        for name in self.by_pool.keys() - draining.keys() - matches.keys():
             self.by_pool.pop(name).post(StopDecider())
-        for name in self.by_pool.keys() & matches.keys():  # else the quotas of a former contract would stay
-            self.by_pool[name].update_tenants(self.settings(tenants[name]))
-        fresh = [name for name in matches if name not in self.by_pool]
-        for name in fresh:
-            self.by_pool[name] = self.make(name, tenants[name])
+        for name in self.by_pool.keys() & matches.keys():  # their quotas may have changed
+            self.by_pool[name].update_tenants(self.settings_for(tenants[name]))
+        new_pools = [name for name in matches if name not in self.by_pool]
+        for name in new_pools:
+            self.by_pool[name] = self.make_decider(name, tenants[name])
             if running:
                 self.by_pool[name].start()
-        self.current = frozenset(matches)
-        if self.split is None:
-            self.split = PoolAssignment(matches)
+        self.current_pools = frozenset(matches)
+        if self.assignment is None:
+            self.assignment = PoolAssignment(matches)
             return
-        old = {name: self.split.matches[name] for name in standing}
-        for name, update in self.split.replace_pools({**matches, **old}).items():
+        draining_matches = {name: self.assignment.matches[name] for name in draining}
+        for name, update in self.assignment.replace_pools({**matches, **draining_matches}).items():
             self.by_pool[name].post(update)
 
     def has_destination(self, pool: str) -> bool:
-        """Has the pool a destination that takes new connections?"""
-        return self.split is None or pool in self.split.available_pools
+        """Return whether the pool has a destination that accepts new connections."""
+        return self.assignment is None or pool in self.assignment.available_pools
 
     def for_destination(self, destination: int) -> Decider:
-        """The decider of the pool that a destination is in, or any where it is in none."""
-        members = self.split.destinations if self.split is not None else {}
+        """Return the decider of the destination's pool, or the first decider if it is in no pool."""
+        destinations_by_pool = self.assignment.destinations if self.assignment is not None else {}
         return next(
-            (self.by_pool[name] for name, held in members.items() if destination in held),
+            (self.by_pool[name] for name, members in destinations_by_pool.items() if destination in members),
             next(iter(self.by_pool.values())),
         )
 
     def apply_update(self, update: PoolUpdate) -> None:
-        """Discovery's list has changed, or could not be had."""
-        if self.split is None:
-            self.by_pool[ALL].post(update)
+        """Pass on a change of discovery's list, or the failure to fetch it, and stop drained deciders."""
+        if self.assignment is None:
+            self.by_pool[DEFAULT_POOL].post(update)
             return
-        for name, part in self.split.apply(update, self.labels()).items():
-            self.by_pool[name].post(part)
+        for name, pool_update in self.assignment.apply(update, self.labels()).items():
+            self.by_pool[name].post(pool_update)
         for name in [
-            name for name, one in self.by_pool.items() if name not in self.current and not one.clients
+            name
+            for name, decider in self.by_pool.items()
+            if name not in self.current_pools and not decider.clients
         ]:
             self.by_pool.pop(name).post(StopDecider())
-            self.split.remove_pool(name)
+            self.assignment.remove_pool(name)
 
     def forward(self, message: MessageDelay | DestinationSilent) -> None:
-        """What the gauge has to tell."""
+        """Pass on a report of the delay monitor: silence to all deciders, a delay to its client's decider."""
         if isinstance(message, DestinationSilent):
             for decider in self.by_pool.values():
                 decider.post(message)
             return
-        ask: Any = getattr(message.client, "request", None)
-        if ask is not None:
-            ask.post(message)
+        request: Any = getattr(message.client, "request", None)
+        if request is not None:
+            request.post(message)
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -160,7 +160,7 @@
             self.loop, settings, seed, self.now_ms, lambda: self.pool.post(WatchPool()), self.probe
         )
         if self.fleet is not None:
-            decider.observe = self.fleet.record_step
+            decider.observer = self.fleet.record_step
         return decider
 
     # -- what the fleet link needs (net/host.py) -----------------------------------------------------------
