--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -1,4 +1,4 @@
-"""The contract stage: each request is held to its team's limits before the module hears of it."""
+"""The contract stage: checks each request against its team's limits before the decision module gets it."""
 
 from __future__ import annotations
 
@@ -16,40 +16,43 @@
 
 
 class CheckLimits:
-    """To the reclaimer: something may have to be moved."""
+    """Sent to the reclaimer: connections may have to be reclaimed."""
 
 
 class Reclaimer(Actor):
-    """Has clients moved, at the ledger's pace, while there is something to move."""
+    """Moves clients away, at the pace that admission control sets, until nothing more is to be reclaimed."""
 
     restart_after_fault = True
 
-    def __init__(self, loop: Loop, ledger: AdmissionController) -> None:
+    def __init__(self, loop: Loop, admission: AdmissionController) -> None:
         super().__init__(loop)
-        self.ledger = ledger
-        self.until: float | None = None
+        self.admission = admission
+        self.next_reclaim_at: float | None = (
+            None  # s on the loop's clock; None while there is nothing to reclaim
+        )
 
     def run(self) -> Coroutine:
-        self.until = None
+        self.next_reclaim_at = None
         while True:
-            yield Wait(until=self.until)
+            yield Wait(until=self.next_reclaim_at)
             self.mailbox.clear()
             now = self.loop.clock()
-            if self.until is None or now >= self.until:
-                for lease in self.ledger.reclaim(now):
+            if self.next_reclaim_at is None or now >= self.next_reclaim_at:
+                for lease in self.admission.reclaim(now):
                     front = lease.owner
                     if isinstance(front, Actor):
                         front.post(MoveAway("reclaimed"))
-                wait = self.ledger.reclaim_delay_s()
-                self.until = None if wait is None else now + wait
+                delay_s = self.admission.reclaim_delay_s()
+                self.next_reclaim_at = None if delay_s is None else now + delay_s
 
     def check(self) -> None:
-        if self.until is None and self.ledger.needs_reclaim():
+        """Start reclaiming if it is needed and not under way."""
+        if self.next_reclaim_at is None and self.admission.needs_reclaim():
             self.post(CheckLimits())
 
 
 class ContractStage(Stage):
-    """Finds the team and its pool, asks the ledger, and gives back once whatever was held."""
+    """Assigns each request to its team and pool, admits it, and releases its lease once when it has ended."""
 
     def __init__(
         self,
@@ -59,72 +62,77 @@
         balancers: int,
         index: int,
         seed: int,
-        longest_ms: float,
+        max_retry_after_ms: float,
         retry_after_ms: Callable[[], float],
     ) -> None:
         self.loop, self.contracts, self.pool_deciders = loop, contracts, pool_deciders
         self.balancers, self.index = balancers, index
-        self.longest_ms, self.retry_after_ms = longest_ms, retry_after_ms
-        self.ledger = AdmissionController(
-            balancer_limits(contracts, balancers, index), seed, longest_ms / 1000.0
+        self.max_retry_after_ms, self.retry_after_ms = max_retry_after_ms, retry_after_ms
+        self.admission = AdmissionController(
+            balancer_limits(contracts, balancers, index), seed, max_retry_after_ms / 1000.0
+        )
+        self.reclaimer = Reclaimer(loop, self.admission)
+        self.rights: dict[str, float] | None = (
+            None  # by budget; None if rights are not moved between balancers
         )
-        self.reclaimer = Reclaimer(loop, self.ledger)
-        self.rights: dict[str, float] | None = None  # of the budgets, where balancers move them
-        self.stricter_shares: dict[str, float] = {}  # parts of budgets, where others' contracts allow less
-        self.refused: Counter[tuple[str, str]] = Counter()  # by team and resource, since the last look
-        self.admitted: Counter[str] = Counter()
-        self._pools(running=False)
+        # Fractions of budgets that are usable where other balancers' contracts allow less
+        self.stricter_shares: dict[str, float] = {}
+        # Requests since the last measurement of demand
+        self.refused: Counter[tuple[str, str]] = Counter()  # by team and resource
+        self.admitted: Counter[str] = Counter()  # by team
+        self._apply_pools(running=False)
 
     def apply(self, contracts: Contracts) -> None:
-        """Other contracts from now on, all at once."""
+        """Replace all contracts at once."""
         self.contracts = contracts
-        book = balancer_limits(contracts, self.balancers, self.index, self.rights)
-        self.ledger.apply(book, self.loop.clock())
-        self._pools(running=True)
+        limits = balancer_limits(contracts, self.balancers, self.index, self.rights)
+        self.admission.apply(limits, self.loop.clock())
+        self._apply_pools(running=True)
         self.reclaimer.check()
 
     def budgets(self) -> dict[str, tuple[float, bool]]:
-        """The static part of each budget, and whether it counts whole things."""
-        found = balancer_budgets(self.contracts, self.balancers, self.index)
-        for key, part in self.stricter_shares.items():
-            if key in found:
-                most, whole = found[key]
-                found[key] = math.floor(part * most + 1e-9) if whole else part * most, whole
-        return found
+        """Return this balancer's static share of each budget and whether it counts in whole units."""
+        shares = balancer_budgets(self.contracts, self.balancers, self.index)
+        for key, fraction in self.stricter_shares.items():
+            if key in shares:
+                amount, whole = shares[key]
+                shares[key] = math.floor(fraction * amount + 1e-9) if whole else fraction * amount, whole
+        return shares
 
     def set_rights(self, rights: dict[str, float]) -> None:
-        """This balancer's rights from now on; what stands beyond them is moved at the ledger's pace."""
+        """Replace this balancer's rights; admission control reclaims connections beyond them step by step."""
         if rights != self.rights:
             self.rights = rights
-            book = balancer_limits(self.contracts, self.balancers, self.index, rights)
-            self.ledger.apply(book, self.loop.clock())
+            limits = balancer_limits(self.contracts, self.balancers, self.index, rights)
+            self.admission.apply(limits, self.loop.clock())
             self.reclaimer.check()
 
     def measure_demand(self, seconds: float) -> tuple[dict[str, float], dict[str, float]]:
-        """By budget, what is in use, and what would be if nobody had been refused in the last seconds.
+        """Return, by budget, the amount in use and the amount wanted over the last ``seconds``.
 
-        Who is refused comes again, so one that wants may be counted several times: the wish is at most twice
-        what there is, and grows from look to look while more are refused.
+        The amount wanted includes refused requests. Refused clients retry, so that one client may be counted
+        several times. The amount wanted is therefore limited to twice the amount in use, and grows with each
+        measurement while requests are refused.
         """
         used: dict[str, float] = {"fleet.connections": 0.0, "fleet.setups": 0.0}
         wanted = dict(used)
         for name in self.contracts.teams:
-            team = self.ledger.teams.get(name)
-            held = team.connection_share.in_use if team is not None else 0.0
-            for key, now, refused in (
-                ("connections", held, float(self.refused[name, "connections"])),
+            team = self.admission.teams.get(name)
+            connections = team.connection_share.in_use if team is not None else 0.0
+            for key, amount, refused in (
+                ("connections", connections, float(self.refused[name, "connections"])),
                 ("setups", self.admitted[name] / seconds, self.refused[name, "rate"] / seconds),
             ):
-                wish = now + min(refused, max(now, 1.0))
-                used[f"{name}.{key}"], wanted[f"{name}.{key}"] = now, wish
-                used[f"fleet.{key}"] += now
-                wanted[f"fleet.{key}"] += wish
+                demand = amount + min(refused, max(amount, 1.0))
+                used[f"{name}.{key}"], wanted[f"{name}.{key}"] = amount, demand
+                used[f"fleet.{key}"] += amount
+                wanted[f"fleet.{key}"] += demand
         self.refused.clear()
         self.admitted.clear()
         return used, wanted
 
-    def _pools(self, running: bool) -> None:
-        tenants = {
+    def _apply_pools(self, running: bool) -> None:
+        tenants_by_pool = {
             pool: frozenset(
                 tenant
                 for team in self.contracts.teams.values()
@@ -133,46 +141,50 @@
             )
             for pool in self.contracts.pools
         }
-        self.pool_deciders.set_pools(self.contracts.pools, tenants, running)
-        self.tenants = {tenant: self.ledger.teams[name] for tenant, name in self.contracts.tenants.items()}
+        self.pool_deciders.set_pools(self.contracts.pools, tenants_by_pool, running)
+        self.team_by_tenant = {
+            tenant: self.admission.teams[name] for tenant, name in self.contracts.tenants.items()
+        }
 
     def _busy(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Rejection:
-        wait = self.retry_after_ms() if wait_ms is None else wait_ms
-        return Rejection(lines.busy_line(min(max(1.0, wait), self.longest_ms)), reason, detail)
+        delay_ms = self.retry_after_ms() if wait_ms is None else wait_ms
+        return Rejection(lines.busy_line(min(max(1.0, delay_ms), self.max_retry_after_ms)), reason, detail)
 
-    def enter(self, ask: Request) -> Rejection | None:
-        now, team = self.loop.clock(), self.tenants.get(ask.tenant)
+    def enter(self, request: Request) -> Rejection | None:
+        now, team = self.loop.clock(), self.team_by_tenant.get(request.tenant)
         if team is None:
-            return self._busy("no-contract") if not ask.resumed_destination else None
-        ask.team, pool = team.name, team.pool
-        if ask.resumed_destination:  # it stood before: counted, never refused
-            ask.lease = self.ledger.adopt(now, ask.client, ask.team, ask.class_name)
-            ask.decider = self.pool_deciders.by_pool[pool]
+            return self._busy("no-contract") if not request.resumed_destination else None
+        request.team, pool = team.name, team.pool
+        if request.resumed_destination:  # counted against the limits, but never refused
+            request.lease = self.admission.adopt(now, request.client, request.team, request.class_name)
+            request.decider = self.pool_deciders.by_pool[pool]
             return None
         if not self.pool_deciders.has_destination(pool):
             return self._busy("no-destinations", f"pool={pool}")
-        got = self.ledger.admit_for_team(now, ask.client, team, ask.class_name, ask.opening.key)
-        if isinstance(got, Refusal):
-            self.refused[ask.team, "rate" if got.reason == "over-rate" else "connections"] += 1
+        result = self.admission.admit_for_team(
+            now, request.client, team, request.class_name, request.opening.key
+        )
+        if isinstance(result, Refusal):
+            self.refused[request.team, "rate" if result.reason == "over-rate" else "connections"] += 1
             self.reclaimer.check()
-            return self._busy(got.reason, f"limit={got.limit}", 1000.0 * got.retry_after_s)
-        self.admitted[ask.team] += 1
-        ask.lease, ask.decider = got, self.pool_deciders.by_pool[pool]
-        ask.wait_ms = min(ask.wait_ms, got.class_state.max_wait_ms)
+            return self._busy(result.reason, f"limit={result.limit}", 1000.0 * result.retry_after_s)
+        self.admitted[request.team] += 1
+        request.lease, request.decider = result, self.pool_deciders.by_pool[pool]
+        request.wait_ms = min(request.wait_ms, result.class_state.max_wait_ms)
         self.reclaimer.check()
         return None
 
-    def on_established(self, ask: Request) -> None:
-        if isinstance(ask.lease, Lease):
-            self.ledger.mark_established(ask.lease)
-            if self.ledger.teams_over_ceiling or self.ledger.misplaced_leases:
+    def on_established(self, request: Request) -> None:
+        if isinstance(request.lease, Lease):
+            self.admission.mark_established(request.lease)
+            if self.admission.teams_over_ceiling or self.admission.misplaced_leases:
                 self.reclaimer.check()
 
-    def on_load(self, ask: Request, figure: float) -> None:
-        if isinstance(ask.lease, Lease):
-            self.ledger.update_load(ask.lease, figure)
+    def on_load(self, request: Request, load_per_s: float) -> None:
+        if isinstance(request.lease, Lease):
+            self.admission.update_load(request.lease, load_per_s)
             self.reclaimer.check()
 
-    def on_ended(self, ask: Request) -> None:
-        if isinstance(ask.lease, Lease):
-            self.ledger.release(ask.lease)
+    def on_ended(self, request: Request) -> None:
+        if isinstance(request.lease, Lease):
+            self.admission.release(request.lease)
--- a/snowwick/net/probe.py
+++ b/snowwick/net/probe.py
@@ -1,4 +1,4 @@
-"""A probe: one PING, or STATS where destinations report their load, on a connection of its own, timed."""
+"""A probe of a destination: one timed PING, or STATS if destinations report their load."""
 
 from __future__ import annotations
 
@@ -11,54 +11,62 @@
 
 
 class Probe(LinePeer):
-    """Connects, asks, tells the decider how many ms the answer took and the load it reports, and closes.
+    """Opens a connection, times one request on it, posts the result to the decider and closes.
 
-    The time of the connect does not count: the kernel answers that, whatever the destination has to do.
-    ``field`` names the figure of the report that is the load, empty where nothing is reported.
-    Raises OSError where there is no descriptor for it.
+    The time to connect is not counted, since the kernel accepts connections however busy the destination is.
+    ``load_field`` names the figure of the load report to use; it is empty if no load is reported.
+    Raises OSError if no file descriptor is available.
     """
 
     def __init__(
         self,
         loop: Loop,
-        number: int,
+        destination: int,
         address: tuple[str, int],
-        wait: float,
+        timeout_s: float,
         decider: Decider,
-        field: str = "",
+        load_field: str = "",
     ) -> None:
         super().__init__(loop, configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
-        self.number, self.address, self.wait, self.decider = number, address, wait, decider
-        self.field, self.elapsed, self.load = field, -1.0, -1.0
+        self.destination, self.address, self.timeout_s, self.decider = (
+            destination,
+            address,
+            timeout_s,
+            decider,
+        )
+        self.load_field, self.elapsed_ms, self.load = load_field, -1.0, -1.0  # -1 while unknown
 
     def run(self) -> Coroutine:
         try:
-            until = self.loop.clock() + self.wait
-            if (yield from connect(self, self.sock, self.address, until)):
-                sent = self.loop.clock()
-                self.output_buffer += (lines.STATS if self.field else lines.PING) + b"\r\n"
+            deadline = self.loop.clock() + self.timeout_s
+            if (yield from connect(self, self.sock, self.address, deadline)):
+                sent_at = self.loop.clock()
+                self.output_buffer += (lines.STATS if self.load_field else lines.PING) + b"\r\n"
                 self.flush()
-                while not self._answered(sent):
-                    woke = yield Wait(self.sock, read=True, until=until)
-                    if woke & TIMED_OUT or (woke & READABLE and not self.receive()):
+                while not self._answered(sent_at):
+                    wake_flags = yield Wait(self.sock, read=True, until=deadline)
+                    if wake_flags & TIMED_OUT or (wake_flags & READABLE and not self.receive()):
                         break
         except (OSError, lines.MalformedLine):
-            pass  # refused, broken or no line: no answer
+            pass  # connection refused, reset or malformed line: counts as no answer
         finally:
             self.close_socket()
-            self.decider.post(ProbeAnswer(self.number, self.elapsed, self.load))
+            self.decider.post(ProbeAnswer(self.destination, self.elapsed_ms, self.load))
 
-    def _answered(self, sent: float) -> bool:
-        """Has all come that is waited for?  The report stands behind the word, or in a line of its own."""
+    def _answered(self, sent_at: float) -> bool:
+        """Return whether the whole answer has arrived.
+
+        The load report follows the word PONG on the same line or on a line of its own.
+        """
         while (line := lines.take_line(self.input_buffer)) is not None:
             words = line.split(None, 1)
-            if self.elapsed < 0.0:
+            if self.elapsed_ms < 0.0:
                 if words[:1] != [b"PONG"]:
                     return True
-                self.elapsed = 1000.0 * (self.loop.clock() - sent)
+                self.elapsed_ms = 1000.0 * (self.loop.clock() - sent_at)
                 words = words[1:]
-            if words or not self.field:
+            if words or not self.load_field:
                 figures = lines.parse_report(words[0].strip()) if words else None
-                self.load = (figures or {}).get(self.field, -1.0)
+                self.load = (figures or {}).get(self.load_field, -1.0)
                 return True
         return False
