--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -1,4 +1,4 @@
-"""One connection to a destination: the route step that sets it up, then its side of the relay."""
+"""The destination's side of a connection: the route step that sets it up, then the relay of its lines."""
 
 from __future__ import annotations
 
@@ -14,18 +14,17 @@
 from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
 from snowwick.net.peer import LinePeer, PeerEnded, RelayedLines, configure_socket, connect
 
-SILENCE_TIMEOUT_S = 5.5  # s without a line back after which a client is moved: the protocol allows seven
-MIN_UNANSWERED_S = 3.0  # s that a line must have waited before silence counts
-OUTCOME_BY_LAST_LINE = {
-    Reply.BYE: Outcome.OK,
-    Reply.MOVE: Outcome.CANCELLED,
-}  # once established
+SILENCE_TIMEOUT_S = 5.5  # without a line back, the client is moved after this time; the protocol allows 7 s
+MIN_UNANSWERED_S = 3.0  # silence counts only once a line has been unanswered for this long
+# Outcome of an established connection by the last line from the destination
+OUTCOME_BY_LAST_LINE = {Reply.BYE: Outcome.OK, Reply.MOVE: Outcome.CANCELLED}
+# Outcome of a route step by the destination's answer to the opening line
 OUTCOME_BY_ANSWER = {**OUTCOME_BY_LAST_LINE, Reply.BUSY: Outcome.FULL}
 
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """To the front: the connection stands; ``line`` is what the destination said."""
+    """To the front: the connection is established; ``line`` is the destination's UP line."""
 
     line: bytes
     elapsed_ms: float
@@ -33,7 +32,7 @@
 
 @dataclass(slots=True)
 class ConnectionEnded:
-    """To the front: the route step, or the connection it became, has ended at the destination."""
+    """To the front: the route step, or the connection established by it, has ended."""
 
     outcome: Outcome
     elapsed_ms: float
@@ -54,23 +53,20 @@
         gauge: Gauge,
     ) -> None:
         super().__init__(loop, configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
-        self.front, self.destination_number, self.address, self.opening = (
-            front,
-            destination_number,
-            address,
-            opening,
-        )
-        self.gauge, self.meter = (
-            gauge,
-            Meter(front, destination_number, Answers()),
-        )
+        self.front = front
+        self.destination_number = destination_number
+        self.address = address
+        self.opening = opening
+        self.gauge = gauge
+        # Replaced by a meter of the gauge once the connection is established
+        self.meter = Meter(front, destination_number, Answers())
         self.started_at = loop.clock()
         self.answer_deadline = self.started_at + wait_s
         self.connect_deadline = min(self.answer_deadline, self.started_at + connect_timeout_s)
-        self.last_reply = Reply.OTHER  # what the last line from the destination was
-        self.end_reported = self.abandoned = (
-            False  # told the front of its end; the client stirred before the opening
-        )
+        self.last_reply = Reply.OTHER  # kind of the last line from the destination
+        # end_reported: the front has been sent the end of this connection
+        # cancelled_by_client: the client closed or sent input before the opening line was written
+        self.end_reported = self.cancelled_by_client = False
 
     def run(self) -> Coroutine:
         outcome: Outcome | None = Outcome.RESET
@@ -81,14 +77,15 @@
                 self.other_side = self.front
                 yield from self.relay()
         except OSError:
+            # The last line from the destination decides, however the connection was closed.
             outcome = OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET)
             self.notify_other_side(PeerEnded(reset=True))
         except lines.MalformedLine:
-            # The destination still answers: its client is sent away politely, not cut off.
+            # The destination still answers, so the client is sent a MOVE rather than disconnected.
             self.front.post(MoveAway("garbled-destination"))
         finally:
             self.gauge.remove(self.meter)
-            # Closed before the front hears of it: the next route step must not find this one still out.
+            # Close before the front is notified: the next route step must not start while this one is open.
             self.close_socket()
             self._report_end(outcome or Outcome.RESET)
 
@@ -101,65 +98,68 @@
             self.front.post(ConnectionEnded(outcome, self._elapsed_ms()))
 
     def _set_up(self) -> Generator[Wait, int, Outcome | None]:
-        """Connect, send the opening line, take the answer; None once the connection stands."""
+        """Connect, send the opening line and read the answer; returns None once established."""
         try:
             yield from self._send_opening()
         except OSError:
-            return Outcome.CONNECT_FAILED  # its last byte was never written, so it never ran
+            return Outcome.CONNECT_FAILED  # the opening line was not fully sent, so nothing was executed
         if self.mailbox:
             return Outcome.CANCELLED
         if self.output_buffer:
-            return Outcome.UNSENT if self.abandoned else Outcome.CONNECT_FAILED
+            return Outcome.UNSENT if self.cancelled_by_client else Outcome.CONNECT_FAILED
         while True:
-            woke = yield Wait(self.sock, read=True, until=self.answer_deadline)
+            wake_flags = yield Wait(self.sock, read=True, until=self.answer_deadline)
             if self.mailbox:
                 return Outcome.CANCELLED
-            # Read once more as the time runs out: an answer that has come is no time-out.
-            if woke & (READABLE | TIMED_OUT):
+            # On a timeout read once more, since the answer may have arrived at the same time.
+            if wake_flags & (READABLE | TIMED_OUT):
                 try:
-                    going = self.receive()
+                    still_open = self.receive()
                 except OSError:
                     return Outcome.RESET
                 while (line := lines.take_line(self.input_buffer)) is not None:
-                    said = lines.reply_kind(line)
-                    if said is Reply.UP and lines.is_up_line(line):
+                    reply = lines.reply_kind(line)
+                    if reply is Reply.UP and lines.is_up_line(line):
                         self._establish(line)
                         return None
-                    if said is not Reply.LOAD:
-                        return OUTCOME_BY_ANSWER.get(said, Outcome.ERROR)
-                if not going:
+                    if reply is not Reply.LOAD:
+                        return OUTCOME_BY_ANSWER.get(reply, Outcome.ERROR)
+                if not still_open:
                     return Outcome.RESET
-            if woke & TIMED_OUT:
+            if wake_flags & TIMED_OUT:
                 return Outcome.TIMEOUT
 
     def _send_opening(self) -> Coroutine:
-        """Returns with ``out`` not empty where the time ran out."""
+        """Connect and write the opening line; on a timeout part of it remains in the output buffer."""
         self.output_buffer += self.opening
         if not (yield from connect(self, self.sock, self.address, self.connect_deadline)):
             return
-        # The client may have gone while the connection came up, and its side may be resumed after this one.
-        self.abandoned = self.front.has_unread_input()
-        if self.abandoned:
+        # The client may have left during the connect, and the front may run only after this actor.
+        self.cancelled_by_client = self.front.has_unread_input()
+        if self.cancelled_by_client:
             return
         self._write()
         while self.output_buffer and not self.mailbox:
-            woke = yield Wait(self.sock, write=True, until=self.answer_deadline)
-            if woke & TIMED_OUT:
+            wake_flags = yield Wait(self.sock, write=True, until=self.answer_deadline)
+            if wake_flags & TIMED_OUT:
                 return
             self._write()
 
     def _write(self) -> None:
-        """Unlike later, a write that fails here says that the opening never got there: raises OSError."""
+        """Write what the socket accepts.
+
+        Raises OSError, unlike ``flush``: a write that fails here means that the opening line did not arrive.
+        """
         with contextlib.suppress(BlockingIOError):
             del self.output_buffer[: self.sock.send(self.output_buffer)]
 
     def _establish(self, line: bytes) -> None:
         self.front.post(ConnectionEstablished(line, self._elapsed_ms()))
         self.meter = self.gauge.add(self.front, self.destination_number)
-        rest = lines.take_lines(self.input_buffer)
-        if rest:
-            self.on_lines(rest)
-            self.front.post(RelayedLines(rest))
+        remaining_lines = lines.take_lines(self.input_buffer)
+        if remaining_lines:
+            self.on_lines(remaining_lines)
+            self.front.post(RelayedLines(remaining_lines))
 
     def on_lines(self, data: bytes) -> None:
         now = self.loop.clock()
@@ -186,9 +186,9 @@
         return max(self.meter.heard + SILENCE_TIMEOUT_S, self.meter.asked[0] + MIN_UNANSWERED_S)
 
     def on_deadline(self) -> bool:
-        """Guards against a destination that hangs or vanished: its connection stays open and says nothing."""
+        """Move the client away from a destination that hangs or has vanished while the connection is open."""
         if self.close_deadline is not None:
             return False
-        self.meter.asked.clear()  # asked once is enough; the front ends both sides
+        self.meter.asked.clear()  # one MoveAway is enough; the front ends both sides
         self.front.post(MoveAway("silent"))
         return True
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -1,4 +1,4 @@
-"""The client's side: the front socket's first line, its one answer, then its side of the relay."""
+"""The client's side of a connection: reads the opening line, sends the one answer, then relays lines."""
 
 from __future__ import annotations
 
@@ -25,22 +25,28 @@
 from snowwick.net.path import Request, RequestPath, make_request
 from snowwick.net.peer import CLOSE_GRACE_S, LinePeer, PeerEnded, configure_socket
 
-OPENING_TIMEOUT_S = 2.0  # s that a front socket may stay without an opening line, whatever else it says
-MAX_LINGER_S = 5.0  # s at most in which the rest of what a client sends is read, once it has its answer
-MIN_IDLE_S = 0.05  # s in which a front socket that was just taken or answered is not ended to make room
-RESUME_TIMEOUT_S = 40.0  # s that a connection which stood before may take to come up again
+# A front socket without an opening line is closed after this time, whatever other lines it has sent
+OPENING_TIMEOUT_S = 2.0
+MAX_LINGER_S = 5.0  # after the answer, further input is read and discarded for at most this long
+# A front socket is not evicted within this time after it was accepted or answered
+MIN_IDLE_S = 0.05
+# Most time to set up again a connection that existed before this program started
+RESUME_TIMEOUT_S = 40.0
 
 
 class EvictIdle:
-    """To a front without a request: end, its descriptor is wanted."""
+    """To a front without a request: close, because descriptors are running out."""
 
 
 class ShuttingDown:
-    """To a front: the program ends.  What is owed is answered, who stands is moved, who rests is ended."""
+    """To a front: the program is shutting down.
+
+    A pending request is answered, an established connection is moved, and an idle front socket is closed.
+    """
 
 
 class FrontHost(Protocol):
-    """What a front needs of the program round it."""
+    """What a front needs from the service that owns it."""
 
     loop: Loop
     request_path: RequestPath
@@ -48,45 +54,47 @@
 
     @property
     def groups_enabled(self) -> bool:
-        """Has ``g`` a meaning in the settings?"""
+        """Whether the settings use the group value ``g`` of opening lines."""
 
     @property
     def connect_timeout_s(self) -> float:
-        """Seconds that a connect may take."""
+        """Most time in seconds for connecting to a destination."""
 
     def destination_number(self, name: str) -> int:
-        """A destination's number by its name."""
+        """Returns the number of the destination with this name."""
 
     def destination_address(self, destination: int) -> tuple[str, int] | None:
-        """Where a destination is, if the pool config has it."""
+        """Returns the address of a destination, or None if it is not in the pool config."""
 
     def retry_after_ms(self) -> float:
-        """When a client that gets a busy reply without a decision should return."""
+        """Returns the retry delay in ms for a busy reply that is sent without asking the decider."""
 
     def on_request(self, front: Front) -> None:
-        """The front has a request now."""
+        """Called when the front starts to handle a request."""
 
     def on_answered(self, front: Front) -> None:
-        """The front has its answer; its socket may have to stay a little."""
+        """Called when the final answer is being sent; the socket may stay open a little longer."""
 
     def on_front_closed(self, front: Front) -> None:
-        """The front is gone."""
+        """Called when the front's socket has been closed."""
 
 
 class Front(LinePeer):
-    """One client's connection."""
+    """The client's side of one connection."""
 
     def __init__(self, host: FrontHost, sock: socket.socket) -> None:
         super().__init__(host.loop, configure_socket(sock))
-        self.host, self.reason, self.detail = host, "fault", ""
+        self.host = host
+        self.reason = "fault"
+        self.detail = ""
         self.request: Request | None = None
         self.route_step: Destination | None = None
+        # at_decider: the request has been handed to the decider; False for resumed connections
         self.at_decider = self.established = False
-        self.may_have_run = False  # may an attempt have run?  Then a busy reply would promise too much
+        # A destination may have executed the request: a busy reply, which promises the opposite, is ruled out
+        self.may_have_run = False
         self.destination_number = -1
-        self.accepted_at = self.request_started_at = self.answer_deadline = self.answered_at = (
-            self.loop.clock()
-        )
+        self.accepted_at = self.started_at = self.answer_deadline = self.answered_at = self.loop.clock()
 
     def run(self) -> Coroutine:
         try:
@@ -95,7 +103,8 @@
             self.reason = "front-reset"
             self.notify_other_side(PeerEnded(reset=True))
         except lines.MalformedLine as error:
-            self.reason, self.detail = "garbled", str(error)
+            self.reason = "garbled"
+            self.detail = str(error)
             yield from self._send_answer(lines.ERR)
         finally:
             self._release_request()
@@ -103,7 +112,7 @@
             self.host.on_front_closed(self)
 
     def _release_request(self) -> None:
-        """Whatever ended this side, the decider and the step hear of it."""
+        """Notify the decider, the route step and the stages that this side is done with the request."""
         if self.request is None:
             return
         if self.at_decider and not self.established:
@@ -120,7 +129,8 @@
         self.request = make_request(self, opening, self.host.groups_enabled)
         rejection = self.host.request_path.enter(self.request)
         if rejection is not None:
-            self.reason, self.detail = rejection.reason, rejection.detail
+            self.reason = rejection.reason
+            self.detail = rejection.detail
             yield from self._send_answer(rejection.line)
             return
         self._start_request(self.request)
@@ -131,49 +141,49 @@
             yield from self.relay()
 
     def _read_opening(self) -> Generator[Wait, int, lines.Opening | None]:
-        """The opening line; None where there will be none, and then ``reason`` says why."""
-        until = self.accepted_at + OPENING_TIMEOUT_S
+        """Read the opening line; returns None, with ``reason`` set, if the connection ends without one."""
+        deadline = self.accepted_at + OPENING_TIMEOUT_S
         self.reason = "no-opening"
         while True:
-            # Who asks without reading the answers is read no further: the answers would pile up.
-            woke = yield Wait(
-                self.sock, read=not self.output_full(), write=bool(self.output_buffer), until=until
+            # Stop reading from a client that does not read its replies, since they would accumulate.
+            wake_flags = yield Wait(
+                self.sock, read=not self.output_full(), write=bool(self.output_buffer), until=deadline
             )
-            ended = ""
+            end_reason = ""
             for message in self.take_messages():
-                ended = "draining" if isinstance(message, ShuttingDown) else "made-room"
-            # Whatever ends it, what lies in the socket is read first: a request there is owed its answer.
-            going = self.receive() if woke & (READABLE | TIMED_OUT) or ended else True
+                end_reason = "draining" if isinstance(message, ShuttingDown) else "made-room"
+            # Read the socket even when closing: a request that has already arrived must be answered.
+            still_open = self.receive() if wake_flags & (READABLE | TIMED_OUT) or end_reason else True
             while (line := lines.take_line(self.input_buffer)) is not None:
-                word = line.rstrip(b"\r\n")
-                if word == lines.PING:
+                command = line.rstrip(b"\r\n")
+                if command == lines.PING:
                     self.reason = "ping"
                     self.output_buffer += lines.PONG
-                elif word == lines.STATS:
+                elif command == lines.STATS:
                     self.output_buffer += lines.NO
                 else:
                     opening = lines.parse_opening(line)
-                    # Who sends on top of it or goes at once shows now, before anything is decided.
-                    going = going and self.receive()
+                    # Read again to detect extra input or a closed connection before the request is handled.
+                    still_open = still_open and self.receive()
                     if self.input_buffer:
-                        raise lines.MalformedLine("more than an opening line")
-                    if going:
+                        raise lines.MalformedLine("unexpected input after the opening line")
+                    if still_open:
                         return opening
                     self.reason = "left"
                     return None
             self.flush()
-            if woke & TIMED_OUT and self.input_buffer:
-                raise lines.MalformedLine("no whole line in time")
-            if not going or self.write_failed:
+            if wake_flags & TIMED_OUT and self.input_buffer:
+                raise lines.MalformedLine("no complete line before the timeout")
+            if not still_open or self.write_failed:
                 return None
-            if ended or woke & TIMED_OUT:
-                self.reason = ended or self.reason
+            if end_reason or wake_flags & TIMED_OUT:
+                self.reason = end_reason or self.reason
                 yield from self._send_answer(b"")
                 return None
 
     def _start_request(self, request: Request) -> None:
-        self.request_started_at = self.loop.clock()
-        self.answer_deadline = self.request_started_at + min(request.wait_ms / 1000.0, RESUME_TIMEOUT_S)
+        self.started_at = self.loop.clock()
+        self.answer_deadline = self.started_at + min(request.wait_ms / 1000.0, RESUME_TIMEOUT_S)
         self.host.on_request(self)
         if request.resumed_destination:
             self._start_route_step(self.host.destination_number(request.resumed_destination), request.wait_ms)
@@ -181,20 +191,25 @@
             self.at_decider = True
 
     def _await_answer(self) -> Generator[Wait, int, bytes | None]:
-        """Wait for the one final answer, making the route steps that the decider asks for."""
-        late = False
+        """Wait for the final answer, carrying out the decider's route steps.
+
+        Returns the line to send, or None if the connection is established or the client has left.
+        """
+        deadline_passed = False
         while True:
-            woke = yield Wait(self.sock, read=True, until=self.answer_deadline)
-            # The client first, whatever came with it: for one that has gone nothing more is sent on.
+            wake_flags = yield Wait(self.sock, read=True, until=self.answer_deadline)
+            # Check the client before the messages: no route step may start for a client that has left.
             if not self.receive():
                 self.reason = "left"
                 return None
             if self.input_buffer:
-                raise lines.MalformedLine("sent before its answer")
+                raise lines.MalformedLine("input received before the answer was sent")
             for message in self.take_messages():
                 if isinstance(message, RouteStep):
-                    left = remaining_wait_ms(self)
-                    self._start_route_step(message.destination, min(message.wait or left, left))
+                    remaining_ms = remaining_wait_ms(self)
+                    self._start_route_step(
+                        message.destination, min(message.wait or remaining_ms, remaining_ms)
+                    )
                 elif isinstance(message, ConnectionEstablished):
                     self._establish(message)
                     return None
@@ -206,21 +221,23 @@
                         return lines.ERR
                     self._finish_route_step(message.outcome, message.elapsed_ms, final=False)
                 elif isinstance(message, BusyReply):
-                    self.at_decider, self.reason = False, "busy"
+                    self.at_decider = False
+                    self.reason = "busy"
                     return lines.busy_line(message.retry_after)
                 elif isinstance(message, FailReply):
-                    self.at_decider, self.reason = False, "failed"
+                    self.at_decider = False
+                    self.reason = "failed"
                     return lines.ERR
                 elif isinstance(message, ShuttingDown):
                     self.reason = "draining"
-                    harmless = self.at_decider and self.route_step is None and not self.may_have_run
-                    return lines.busy_line(self.host.retry_after_ms()) if harmless else lines.ERR
-            if late:
-                # The decider answers before this; a fault in it must not leave the client without.
+                    safe_to_retry = self.at_decider and self.route_step is None and not self.may_have_run
+                    return lines.busy_line(self.host.retry_after_ms()) if safe_to_retry else lines.ERR
+            if deadline_passed:
+                # The decider normally answers earlier; this guards against a fault in it.
                 self.reason = "overdue"
                 return lines.ERR
-            # One turn more: an UP that came in this one is still on its way here.
-            late = bool(woke & TIMED_OUT)
+            # Wait for one more turn, because an UP that was read in this turn is not delivered yet.
+            deadline_passed = bool(wake_flags & TIMED_OUT)
 
     def _start_route_step(self, destination: int, wait_ms: float) -> None:
         assert self.request is not None
@@ -241,15 +258,17 @@
                 self.host.gauge,
             )
         except OSError as error:
-            # No descriptor for it: the client is still owed its one answer.
-            self.loop.log.event("route-step-failed", "route step: {error}", error=str(error))
+            # No descriptor is left for the route step; the client must still be answered.
+            self.loop.log.event("route-step-failed", "route step failed: {error}", error=str(error))
             self.post(ConnectionEnded(Outcome.CONNECT_FAILED, 0.0))
             return
         self.route_step.start()
 
     def _establish(self, message: ConnectionEstablished) -> None:
         assert self.request is not None
-        self.established, self.other_side, self.reason = True, self.route_step, "client-ended"
+        self.established = True
+        self.other_side = self.route_step
+        self.reason = "client-ended"
         self.output_buffer += message.line
         if self.at_decider:
             self.request.post(StepUp(self, self.destination_number, message.elapsed_ms))
@@ -258,38 +277,39 @@
         self.host.request_path.on_established(self.request)
         self.flush()
 
-    def _finish_route_step(self, outcome: Outcome, elapsed: float, final: bool) -> None:
+    def _finish_route_step(self, outcome: Outcome, elapsed_ms: float, final: bool) -> None:
         self.route_step = None
         assert self.request is not None
         if self.at_decider or self.established:
-            self.request.post(StepEnded(self, self.destination_number, outcome, elapsed, final))
+            self.request.post(StepEnded(self, self.destination_number, outcome, elapsed_ms, final))
         if final:
             self.host.request_path.on_ended(self.request)
 
     def _send_answer(self, line: bytes) -> Coroutine:
-        """Send the final answer and end the connection; what the client still sends is passed over."""
+        """Send the final answer and end the connection; further input is discarded."""
         self._release_request()
         self.at_decider = False
-        self.host.on_answered(self)  # and is the first to end where room is wanted
+        self.host.on_answered(self)
         self.input_buffer.clear()
         self.output_buffer += line
-        self.closing, self.other_side = True, None
+        self.closing = True
+        self.other_side = None
         self.answered_at = self.loop.clock()
         self.start_close_deadline()
         try:
             self.flush()
             yield from self.relay()
         except OSError:
-            pass  # answered; the client may have gone meanwhile
+            pass  # the answer has been sent; the client may have left
 
     def on_input_discarded(self) -> None:
-        """Who sends 60 MB may read the answer only after the last of them: there is more grace till then."""
+        """Extend the close deadline: a client that sends 60 MB may read the answer only after sending it."""
         if self.other_side is None:
             self.close_deadline = min(self.loop.clock() + CLOSE_GRACE_S, self.answered_at + MAX_LINGER_S)
 
     def on_message(self, message: object) -> None:
         if isinstance(message, EvictIdle):
-            # Only who has its answer on the wire: closed under it, the answer might be lost.
+            # Close only if the answer has been written, since it might be lost otherwise.
             if (
                 self.other_side is None
                 and not self.output_buffer
@@ -301,8 +321,9 @@
                 self.on_message(MoveAway("draining"))
         elif isinstance(message, MoveAway):
             if not self.closing:
-                self.reason, self.closing = message.reason, True
-                self.output_buffer += lines.MOVE  # `out` holds whole lines only
+                self.reason = message.reason
+                self.closing = True
+                self.output_buffer += lines.MOVE  # the buffer holds whole lines only
                 self.notify_other_side(PeerEnded())
                 self.start_close_deadline()
         elif isinstance(message, Load):
@@ -321,5 +342,5 @@
 
 
 def remaining_wait_ms(front: Front) -> float:
-    """Ms until the client gives up."""
+    """Returns the time in ms until the client stops waiting for the answer."""
     return 1000.0 * (front.answer_deadline - front.loop.clock())
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -1,8 +1,8 @@
-"""The path of a request: stages that it enters one after another, each of which may turn it away.
+"""The request path: a sequence of stages, each of which may reject the request.
 
-A stage that a request has entered is told when the connection stands, what load it brings, and once,
-whatever happened, that it is over.  Only the path counts which stages were entered, so that no stage can be
-left twice.
+Each stage that a request has entered is notified when the connection is established, of each load that is
+reported for it, and exactly once when it has ended, for whatever reason.  Only the path keeps track of the
+stages that were entered, so that no stage is notified of the end twice.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from snowwick.net import lines
 from snowwick.net.decider import Arrived, Client, Decider, Kept
 
-ANSWER_MARGIN_MS = 20.0  # ms taken off the client's patience, so that the answer is there in time
+ANSWER_MARGIN_MS = 20.0  # subtracted from the client's wait, so that the answer arrives in time
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One client's request and the connection it becomes; ``wait`` is in ms."""
+    """One client's request, and the connection that is established for it."""
 
     client: Client
     opening: lines.Opening
@@ -26,24 +26,24 @@
     tenant: str
     group: str
     wait_ms: float
-    resumed_destination: str = ""  # the destination where the connection stood before this program started
+    resumed_destination: str = ""  # where the connection was established before this program started
     decider: Decider | None = None
     team: str = ""
     lease: object | None = None
     stages_entered: int = 0
 
     def post(self, message: object) -> None:
-        """Tell whoever decides on it; before that is settled nobody needs to know."""
+        """Pass a message to the request's decider; dropped as long as no decider is assigned."""
         if self.decider is not None:
             self.decider.post(message)
 
     def report_resumed(self, destination: int) -> None:
-        """Tell the decider of a connection that it never placed."""
+        """Report to the decider a connection that was placed before this program started."""
         self.post(Kept(self.client, self.class_name, destination, self.opening.key, self.group, self.tenant))
 
 
 def make_request(client: Client, opening: lines.Opening, groups: bool) -> Request:
-    """What an opening line asks for; ``groups`` says whether the settings give ``g`` a meaning."""
+    """Build the request of an opening line; ``groups`` says whether the settings use the value ``g``."""
     values = opening.values
     return Request(
         client,
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class Rejection:
-    """The request ends at this stage: its final answer, the reason code and more for the log."""
+    """The final answer to a request that a stage rejects, with the reason code and a detail for the log."""
 
     line: bytes
     reason: str
@@ -66,24 +66,24 @@
 
 
 class Stage:
-    """One step of the path.  What it does not override is of no interest to it."""
+    """One stage of the request path; by default it accepts every request and ignores all notifications."""
 
     def enter(self, request: Request) -> Rejection | None:
-        """Let the request on, or say how it ends; who turns it away is not told that it is over."""
+        """Accept the request (None) or reject it; a stage is not notified of the end of what it rejects."""
         return None
 
     def on_established(self, request: Request) -> None:
-        """The connection is up."""
+        """Called when the connection is established."""
 
     def on_load(self, request: Request, load_per_s: float) -> None:
-        """The work a second that the connection asks for now."""
+        """Called with the connection's current load, in units of work per second."""
 
     def on_ended(self, request: Request) -> None:
-        """Nothing of it is left at a destination, or it never got there: once for each that entered."""
+        """Called once per accepted request, when no connection to a destination remains or none was made."""
 
 
 class RequestPath:
-    """The stages in order."""
+    """Runs requests through the stages in order."""
 
     def __init__(self, stages: Sequence[Stage]) -> None:
         self.stages = list(stages)
@@ -112,7 +112,7 @@
 
 
 class OpeningStage(Stage):
-    """The opening line holds what a usual client sends, and its id is open once only."""
+    """Rejects malformed opening lines, and ids that another open connection already uses."""
 
     def __init__(self, deadlines: Mapping[str, float], tenants: frozenset[str]) -> None:
         self.deadlines, self.tenants = deadlines, tenants
@@ -124,7 +124,7 @@
         except lines.MalformedLine as error:
             return Rejection(lines.ERR, "garbled", str(error))
         if request.opening.id in self.open_requests:
-            return Rejection(lines.ERR, "garbled", "id is open already")
+            return Rejection(lines.ERR, "garbled", "id is already in use by another connection")
         self.open_requests[request.opening.id] = request
         return None
 
@@ -133,7 +133,7 @@
 
 
 class CapacityStage(Stage):
-    """The program itself: while it ends, or is short of descriptors, nothing more is begun."""
+    """Rejects requests while the program shuts down or is short of descriptors."""
 
     def __init__(self, rejection_reason: Callable[[], str], retry_after_ms: Callable[[], float]) -> None:
         self.rejection_reason, self.retry_after_ms = rejection_reason, retry_after_ms
@@ -144,7 +144,7 @@
 
 
 class DeciderStage(Stage):
-    """The module: ``choose`` names the decider of an ask that no earlier stage has given one."""
+    """Passes the request to its decider; ``choose_decider`` picks one if no earlier stage has assigned it."""
 
     def __init__(self, choose_decider: Callable[[Request], Decider]) -> None:
         self.choose_decider = choose_decider
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -378,7 +378,7 @@
             id=ask.opening.id if ask else "-",
             reason=front.reason,
             destination=front.destination_number,
-            seconds=round(self.loop.clock() - front.request_started_at, 3),
+            seconds=round(self.loop.clock() - front.started_at, 3),
             team=ask.team if ask else "",
             detail=front.detail,
         )
