--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -20,7 +20,7 @@
 from snowwick.fleet.node import CaughtUp, DuplicateName, Node
 from snowwick.fleet.registers import DiscoveryState, HealthTracker, RegisterView, Revision
 from snowwick.fleet.rights import RENEW_S, Leases
-from snowwick.net.decider import Outcome, PoolNews, Silent, StepEnded, StepUp
+from snowwick.net.decider import DestinationSilent, Outcome, PoolUpdate, RouteStepEnded, RouteStepEstablished
 from snowwick.net.loop import Actor, Coroutine, Wait
 from snowwick.net.pool import parse_address
 
@@ -232,7 +232,7 @@
             del self.published_verdicts[destination]
             self._write_register(registers.HEALTH, str(destination), None, now)
         for destination in health.update_avoided(verdicts, now):
-            self.host.report_silent(Silent(destination))
+            self.host.report_silent(DestinationSilent(destination))
 
     def _share_list(self, now: float) -> None:
         pool, source = self.host.pool_config, self.file.share.discovery
@@ -252,7 +252,7 @@
                 version=pool.version,
             )
             self.host.apply_pool_news(
-                PoolNews(i.ListKind.CHANGES, [_as_draining(pool.entries[one]) for one in sorted(fresh)])
+                PoolUpdate(i.ListKind.CHANGES, [_as_draining(pool.entries[one]) for one in sorted(fresh)])
             )
         back = [
             one
@@ -260,7 +260,7 @@
             if one in pool.entries and pool.entries[one].state is i.State.READY
         ]
         if back:  # the newer list was taken back, as after a restore
-            self.host.apply_pool_news(PoolNews(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
+            self.host.apply_pool_news(PoolUpdate(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
         self.leaving = frozenset(heed)
 
     def _share_load(self, now: float) -> None:
@@ -279,7 +279,9 @@
         leases, epoch = self.leases, self.node.store.owners[self.node.name].epoch
         leases.update_shares(stage.budgets(), now)
         if now >= self.next_rights:
-            self.budget_usage, wanted = stage.wanted(max(SHARE_INTERVAL_S, now - self.next_rights + RENEW_S))
+            self.budget_usage, wanted = stage.measure_demand(
+                max(SHARE_INTERVAL_S, now - self.next_rights + RENEW_S)
+            )
             self.next_rights = now + RENEW_S
             for key, amount in wanted.items():
                 leases.budgets[key].record_demand(amount, now)
@@ -301,7 +303,7 @@
             )
             for to, grant in one.grant_requests(told, self.budget_usage.get(key, 0.0), now).items():
                 self._write_register(registers.RIGHTS, f"grant:{to}:{key}", grant, now)
-        stage.has(leases.targets(now))
+        stage.set_rights(leases.targets(now))
 
     def _share_revision(self, now: float) -> None:
         stage = self.host.contract_stage
@@ -346,25 +348,25 @@
         self.differing_members = differ
         if stage is not None:
             least = registers.stricter_limits(mine, others)
-            stage.stricter = {
+            stage.stricter_shares = {
                 key: limit / mine.limits[key] for key, limit in least.items() if mine.limits[key] > 0.0
             }
             if not self.file.share.rights:
-                stage.has({key: part for key, (part, _) in stage.budgets().items()})
+                stage.set_rights({key: part for key, (part, _) in stage.budgets().items()})
 
     # -- what is seen ------------------------------------------------------------------------------------
 
     def record_step(self, message: object) -> None:
         """What a decider hears: how route steps end tells which destinations are bad."""
         now = self.loop.clock()
-        if isinstance(message, StepUp):
+        if isinstance(message, RouteStepEstablished):
             self.health.record_served(message.destination, now)
-        elif isinstance(message, StepEnded) and not message.final and message.outcome in FAILED_OUTCOMES:
+        elif isinstance(message, RouteStepEnded) and not message.final and message.outcome in FAILED_OUTCOMES:
             self.health.record_failure(message.destination, message.outcome is Outcome.TIMEOUT, now)
 
     def record_silent(self, message: object) -> None:
         """What the gauge has to tell."""
-        if isinstance(message, Silent):
+        if isinstance(message, DestinationSilent):
             self.health.record_hanging(message.destination, self.loop.clock())
 
     def link_status(self) -> dict[str, Any]:
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -10,17 +10,16 @@
 from snowwick.net.decider import (
     NOT_EXECUTED,
     BusyReply,
+    ClientLeft,
     FailReply,
-    Left,
-    Load,
+    LoadReport,
     MoveAway,
     Outcome,
     RouteStep,
-    StepEnded,
-    StepUp,
+    RouteStepEstablished,
 )
+from snowwick.net.delay_monitor import Gauge
 from snowwick.net.destination import ConnectionEnded, ConnectionEstablished, Destination
-from snowwick.net.gauge import Gauge
 from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
 from snowwick.net.path import Request, RequestPath, make_request
 from snowwick.net.peer import CLOSE_GRACE_S, LinePeer, PeerEnded, configure_socket
@@ -50,7 +49,7 @@
 
     loop: Loop
     request_path: RequestPath
-    gauge: Gauge
+    delay_monitor: Gauge
 
     @property
     def groups_enabled(self) -> bool:
@@ -116,7 +115,7 @@
         if self.request is None:
             return
         if self.at_decider and not self.established:
-            self.request.post(Left(self, self.route_step is not None))
+            self.request.post(ClientLeft(self, self.route_step is not None))
         if self.route_step is not None:
             self.route_step.post(PeerEnded())
             self._finish_route_step(Outcome.CANCELLED, 0.0, final=True)
@@ -208,7 +207,7 @@
                 if isinstance(message, RouteStep):
                     remaining_ms = remaining_wait_ms(self)
                     self._start_route_step(
-                        message.destination, min(message.wait or remaining_ms, remaining_ms)
+                        message.destination, min(message.timeout_ms or remaining_ms, remaining_ms)
                     )
                 elif isinstance(message, ConnectionEstablished):
                     self._establish(message)
@@ -223,7 +222,7 @@
                 elif isinstance(message, BusyReply):
                     self.at_decider = False
                     self.reason = "busy"
-                    return lines.busy_line(message.retry_after)
+                    return lines.busy_line(message.retry_after_ms)
                 elif isinstance(message, FailReply):
                     self.at_decider = False
                     self.reason = "failed"
@@ -255,7 +254,7 @@
                 lines.with_wait(self.request.opening.line, wait_ms),
                 wait_ms / 1000.0,
                 self.host.connect_timeout_s,
-                self.host.gauge,
+                self.host.delay_monitor,
             )
         except OSError as error:
             # No descriptor is left for the route step; the client must still be answered.
@@ -271,7 +270,7 @@
         self.reason = "client-ended"
         self.output_buffer += message.line
         if self.at_decider:
-            self.request.post(StepUp(self, self.destination_number, message.elapsed_ms))
+            self.request.post(RouteStepEstablished(self, self.destination_number, message.elapsed_ms))
         else:
             self.request.report_resumed(self.destination_number)
         self.host.request_path.on_established(self.request)
@@ -281,7 +280,7 @@
         self.route_step = None
         assert self.request is not None
         if self.at_decider or self.established:
-            self.request.post(StepEnded(self, self.destination_number, outcome, elapsed_ms, final))
+            self.request.post(RouteStepEnded(self, self.destination_number, outcome, elapsed_ms, final))
         if final:
             self.host.request_path.on_ended(self.request)
 
@@ -326,7 +325,7 @@
                 self.output_buffer += lines.MOVE  # the buffer holds whole lines only
                 self.notify_other_side(PeerEnded())
                 self.start_close_deadline()
-        elif isinstance(message, Load):
+        elif isinstance(message, LoadReport):
             if self.request is not None:
                 self.request.post(message)
                 self.host.request_path.on_load(self.request, message.load)
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from snowwick.net import lines
-from snowwick.net.decider import Arrived, Client, Decider, Kept
+from snowwick.net.decider import Client, ConnectionRequested, Decider
 
 ANSWER_MARGIN_MS = 20.0  # subtracted from the client's wait, so that the answer arrives in time
 
@@ -39,7 +39,11 @@
 
     def report_resumed(self, destination: int) -> None:
         """Report to the decider a connection that was placed before this program started."""
-        self.post(Kept(self.client, self.class_name, destination, self.opening.key, self.group, self.tenant))
+        self.post(
+            ConnectionResumed(
+                self.client, self.class_name, destination, self.opening.key, self.group, self.tenant
+            )
+        )
 
 
 def make_request(client: Client, opening: lines.Opening, groups: bool) -> Request:
@@ -154,7 +158,7 @@
             request.decider = self.choose_decider(request)
         if not request.resumed_destination:
             request.post(
-                Arrived(
+                ConnectionRequested(
                     request.client,
                     request.class_name,
                     max(0.0, request.wait_ms - ANSWER_MARGIN_MS),
