--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -1,7 +1,9 @@
-"""One balancer in the fleet: frames in, frames and news out.  Times are s on the caller's clock.
+"""The protocol of one balancer in the fleet: datagrams in, datagrams and events out, without I/O.
 
-Puts together the gate, the members and the registers.  Every frame carries, beside its body, what has been
-heard of late; comparison (a root hash, then ranges, then rows, then what is missing) finds what was lost.
+Combines the replay filter, the membership and the register store.  Every frame carries recent updates beside
+its body (gossip).  Anti-entropy finds updates that were lost: two members compare a root hash, then the
+hashes of ranges of owners, then version vectors, and pull the missing entries.  Times are in seconds on the
+caller's clock.
 """
 
 from __future__ import annotations
@@ -20,45 +22,47 @@
 from snowwick.fleet.store import RETRANSMIT_FACTOR, Store
 from snowwick.fleet.wire import Frame, FrameDropped
 
-DEAD_REGISTERS_RETENTION_S = (
-    30.0  # s that the registers of a dead member are kept: a cut that heals sooner costs no catching up
-)
-GOSSIP_FANOUT = 2  # members told the news each period, beside the one that is probed
-COMPARISON_PERIODS = 1.0  # periods between comparisons with a member drawn by chance
-MAX_QUEUED_ENTRIES = 2048  # entries waiting to be passed on; beyond, those told most go
-MAX_PULLS = 8  # owners pulled at once from a member
-PULL_RETRY_PERIODS = 1.0  # periods after which a pull without an answer is made again
-LEAVE_FANOUT = 3  # times that a leaving balancer tells each of some members
-STATUS_REPLY_S = 1.0  # s that answers to a tool's question stand
-STATUS_PART_BYTES = 1000  # bytes of a tool's answer in a frame
+# Registers of a dead member are kept this long, so that a partition that heals sooner needs no new transfer
+DEAD_REGISTERS_RETENTION_S = 30.0
+GOSSIP_FANOUT = 2  # members that receive gossip each period, beside the one that is probed
+COMPARISON_PERIODS = 1.0  # periods between comparisons with a random member
+MAX_QUEUED_ENTRIES = 2048  # entries queued for gossip; beyond that the most often sent ones are removed
+MAX_PULLS = 8  # owners whose entries are pulled at the same time
+PULL_RETRY_PERIODS = 1.0  # periods after which an unanswered pull is given up and may be made again
+LEAVE_FANOUT = 3  # members that a leaving balancer notifies
+STATUS_REPLY_S = 1.0  # a status reply is kept this long, so that all its parts come from one snapshot
+STATUS_PART_BYTES = 1000  # bytes of a status reply in one frame
 
 
 @dataclass(slots=True)
 class CaughtUp:
-    """News: this balancer has what the others have, for the first time since it started or was alone."""
+    """Event: this balancer has the same registers as another member for the first time since its start."""
 
-    after_s: float
+    after_s: float  # seconds since the first tick
 
 
 @dataclass(slots=True)
 class DuplicateName:
-    """News: another process has this balancer's name and started before it."""
+    """Event: another process uses this balancer's name and started before it."""
 
     address: str
 
 
 @dataclass(slots=True)
 class ActivePull:
-    """A pull that is out: the owner's entries are asked of one member, piece after piece."""
+    """A transfer of one owner's entries from one member, which takes one or more requests."""
 
     peer: str
     retry_at: float
-    received_seqs: set[int] | None  # the numbers that have come, where all of the owner's are asked for
+    received_seqs: set[int] | None  # sequence numbers received so far in a full transfer, else None
 
 
 @dataclass(slots=True)
 class TrafficCounts:
-    """What passed since the start."""
+    """Frames and bytes since the start; ``dropped`` counts frames by drop reason.
+
+    ``shed`` counts entries removed from the gossip queue because it was full.
+    """
 
     frames_in: int = 0
     frames_out: int = 0
@@ -69,7 +73,7 @@
 
 
 class Node:
-    """The protocol's state; ``seal`` and the socket are the caller's."""
+    """The protocol state of one balancer; the caller owns the socket and passes in the time."""
 
     def __init__(
         self,
@@ -82,7 +86,12 @@
         period: float = 0.2,
         epoch: int = 0,
     ) -> None:
-        """``seeds`` are addresses to join by; ``epoch`` numbers this start, above those of earlier ones."""
+        """Frames are sent under the first of ``keys`` and accepted under any of them.
+
+        ``seeds`` are addresses of members to join; ``wall_ms`` returns Unix time in ms; ``period`` is the
+        probe period in seconds.  ``epoch`` numbers this start of the balancer and must be higher than that
+        of earlier starts; 0 takes the wall clock in ms.
+        """
         self.name, self.keys, self.seeds, self.random = name, list(keys), list(seeds), rng
         self.wall_ms, self.period = wall_ms, period
         boot = rng.getrandbits(63) | 1
@@ -93,15 +102,16 @@
         self.clock = HybridClock()
         self.counts = TrafficCounts()
         self.seq = 0
-        self.outbox: list[tuple[str, bytes]] = []  # (address, datagram)
-        self.events: list[object] = []  # members.Change, CaughtUp, DuplicateName
-        self.pulls: dict[str, ActivePull] = {}
-        self.next_gossip = self.next_comparison = self.next_join = self.next_greeting = 0.0
+        self.outbox: list[tuple[str, bytes]] = []  # (address, datagram) to send
+        self.events: list[object] = []  # MemberChange, CaughtUp, DuplicateName
+        self.pulls: dict[str, ActivePull] = {}  # by owner
+        self.next_gossip = self.next_comparison = self.next_join = self.next_stale_reply = 0.0
         self.started_at: float | None = None
         self.caught_up = False
         self.leaving = False
-        self.forget_at: dict[str, float] = {}  # members that are gone, by when their registers go
-        self.extra_status: Callable[[], dict[str, Any]] = dict
+        self.forget_at: dict[str, float] = {}  # when the registers of dead members are removed
+        self.extra_status: Callable[[], dict[str, Any]] = dict  # what the caller adds to status replies
+        # By number of the request: until when the reply is kept, and its parts
         self.status_replies: dict[int, tuple[float, list[bytes]]] = {}
         self.handlers: dict[type, Callable[[Frame, Any, float], None]] = {
             wire.Ping: self._on_ping,
@@ -118,38 +128,41 @@
 
     # -- own registers -----------------------------------------------------------------------------------
 
-    def write(self, kind: int, key: str, value: bytes | None, now: float, left: float = 0.0) -> None:
-        """Set or (None) remove an own register; ``left`` in s is how long it may be acted on, 0 for
-        always.
+    def write(self, kind: int, key: str, value: bytes | None, now: float, remaining_s: float = 0.0) -> None:
+        """Set an own register, or remove it where ``value`` is None.
+
+        ``remaining_s`` limits how long others may act on it; 0 means no limit.
         """
-        self.store.write(kind, key, value, self.clock.next_timestamp(self.wall_ms()), now, int(1000.0 * left))
+        self.store.write(
+            kind, key, value, self.clock.next_timestamp(self.wall_ms()), now, int(1000.0 * remaining_s)
+        )
 
     def leave(self, now: float) -> None:
-        """Tell some members that this balancer goes; nothing is needed of it after that."""
+        """Announce to some members that this balancer leaves; it takes no further part in the protocol."""
         self.leaving = True
         self.members.leave()
-        alive = [one.name for one in self.members.alive()]
+        alive = [record.name for record in self.members.alive()]
         for name in self.random.sample(alive, min(LEAVE_FANOUT, len(alive))):
             self._send_to_member(name, wire.Gossip(), now)
 
     # -- time --------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Send the probes, gossip, joins and comparisons that are due, and expire old state."""
         if self.started_at is None:
             self.started_at = self.next_gossip = self.next_comparison = self.next_join = now
         if self.leaving:
             return
-        for what, name, number in self.members.tick(now):
+        for action, name, number in self.members.tick(now):
             probe = self.members.active_probe
-            if what == "ask" and probe is not None:
+            if action == "ask" and probe is not None:
                 self._send_to_member(name, wire.PingReq(number, probe.name), now)
             else:
                 self._ping(name, number, now)
-        for number, (asker, theirs, until) in list(self.members.relayed_probes.items()):
-            if now >= until:
+        for number, (requester, requester_number, deadline) in list(self.members.relayed_probes.items()):
+            if now >= deadline:
                 del self.members.relayed_probes[number]
-                self._send_to_member(asker, wire.Nack(theirs), now)
+                self._send_to_member(requester, wire.Nack(requester_number), now)
         if now >= self.next_gossip:
             self.next_gossip = max(now, self.next_gossip + self.period)
             self._gossip(now)
@@ -159,68 +172,85 @@
         if now >= self.next_comparison:
             self.next_comparison = max(now, self.next_comparison + COMPARISON_PERIODS * self.period)
             self._start_comparison(now)
-        for name, when in list(self.forget_at.items()):
-            if now >= when:
+        for name, deadline in list(self.forget_at.items()):
+            if now >= deadline:
                 del self.forget_at[name]
                 self.store.forget_owner(name)
         self._apply_member_changes(now)
 
     def next_due(self) -> float:
-        """When ``tick`` has something to do next."""
+        """The time at which ``tick`` has to be called next."""
         return min(self.members.next_due(), self.next_gossip, self.next_comparison)
 
     def _join(self, now: float) -> None:
-        """Call the seeds that are not known, more rarely once there are others."""
+        """Ping the seeds that are not known members, less often once other members are known."""
         self.next_join = now + self.period * (1.0 if not self.members.alive() else 4.0)
-        known = {one.address for one in self.members.records.values()} | {self.members.local.address}
+        known = {record.address for record in self.members.records.values()} | {self.members.local.address}
         for address in self.seeds:
             if address not in known:
                 self._send_frame(address, "", 0, wire.Ping(0), now)
 
     def _gossip(self, now: float) -> None:
+        """Send queued updates to random members."""
         if not self.members.gossip_queue and not self.store.gossip_queue:
             return
         self.counts.shed += self.store.shed_gossip(MAX_QUEUED_ENTRIES)
-        alive = [one.name for one in self.members.alive()]
+        alive = [record.name for record in self.members.alive()]
         for name in self.random.sample(alive, min(GOSSIP_FANOUT, len(alive))):
             self._send_to_member(name, wire.Gossip(), now)
 
     def _start_comparison(self, now: float) -> None:
-        for owner in [owner for owner, one in self.pulls.items() if now >= one.retry_at]:
+        """Give up unanswered pulls and send the root hash to a random member."""
+        for owner in [owner for owner, pull in self.pulls.items() if now >= pull.retry_at]:
             del self.pulls[owner]
-        alive = [one.name for one in self.members.alive()]
+        alive = [record.name for record in self.members.alive()]
         if alive:
             self._send_to_member(self.random.choice(alive), wire.RootHash(self.store.root_hash()), now)
 
     # -- sending -----------------------------------------------------------------------------------------
 
     def _ping(self, name: str, number: int, now: float) -> None:
-        one = self.members.records.get(name)
-        if one is not None and one.state > SUSPECT:
-            # A greeting: it may have started anew, and then knows nobody who could tell it of us.
-            self._send_frame(one.address, name, 0, wire.Ping(number), now)
-        elif one is not None:
-            self._send_to_member(name, wire.Ping(number, one.state == SUSPECT), now)
+        """Ping a member; a suspected one also learns that it is suspected, so that it can refute it."""
+        record = self.members.records.get(name)
+        if record is not None and record.state > SUSPECT:
+            # Sent without a boot number: the member may have restarted and know nobody in the fleet yet.
+            self._send_frame(record.address, name, 0, wire.Ping(number), now)
+        elif record is not None:
+            self._send_to_member(name, wire.Ping(number, record.state == SUSPECT), now)
 
     def _send_to_member(self, name: str, body: wire.Body, now: float) -> None:
-        one = self.members.records.get(name)
-        if one is not None:
-            self._send_frame(one.address, name, one.boot, body, now)
+        record = self.members.records.get(name)
+        if record is not None:
+            self._send_frame(record.address, name, record.boot, body, now)
 
     def _send_frame(
         self,
         address: str,
-        name: str,
-        boot: int,
+        receiver: str,
+        receiver_boot: int,
         body: wire.Body,
         now: float,
         members: Sequence[wire.Member] = (),
     ) -> None:
-        me, self.seq = self.members.local, self.seq + 1
-        frame = Frame(self.name, me.address, me.incarnation, me.boot, self.seq, name, boot, body, [*members])
+        """Queue a frame to send, filled up with gossip where the receiver's boot is known.
+
+        ``members`` are sent in place of gossip.
+        """
+        local, self.seq = self.members.local, self.seq + 1
+        frame = Frame(
+            self.name,
+            local.address,
+            local.incarnation,
+            local.boot,
+            self.seq,
+            receiver,
+            receiver_boot,
+            body,
+            [*members],
+        )
         room = wire.MAX_FRAME_BYTES - 1 - wire.DIGEST_BYTES - wire.encoded_size(frame) - 6
-        if boot and not members:
-            room = self._add_members(frame, room, name)
+        if receiver_boot and not members:
+            room = self._add_members(frame, room, receiver)
             if not isinstance(body, wire.PullReply):
                 self._add_entries(frame, room, now)
         datagram = wire.seal(frame, self.keys[0])
@@ -228,11 +258,12 @@
         self.counts.bytes_out += len(datagram)
         self.outbox.append((address, datagram))
 
-    def _add_members(self, frame: Frame, room: int, to: str) -> int:
-        rumours = list(self.members.members_to_gossip())
-        if self.members.records[to].state != ALIVE:  # it has to know, or it cannot refute it
-            rumours.insert(0, self.members.records[to].member())
-        for member in rumours:
+    def _add_members(self, frame: Frame, room: int, receiver: str) -> int:
+        """Add queued membership updates to a frame; returns the bytes that are left."""
+        updates = list(self.members.members_to_gossip())
+        if self.members.records[receiver].state != ALIVE:  # it can only refute a suspicion that it has seen
+            updates.insert(0, self.members.records[receiver].member())
+        for member in updates:
             room -= wire.encoded_size(member)
             if room < 0:
                 break
@@ -241,6 +272,7 @@
         return room
 
     def _add_entries(self, frame: Frame, room: int, now: float) -> None:
+        """Add queued register entries to a frame."""
         for entry in self.store.entries_to_gossip(
             math.ceil(RETRANSMIT_FACTOR * self.members.log2_size()), now
         ):
@@ -250,10 +282,13 @@
             frame.entries.append(entry)
             self.store.count_transmission(entry)
 
-    # -- hearing -----------------------------------------------------------------------------------------
+    # -- receiving ---------------------------------------------------------------------------------------
 
     def receive(self, datagram: bytes, now: float, source: str = "") -> None:
-        """Take in a datagram; what is no good is counted and dropped.  ``source`` answers a tool."""
+        """Process a datagram; an invalid one is counted by its reason and dropped.
+
+        ``source`` is the address that it came from; status replies are sent there.
+        """
         self.counts.frames_in += 1
         self.counts.bytes_in += len(datagram)
         try:
@@ -266,13 +301,14 @@
             self.counts.dropped[dropped.reason] += 1
             if dropped.reason == "replayed":
                 self._send_known_incarnation(frame, now)
-                self._greet_stale_sender(frame, now)
+                self._reply_to_stale_sender(frame, now)
             return
         if isinstance(frame.body, wire.StatusRequest):
             self._on_status_request(frame.body, now, source)
             return
         self.members.record_contact(frame.sender, frame.address, frame.incarnation, frame.boot, now)
-        if self.members.boot_of(frame.sender) != frame.boot:  # an earlier start goes over it by its number
+        # Another start of the sender is on record with an incarnation that is not lower
+        if self.members.boot_of(frame.sender) != frame.boot:
             self._send_known_incarnation(frame, now)
             return
         for member in frame.members:
@@ -282,9 +318,8 @@
                 and member.state <= SUSPECT
                 and member.address != self.members.local.address
             ):
-                self._send_frame(
-                    member.address, self.name, 0, wire.Ping(0), now
-                )  # an earlier start, or a twin?
+                # Finds out whether it is an earlier start of this balancer or another process of its name
+                self._send_frame(member.address, self.name, 0, wire.Ping(0), now)
             self.members.receive_update(member, frame.sender, now)
         for entry in frame.entries:
             self._merge_entry(entry, now)
@@ -294,55 +329,60 @@
         self._apply_member_changes(now)
 
     def _send_known_incarnation(self, frame: Frame, now: float) -> None:
-        """Tell a start whose number is not above an earlier one's, by a clock gone back, that number.
+        """Send a restarted member the incarnation that is on record for its earlier start.
 
-        Nothing that it says counts until it has counted on from there; a replayed greeting costs one answer.
+        A member whose clock went back starts with an incarnation that is not above the earlier one.  Its
+        frames are ignored until it continues from the incarnation sent here.  A replayed ping causes one
+        frame and no other effect.
         """
         known = self.members.records.get(frame.sender)
         if isinstance(frame.body, wire.Ping) and known is not None and known.boot != frame.boot:
             self._send_frame(frame.address, frame.sender, frame.boot, wire.Gossip(), now, [known.member()])
 
-    def _greet_stale_sender(self, frame: Frame, now: float) -> None:
-        """Who writes to an earlier start of this balancer has not heard of this one, though others may have.
+    def _reply_to_stale_sender(self, frame: Frame, now: float) -> None:
+        """Ping a member that still sends to an earlier start of this balancer, so that it learns of this one.
 
-        At most one greeting a period.
+        At most one such ping is sent per period.
         """
         if (
             frame.receiver == self.name
             and frame.receiver_boot
             and frame.receiver_boot != self.members.local.boot
-            and now >= self.next_greeting
+            and now >= self.next_stale_reply
         ):
-            self.next_greeting = now + self.period
+            self.next_stale_reply = now + self.period
             self._send_frame(frame.address, frame.sender, 0, wire.Ping(0), now)
 
     def _on_duplicate_name(self, frame: Frame, now: float) -> None:
-        """A process with this balancer's name is there.  The younger of the two leaves.
+        """Handle a frame of another process with this balancer's name; the younger of the two leaves.
 
-        Which is younger shows by the epochs that both draw at their start; the same epoch goes by the boot.
+        The younger one is the one with the higher epoch, or with the higher boot number at equal epochs.
         """
-        me = self.members.local
-        if frame.boot == me.boot or frame.address == me.address:
+        local = self.members.local
+        if frame.boot == local.boot or frame.address == local.address:
             return
         if isinstance(frame.body, wire.Ping):
-            # Answered, so that the other finds out as well; its own rule keeps it from answering without end.
+            # The reply lets the other process detect the conflict too; an ack is never answered.
             self._send_frame(frame.address, self.name, 0, wire.Ack(self.store.owners[self.name].epoch), now)
         elif isinstance(frame.body, wire.Ack):
-            mine = self.store.owners[self.name].epoch
-            if (frame.body.number, frame.boot) < (mine, me.boot) and not self.leaving:
+            epoch = self.store.owners[self.name].epoch
+            if (frame.body.number, frame.boot) < (epoch, local.boot) and not self.leaving:
                 self.leaving = True
                 self.events.append(DuplicateName(frame.address))
 
     def _merge_entry(self, entry: wire.Entry, now: float) -> None:
+        """Merge an entry that came as gossip."""
         if entry.owner == self.name:
             if entry.epoch > self.store.owners[self.name].epoch:
-                # Of a later start by its number: this machine's clock has gone back.  Count on from there.
+                # Written by an earlier start with a higher epoch, as this machine's clock went back: continue
+                # from that epoch.
                 self.store.adopt_epoch(entry.epoch + 1, now)
-        elif self.members.is_member(entry.owner):  # nothing of who is gone comes back by way of a third
+        elif self.members.is_member(entry.owner):  # a third member must not bring back a dead one's entries
             self.clock.observe(entry.timestamp, self.wall_ms())
             self.store.merge_entry(entry, now)
 
     def _apply_member_changes(self, now: float) -> None:
+        """Report membership changes as events and plan the removal of dead members' registers."""
         for change in self.members.changes:
             self.events.append(change)
             name = change.member.name
@@ -381,7 +421,7 @@
     def _on_nack(self, frame: Frame, body: wire.Nack, now: float) -> None:
         self.members.probe_nacked(body.number, frame.sender)
 
-    # -- comparing ---------------------------------------------------------------------------------------
+    # -- anti-entropy ------------------------------------------------------------------------------------
 
     def _on_root_hash(self, frame: Frame, body: wire.RootHash, now: float) -> None:
         if body.hash == self.store.root_hash():
@@ -397,111 +437,119 @@
         count = len(body.hashes)
         if not 1 <= count <= 1 << 16:
             return
-        mine = self.store.range_hashes(count)
-        differing = [at for at in range(count) if mine[at] != body.hashes[at]]
-        self.random.shuffle(differing)  # where not all rows fit, others come another time
+        hashes = self.store.range_hashes(count)
+        differing = [index for index in range(count) if hashes[index] != body.hashes[index]]
+        self.random.shuffle(differing)  # ranges that do not fit this time get their turn later
         ranges = differing[:MAX_PULLS]
         self._send_vector(frame.sender, self.store.summaries(set(ranges), count), True, now, count, ranges)
 
     def _send_vector(
         self,
-        to: str,
-        rows: list[wire.OwnerSummary],
-        answer: bool,
+        receiver: str,
+        summaries: list[wire.OwnerSummary],
+        wants_reply: bool,
         now: float,
-        count: int = 1,
+        range_count: int = 1,
         ranges: Sequence[int] = (),
     ) -> None:
-        room, some = wire.MAX_FRAME_BYTES - 300, list[wire.OwnerSummary]()
-        self.random.shuffle(rows)
-        for row in rows:
-            room -= wire.encoded_size(row)
+        """Send as many of the summaries as fit one frame; names the ranges only where all of them fit."""
+        room = wire.MAX_FRAME_BYTES - 300
+        selected = list[wire.OwnerSummary]()
+        self.random.shuffle(summaries)
+        for summary in summaries:
+            room -= wire.encoded_size(summary)
             if room < 0:
                 break
-            some.append(row)
+            selected.append(summary)
         self._send_to_member(
-            to, wire.VersionVector(some, answer, count, [*ranges] if len(some) == len(rows) else []), now
+            receiver,
+            wire.VersionVector(
+                selected, wants_reply, range_count, [*ranges] if len(selected) == len(summaries) else []
+            ),
+            now,
         )
 
     def _on_version_vector(self, frame: Frame, body: wire.VersionVector, now: float) -> None:
         if body.wants_reply:
-            named = {row.owner for row in body.summaries}
-            mine = [owner.summary(name) for name, owner in self.store.owners.items() if name in named]
-            # Who stands here and was not named may be unknown there: news that was lost is told again.
+            listed = {summary.owner for summary in body.summaries}
+            reply = [owner.summary(name) for name, owner in self.store.owners.items() if name in listed]
+            # The sender may not know an owner that it did not list, as gossip can be lost: gossip it again.
             for name, owner in self.store.owners.items():
-                if name not in named and owner.id % max(1, body.range_count) in body.ranges:
-                    mine.append(owner.summary(name))
+                if name not in listed and owner.id % max(1, body.range_count) in body.ranges:
+                    reply.append(owner.summary(name))
                     if name in self.members.records:
                         self.members.gossip_queue[name] = 0
-            self._send_vector(frame.sender, mine, False, now)
-        for row in body.summaries:
-            if row.owner == self.name and row.epoch > self.store.owners[self.name].epoch:
-                self.store.adopt_epoch(row.epoch + 1, now)
-            if self.members.is_member(row.owner):
-                self._start_pull(frame.sender, row, now)
-
-    def _start_pull(self, peer: str, row: wire.OwnerSummary, now: float) -> None:
-        if row.owner in self.pulls or len(self.pulls) >= MAX_PULLS:
+            self._send_vector(frame.sender, reply, False, now)
+        for summary in body.summaries:
+            if summary.owner == self.name and summary.epoch > self.store.owners[self.name].epoch:
+                self.store.adopt_epoch(summary.epoch + 1, now)
+            if self.members.is_member(summary.owner):
+                self._start_pull(frame.sender, summary, now)
+
+    def _start_pull(self, peer: str, summary: wire.OwnerSummary, now: float) -> None:
+        """Request an owner's entries from a member whose summary shows entries that are missing here."""
+        if summary.owner in self.pulls or len(self.pulls) >= MAX_PULLS:
             return
-        wanted = self.store.pull_start(row)
-        if wanted is not None:
-            after, whole = wanted
-            self.pulls[row.owner] = ActivePull(
-                peer, now + PULL_RETRY_PERIODS * self.period, set() if whole else None
+        start = self.store.pull_start(summary)
+        if start is not None:
+            after, full = start
+            self.pulls[summary.owner] = ActivePull(
+                peer, now + PULL_RETRY_PERIODS * self.period, set() if full else None
             )
-            self._send_to_member(peer, wire.PullRequest(row.owner, row.epoch, after, whole), now)
+            self._send_to_member(peer, wire.PullRequest(summary.owner, summary.epoch, after, full), now)
 
     def _on_pull_request(self, frame: Frame, body: wire.PullRequest, now: float) -> None:
         room = wire.MAX_FRAME_BYTES - 260 - len(self.name) - 2 * len(body.owner)
         found = self.store.entries_after(body.owner, body.epoch, body.after, room, now)
         if found is not None:
-            row, upto, more, entries = found
-            after = body.after if row.epoch == body.epoch else 0
+            summary, up_to, more, entries = found
+            after = body.after if summary.epoch == body.epoch else 0
             self._send_to_member(
-                frame.sender, wire.PullReply(row, after, upto, more, body.full, entries), now
+                frame.sender, wire.PullReply(summary, after, up_to, more, body.full, entries), now
             )
 
     def _on_pull_reply(self, frame: Frame, body: wire.PullReply, now: float) -> None:
-        name, row = body.summary.owner, body.summary
-        pulling = self.pulls.get(name)
-        if (
-            name == self.name
-            or not self.members.is_member(name)
-            or pulling is None
-            or pulling.peer != frame.sender
-        ):
+        name, summary = body.summary.owner, body.summary
+        pull = self.pulls.get(name)
+        if name == self.name or not self.members.is_member(name) or pull is None or pull.peer != frame.sender:
             return
         for entry in body.entries:
             self.clock.observe(entry.timestamp, self.wall_ms())
         self.store.merge_batch(
-            row, body.after, body.up_to, [entry for entry in body.entries if entry.owner == name], now
+            summary, body.after, body.up_to, [entry for entry in body.entries if entry.owner == name], now
         )
-        if pulling.received_seqs is not None:
-            pulling.received_seqs.update(entry.seq for entry in body.entries)
+        if pull.received_seqs is not None:
+            pull.received_seqs.update(entry.seq for entry in body.entries)
         if body.more:
-            pulling.retry_at = now + PULL_RETRY_PERIODS * self.period
-            self._send_to_member(frame.sender, wire.PullRequest(name, row.epoch, body.up_to, body.full), now)
+            pull.retry_at = now + PULL_RETRY_PERIODS * self.period
+            self._send_to_member(
+                frame.sender, wire.PullRequest(name, summary.epoch, body.up_to, body.full), now
+            )
             return
-        if pulling.received_seqs is not None and body.full:
-            self.store.keep_only(name, pulling.received_seqs)
+        if pull.received_seqs is not None and body.full:
+            self.store.keep_only(name, pull.received_seqs)
         del self.pulls[name]
-        wanted = self.store.pull_start(row)
-        if wanted is not None and pulling.received_seqs is None and wanted[1]:
-            self._start_pull(frame.sender, row, now)
+        start = self.store.pull_start(summary)
+        if start is not None and pull.received_seqs is None and start[1]:
+            self._start_pull(frame.sender, summary, now)
 
     def _mark_caught_up(self, now: float) -> None:
         if not self.caught_up and self.started_at is not None:
             self.caught_up = True
             self.events.append(CaughtUp(now - self.started_at))
 
-    # -- a tool's question -------------------------------------------------------------------------------
+    # -- status requests ---------------------------------------------------------------------------------
 
     def _on_status_request(self, body: wire.StatusRequest, now: float, source: str) -> None:
-        """Answered to where it came from, in parts, so that no answer is larger than a frame."""
-        self.status_replies = {n: row for n, row in self.status_replies.items() if now < row[0]}
+        """Send one part of the status to the requester; parts are small enough for a frame."""
+        self.status_replies = {
+            number: reply for number, reply in self.status_replies.items() if now < reply[0]
+        }
         if body.number not in self.status_replies:
             text = json.dumps({**self.describe(now), **self.extra_status()}).encode()
-            parts = [text[at : at + STATUS_PART_BYTES] for at in range(0, len(text), STATUS_PART_BYTES)]
+            parts = [
+                text[start : start + STATUS_PART_BYTES] for start in range(0, len(text), STATUS_PART_BYTES)
+            ]
             self.status_replies[body.number] = now + STATUS_REPLY_S, parts
         parts = self.status_replies[body.number][1]
         if source and 0 <= body.part < len(parts):
@@ -510,39 +558,41 @@
             )
 
     def describe(self, now: float) -> dict[str, Any]:
-        """How things stand, for ``snowwick fleet status``."""
-        me = self.members.local
-        rows = [
+        """The status that ``snowwick fleet status`` prints."""
+        local = self.members.local
+        members = [
             {
-                "name": me.name,
-                "address": me.address,
+                "name": local.name,
+                "address": local.address,
                 "state": "self",
-                "incarnation": me.incarnation,
+                "incarnation": local.incarnation,
                 "entries": len(self.store.owners[self.name].entries),
             }
         ]
-        for one in sorted(self.members.records.values(), key=lambda one: one.name):
-            owner = self.store.owners.get(one.name)
-            rows.append(
+        for record in sorted(self.members.records.values(), key=lambda record: record.name):
+            owner = self.store.owners.get(record.name)
+            members.append(
                 {
-                    "name": one.name,
-                    "address": one.address,
-                    "state": STATE_NAMES[one.state],
-                    "incarnation": one.incarnation,
-                    "for_s": round(now - one.state_since, 1),
+                    "name": record.name,
+                    "address": record.address,
+                    "state": STATE_NAMES[record.state],
+                    "incarnation": record.incarnation,
+                    "for_s": round(now - record.state_since, 1),
                     "entries": len(owner.entries) if owner is not None else 0,
                 }
             )
         kinds: Counter[int] = Counter()
-        ages: dict[int, float] = {}
-        wall = self.wall_ms()
+        ages: dict[int, float] = {}  # seconds since the oldest register of each kind was written
+        wall_ms = self.wall_ms()
         for owner in self.store.owners.values():
-            for (kind, _), held in owner.entries.items():
+            for (kind, _), stored in owner.entries.items():
                 kinds[kind] += 1
-                ages[kind] = max(ages.get(kind, 0.0), (wall - timestamp_ms(held.entry.timestamp)) / 1000.0)
+                ages[kind] = max(
+                    ages.get(kind, 0.0), (wall_ms - timestamp_ms(stored.entry.timestamp)) / 1000.0
+                )
         return {
             "name": self.name,
-            "members": rows,
+            "members": members,
             "caught_up": self.caught_up,
             "alone": not self.members.alive(),
             "kinds": {
@@ -557,15 +607,15 @@
         }
 
     def take_datagrams(self) -> list[tuple[str, bytes]]:
-        """What is to be sent, once."""
-        out, self.outbox = self.outbox, []
-        return out
+        """Return and clear the queued datagrams, each with its address."""
+        datagrams, self.outbox = self.outbox, []
+        return datagrams
 
     def take_events(self) -> Iterator[object]:
-        """What happened, once."""
-        news, self.events = self.events, []
-        yield from news
+        """Return and clear the events since the last call."""
+        events, self.events = self.events, []
+        yield from events
 
     def has_same_registers(self, other: Node) -> bool:
-        """Do both hold the same?  For tests and simulations."""
+        """Whether both nodes hold the same registers; for tests and simulations."""
         return self.store.root_hash() == other.store.root_hash()
