--- a/snowwick/fleet/store.py
+++ b/snowwick/fleet/store.py
@@ -1,14 +1,14 @@
-"""The replicated registers: who holds what, what is passed on, how two copies become the same.
+"""The replicated registers: their copies, the gossip queue and the comparison of copies.
 
-Each register has one writer, its owner, so that copies never conflict: of two copies the higher (epoch, seq)
-holds.  That join of a lattice is commutative, associative and idempotent (a map of single-writer registers,
-Shapiro et al. 2011; the version vector over owners is Scuttlebutt's, van Renesse et al. 2008).  An epoch is
-one start of the owner: a higher one voids all that the owner said before.
+Each register has one writer, its owner, so copies never conflict: of two copies the one with the higher
+(epoch, seq) wins.  This join is commutative, associative and idempotent (a map of single-writer registers,
+Shapiro et al. 2011; version vectors over owners as in Scuttlebutt, van Renesse et al. 2008).  An epoch is one
+start of the owner: a higher epoch replaces all entries of lower ones.
 
-``complete`` is the number up to which nothing of an owner is missing.  A removed register leaves a
-tombstone for a while; once it is gone, ``complete`` alone keeps older copies of the register from coming
-back: nothing at or under it is taken again, and who is found to hold more than the owner's hash allows
-takes the whole anew.
+``complete_seq`` is the sequence number up to which no entry of an owner is missing.  A removed register
+leaves a tombstone for ``TOMBSTONE_S``.  After that, ``complete_seq`` alone keeps older copies of the register
+from coming back: entries at or below it are not accepted again.  A member that holds more than another one at
+the same ``complete_seq`` repeats the transfer of all the owner's entries and drops what is not in it.
 """
 
 from __future__ import annotations
@@ -21,34 +21,37 @@
 
 from snowwick.fleet.wire import Entry, OwnerSummary, encoded_size
 
-TOMBSTONE_S = 60.0  # s that a tombstone is kept: longer than a rumour lives, so that few need the whole
-MAX_VALUE_BYTES = 900  # bytes of a value, so that an entry and what frames carry beside it fit one datagram
-MAX_ENTRIES_PER_OWNER, MAX_BYTES_PER_OWNER = (
-    4096,
-    1 << 20,
-)  # of one owner at most: beyond, its registers are not taken
-OWNERS_PER_RANGE = 8  # about; a range's rows then fit one frame
+# Tombstones are kept longer than an entry is gossiped, so that few members need a full transfer
+TOMBSTONE_S = 60.0
+MAX_VALUE_BYTES = 900  # an entry has to fit one datagram together with what each frame carries
+# Limits for one owner; entries beyond them are rejected
+MAX_ENTRIES_PER_OWNER = 4096
+MAX_BYTES_PER_OWNER = 1 << 20
+OWNERS_PER_RANGE = 8  # approximate; the summaries of a range then fit one frame
 MASK_64 = (1 << 64) - 1
-RETRANSMIT_FACTOR = 3.0  # times log2 of the members that an entry is passed on by each that hears of it
+RETRANSMIT_FACTOR = 3.0  # each member sends an entry this many times log2 of the number of members
 
 
 def hash_text(*parts: object) -> int:
-    """64 bits of the parts' text."""
+    """A 64-bit hash of the parts' texts."""
     return int.from_bytes(blake2b("\0".join(map(str, parts)).encode(), digest_size=8).digest(), "big")
 
 
 def hash_numbers(*numbers: int) -> int:
-    """64 bits of whole numbers, the same everywhere; against chance only, as frames are proved by the key."""
-    h = 0x9E3779B97F4A7C15
+    """A 64-bit hash of integers, the same on every machine.
+
+    It is not cryptographic: frames are authenticated by the fleet's key.
+    """
+    mixed = 0x9E3779B97F4A7C15
     for number in numbers:
-        h = (h ^ number) * 0xBF58476D1CE4E5B9 & MASK_64
-        h ^= h >> 31
-    return h
+        mixed = (mixed ^ number) * 0xBF58476D1CE4E5B9 & MASK_64
+        mixed ^= mixed >> 31
+    return mixed
 
 
 @dataclass(slots=True)
 class StoredEntry:
-    """A register's copy here, and when it came (s, this process's clock)."""
+    """The copy of a register at this member; ``received_at`` is in seconds on this process's clock."""
 
     entry: Entry
     received_at: float
@@ -58,83 +61,92 @@
 
 @dataclass(slots=True)
 class OwnerRegisters:
-    """All that is held of one owner; ``id`` is its name as a number."""
+    """The copies of one owner's registers; ``id`` is a hash of the owner's name."""
 
     id: int
     epoch: int = 0
     complete_seq: int = 0
-    hash: int = 0  # over what stands; tombstones are not in it
+    hash: int = 0  # over all live entries, without tombstones
     size_bytes: int = 0
-    entries: dict[tuple[int, str], StoredEntry] = field(default_factory=dict)
-    seqs_ahead: set[int] = field(default_factory=set)  # numbers that came before one that is missing
-    by_seq: list[StoredEntry] | None = None  # by number, made when it is asked for
+    entries: dict[tuple[int, str], StoredEntry] = field(default_factory=dict)  # by kind and key
+    seqs_ahead: set[int] = field(default_factory=set)  # numbers received above a gap
+    by_seq: list[StoredEntry] | None = None  # the entries in order of seq; None until it is needed
 
     def summary(self, name: str) -> OwnerSummary:
+        """What is sent of this owner in a version vector."""
         return OwnerSummary(name, self.epoch, self.complete_seq, self.hash)
 
-    def mark_complete(self, number: int) -> None:
-        """Nothing is missing up to there, nor up to what came ahead and joins on."""
-        self.complete_seq = max(self.complete_seq, number)
+    def mark_complete(self, seq: int) -> None:
+        """Record that no entry up to ``seq`` is missing, nor any that follows it without a gap."""
+        self.complete_seq = max(self.complete_seq, seq)
         while self.complete_seq + 1 in self.seqs_ahead:
             self.complete_seq += 1
         self.seqs_ahead = (
-            {seq for seq in self.seqs_ahead if seq > self.complete_seq}
+            {ahead for ahead in self.seqs_ahead if ahead > self.complete_seq}
             if self.seqs_ahead
             else self.seqs_ahead
         )
 
     def remove(self, key: tuple[int, str]) -> StoredEntry:
-        """The register does not stand any more."""
-        held, self.by_seq = self.entries.pop(key), None
-        self.hash ^= held.hash
-        self.size_bytes -= held.size_bytes
-        return held
+        """Remove a register's copy."""
+        stored, self.by_seq = self.entries.pop(key), None
+        self.hash ^= stored.hash
+        self.size_bytes -= stored.size_bytes
+        return stored
 
 
 class Store:
-    """One balancer's copy of everybody's registers, and its own."""
+    """One member's own registers and its copies of all other members' registers."""
 
     def __init__(
         self,
         name: str,
         epoch: int,
-        entries: int = MAX_ENTRIES_PER_OWNER,
-        most_bytes: int = MAX_BYTES_PER_OWNER,
+        max_entries: int = MAX_ENTRIES_PER_OWNER,
+        max_bytes: int = MAX_BYTES_PER_OWNER,
     ) -> None:
-        self.name, self.max_entries, self.max_bytes = name, entries, most_bytes
+        self.name, self.max_entries, self.max_bytes = name, max_entries, max_bytes
         self.owners: dict[str, OwnerRegisters] = {name: OwnerRegisters(hash_text(name), epoch)}
-        # Registers that are passed on, how often they were
+        # Registers still to gossip, by (owner, kind, key), and how often each was sent
         self.gossip_queue: dict[tuple[str, int, str], int] = {}
         self.next_sweep = 0.0
-        self.rejected = 0  # entries beyond the bounds
+        self.rejected = 0  # entries not stored because their owner has reached a limit
 
     # -- writing -----------------------------------------------------------------------------------------
 
-    def write(self, kind: int, key: str, value: bytes | None, stamp: int, now: float, left: int = 0) -> None:
-        """Set or (None) remove an own register; the same value again is nothing new."""
+    def write(
+        self, kind: int, key: str, value: bytes | None, timestamp: int, now: float, remaining_ms: int = 0
+    ) -> None:
+        """Set an own register, or remove it where ``value`` is None; the same value again is not sent anew.
+
+        ``remaining_ms`` limits how long others may act on it; 0 means no limit.  Raises ValueError where the
+        value is longer than ``MAX_VALUE_BYTES``.
+        """
         own = self.owners[self.name]
-        held = own.entries.get((kind, key))
-        if (held.entry.value if held is not None else None) == value and not left:
+        stored = own.entries.get((kind, key))
+        if (stored.entry.value if stored is not None else None) == value and not remaining_ms:
             return
         if value is not None and len(value) > MAX_VALUE_BYTES:
-            raise ValueError(f"a value of {len(value)} bytes; {MAX_VALUE_BYTES} are possible")
+            raise ValueError(f"register value is {len(value)} bytes; the limit is {MAX_VALUE_BYTES}")
         own.complete_seq += 1
-        self._put(own, Entry(self.name, own.epoch, own.complete_seq, kind, key, value, stamp, left), now)
+        self._put(
+            own, Entry(self.name, own.epoch, own.complete_seq, kind, key, value, timestamp, remaining_ms), now
+        )
 
     def adopt_epoch(self, epoch: int, now: float) -> None:
-        """Own registers under a higher epoch: another start of this balancer was heard of with this one."""
+        """Rewrite all own registers under a higher epoch, as another start of this member used this one."""
         own = self.owners[self.name]
         old, self.owners[self.name] = own.entries, OwnerRegisters(own.id, epoch)
-        self.gossip_queue = {key: times for key, times in self.gossip_queue.items() if key[0] != self.name}
-        for held in old.values():
-            if held.entry.value is not None:
-                e = held.entry
-                self.write(e.kind, e.key, e.value, e.timestamp, now, e.remaining_ms)
+        self.gossip_queue = {key: sent for key, sent in self.gossip_queue.items() if key[0] != self.name}
+        for stored in old.values():
+            if stored.entry.value is not None:
+                entry = stored.entry
+                self.write(entry.kind, entry.key, entry.value, entry.timestamp, now, entry.remaining_ms)
 
-    # -- taking ------------------------------------------------------------------------------------------
+    # -- merging -----------------------------------------------------------------------------------------
 
     def merge_entry(self, entry: Entry, now: float) -> bool:
-        """Merge one entry; True where it is news here."""
+        """Merge one entry of another member; True where it replaces what is held here."""
         if entry.owner == self.name:
             return False
         owner = self._get_or_add_owner(entry.owner)
@@ -148,10 +160,10 @@
             owner.mark_complete(entry.seq)
         else:
             owner.seqs_ahead.add(entry.seq)
-            if len(owner.seqs_ahead) > self.max_entries:  # far behind: the next comparison brings the rest
+            if len(owner.seqs_ahead) > self.max_entries:  # far behind: the next pull brings the rest
                 owner.seqs_ahead.clear()
-        held = owner.entries.get((entry.kind, entry.key))
-        if held is not None and held.entry.seq >= entry.seq:
+        stored = owner.entries.get((entry.kind, entry.key))
+        if stored is not None and stored.entry.seq >= entry.seq:
             return False
         return self._put(owner, entry, now)
 
@@ -162,21 +174,23 @@
         return owner
 
     def _reset_owner(self, name: str, epoch: int) -> OwnerRegisters:
+        """Drop all entries of an owner and start with a new epoch."""
         old = self.owners.get(name)
         owner = self.owners[name] = OwnerRegisters(hash_text(name), epoch)
-        for held in old.entries.values() if old is not None else ():
-            self._stop_gossip(held.entry)
+        for stored in old.entries.values() if old is not None else ():
+            self._stop_gossip(stored.entry)
         return owner
 
     def _stop_gossip(self, entry: Entry) -> None:
-        """It is passed on no more."""
+        """Take a register out of the gossip queue."""
         self.gossip_queue.pop((entry.owner, entry.kind, entry.key), None)
 
     def _put(self, owner: OwnerRegisters, entry: Entry, now: float) -> bool:
+        """Store an entry and queue it for gossip; False where the owner has reached a limit."""
         key, old, owner.by_seq = (entry.kind, entry.key), owner.entries.get((entry.kind, entry.key)), None
-        new = encoded_size(entry) if entry.value is not None else 0
+        size_bytes = encoded_size(entry) if entry.value is not None else 0
         if old is None and (
-            len(owner.entries) >= self.max_entries or owner.size_bytes + new > self.max_bytes
+            len(owner.entries) >= self.max_entries or owner.size_bytes + size_bytes > self.max_bytes
         ):
             self.rejected += 1
             if entry.owner == self.name:
@@ -185,183 +199,201 @@
         if old is not None:
             owner.hash ^= old.hash
             owner.size_bytes -= old.size_bytes
-        mark = hash_text(entry.kind, entry.key, entry.seq) if entry.value is not None else 0
-        owner.entries[key] = StoredEntry(entry, now, new, mark)
-        owner.hash ^= mark
-        owner.size_bytes += new
+        entry_hash = hash_text(entry.kind, entry.key, entry.seq) if entry.value is not None else 0
+        owner.entries[key] = StoredEntry(entry, now, size_bytes, entry_hash)
+        owner.hash ^= entry_hash
+        owner.size_bytes += size_bytes
         self.gossip_queue[entry.owner, *key] = 0
         return True
 
     def forget_owner(self, name: str) -> None:
-        """The owner is no member any more."""
+        """Remove all registers of an owner that is no longer a member."""
         owner = self.owners.pop(name, None)
-        for held in owner.entries.values() if owner is not None else ():
-            self._stop_gossip(held.entry)
+        for stored in owner.entries.values() if owner is not None else ():
+            self._stop_gossip(stored.entry)
 
     def expire_tombstones(self, now: float) -> None:
-        """Drop tombstones whose time is over, looked for now and then."""
+        """Remove tombstones that are older than ``TOMBSTONE_S``; most calls return at once."""
         if now < self.next_sweep:
             return
         self.next_sweep = now + 0.1 * TOMBSTONE_S
         for owner in self.owners.values():
             for key in [
                 key
-                for key, held in owner.entries.items()
-                if held.entry.value is None and now - held.received_at >= TOMBSTONE_S
+                for key, stored in owner.entries.items()
+                if stored.entry.value is None and now - stored.received_at >= TOMBSTONE_S
             ]:
                 self._stop_gossip(owner.remove(key).entry)
 
     # -- reading -----------------------------------------------------------------------------------------
 
     def live_entries(self, kind: int) -> Iterator[StoredEntry]:
-        """The registers of a kind that stand, whoever owns them."""
+        """All owners' registers of a kind, without tombstones."""
         for owner in self.owners.values():
-            for (of, _), held in owner.entries.items():
-                if of == kind and held.entry.value is not None:
-                    yield held
+            for (stored_kind, _), stored in owner.entries.items():
+                if stored_kind == kind and stored.entry.value is not None:
+                    yield stored
 
     @staticmethod
-    def remaining_s(held: StoredEntry, now: float) -> float:
-        """Seconds for which the register may still be acted on."""
+    def remaining_s(stored: StoredEntry, now: float) -> float:
+        """Seconds for which the register may still be acted on; infinite where it has no limit."""
         return (
-            held.entry.remaining_ms / 1000.0 - (now - held.received_at)
-            if held.entry.remaining_ms
+            stored.entry.remaining_ms / 1000.0 - (now - stored.received_at)
+            if stored.entry.remaining_ms
             else math.inf
         )
 
-    def copy_to_send(self, held: StoredEntry, now: float) -> Entry:
-        """The entry as it is passed on: less by the time that it was held here."""
-        e = held.entry
-        if not e.remaining_ms:
-            return e
+    def copy_to_send(self, stored: StoredEntry, now: float) -> Entry:
+        """The entry to send, with the time that it was held here subtracted from its remaining time."""
+        entry = stored.entry
+        if not entry.remaining_ms:
+            return entry
         return Entry(
-            e.owner,
-            e.epoch,
-            e.seq,
-            e.kind,
-            e.key,
-            e.value,
-            e.timestamp,
-            max(1, int(1000.0 * self.remaining_s(held, now))),
+            entry.owner,
+            entry.epoch,
+            entry.seq,
+            entry.kind,
+            entry.key,
+            entry.value,
+            entry.timestamp,
+            max(1, int(1000.0 * self.remaining_s(stored, now))),
         )
 
-    # -- passing on --------------------------------------------------------------------------------------
+    # -- gossip ------------------------------------------------------------------------------------------
 
-    def entries_to_gossip(self, most: int, now: float) -> Iterator[Entry]:
-        """The entries to pass on, the least often told first; ``told`` counts what went.
+    def entries_to_gossip(self, max_transmissions: int, now: float) -> Iterator[Entry]:
+        """The queued entries, the least often sent first; the caller counts with ``count_transmission``.
 
-        ``most`` is how often each is told.  Bounded by what a frame holds: what is not reached in time is
-        found by comparison.
+        An entry leaves the queue once it was sent ``max_transmissions`` times.  The caller takes what fits a
+        frame; members that an entry does not reach this way find it by comparison.
         """
-        for key in [key for key, times in self.gossip_queue.items() if times >= most]:
+        for key in [key for key, sent in self.gossip_queue.items() if sent >= max_transmissions]:
             del self.gossip_queue[key]
         for key in sorted(self.gossip_queue, key=lambda key: self.gossip_queue[key]):
             owner = self.owners.get(key[0])
-            held = owner.entries.get(key[1:]) if owner is not None else None
-            if held is None:
+            stored = owner.entries.get(key[1:]) if owner is not None else None
+            if stored is None:
                 del self.gossip_queue[key]
             else:
-                yield self.copy_to_send(held, now)
+                yield self.copy_to_send(stored, now)
 
     def count_transmission(self, entry: Entry) -> None:
+        """Record that a queued entry was sent once more."""
         key = entry.owner, entry.kind, entry.key
         if key in self.gossip_queue:
             self.gossip_queue[key] += 1
 
-    def shed_gossip(self, most: int) -> int:
-        """Keep at most so many rumours, dropping those told most; comparison still finds them."""
-        over = len(self.gossip_queue) - most
-        for key in sorted(self.gossip_queue, key=lambda key: -self.gossip_queue[key])[: max(0, over)]:
+    def shed_gossip(self, max_queued: int) -> int:
+        """Limit the gossip queue by removing the entries sent most often; returns how many were removed.
+
+        Comparison still brings these entries to other members.
+        """
+        excess = len(self.gossip_queue) - max_queued
+        for key in sorted(self.gossip_queue, key=lambda key: -self.gossip_queue[key])[: max(0, excess)]:
             del self.gossip_queue[key]
-        return max(0, over)
+        return max(0, excess)
 
-    # -- comparing ---------------------------------------------------------------------------------------
+    # -- comparison --------------------------------------------------------------------------------------
 
     def root_hash(self) -> int:
-        """The hash over all owners."""
+        """The hash over the registers of all owners."""
         return self.range_hashes(1)[0]
 
     def range_hashes(self, count: int) -> list[int]:
-        """The hashes of so many ranges of owners."""
+        """The hashes of the owners' registers, with the owners split into ``count`` ranges by their id."""
         hashes = [0] * count
         for owner in self.owners.values():
             hashes[owner.id % count] ^= hash_numbers(owner.id, owner.epoch, owner.complete_seq, owner.hash)
         return hashes
 
     def range_count(self) -> int:
-        """Ranges in which the owners are compared."""
+        """The number of ranges in which the owners are compared, a power of two."""
         return 1 << max(0, math.ceil(math.log2(max(1, len(self.owners) / OWNERS_PER_RANGE))))
 
     def summaries(self, differing: set[int] | None = None, count: int = 1) -> list[OwnerSummary]:
-        """The rows of the owners in those ranges."""
+        """The summaries of the owners in the ``differing`` ranges of ``count``, or of all owners."""
         return [
             owner.summary(name)
             for name, owner in self.owners.items()
             if differing is None or owner.id % count in differing
         ]
 
-    def pull_start(self, row: OwnerSummary) -> tuple[int, bool] | None:
-        """After which number to pull, and whether the whole, where the other has what is missing here."""
-        if row.owner == self.name:
+    def pull_start(self, summary: OwnerSummary) -> tuple[int, bool] | None:
+        """Where to start a pull from a member with this summary, or None where it has nothing to pull.
+
+        Returns the sequence number after which entries are missing, and whether the transfer has to be full,
+        so that entries that are not in it are removed here.
+        """
+        if summary.owner == self.name:
             return None
-        own = self.owners.get(row.owner)
-        if own is None or row.epoch > own.epoch:
+        local = self.owners.get(summary.owner)
+        if local is None or summary.epoch > local.epoch:
             return 0, False
-        if row.epoch < own.epoch or row.hash == own.hash:
-            if row.epoch == own.epoch and row.complete_seq > own.complete_seq:
-                own.mark_complete(row.complete_seq)  # the same stands; what is missing was replaced since
+        if summary.epoch < local.epoch or summary.hash == local.hash:
+            if summary.epoch == local.epoch and summary.complete_seq > local.complete_seq:
+                # The live entries are the same, so the missing ones have been replaced since
+                local.mark_complete(summary.complete_seq)
             return None
-        if row.complete_seq == own.complete_seq and not own.seqs_ahead:
-            # As far as each other, yet not the same: one holds what was removed while nobody could tell it,
-            # so each keeps only what the other has too.
+        if summary.complete_seq == local.complete_seq and not local.seqs_ahead:
+            # Both have received the same entries, but one missed a removal and its tombstone has expired:
+            # each keeps only the entries that the other has as well.
             return 0, True
-        return own.complete_seq, False
+        return local.complete_seq, False
 
     def entries_after(
         self, name: str, epoch: int, after: int, room: int, now: float
     ) -> tuple[OwnerSummary, int, bool, list[Entry]] | None:
-        """The next entries of an owner after a number, as many as fit, and whether more follow."""
+        """The entries of an owner after a sequence number, in order, as many as fit ``room`` bytes.
+
+        Returns the owner's summary, the number up to which the entries are complete, whether more follow, and
+        the entries; None where the owner is unknown here or known only with a lower epoch.
+        """
         owner = self.owners.get(name)
         if owner is None or owner.epoch < epoch:
             return None
         after = after if owner.epoch == epoch else 0
-        some, upto, more = list[Entry](), after, False
-        for held in self._stored_after(owner, after):
-            entry = self.copy_to_send(held, now)
+        entries = list[Entry]()
+        up_to = after
+        more = False
+        for stored in self._stored_after(owner, after):
+            entry = self.copy_to_send(stored, now)
             room -= encoded_size(entry) + 3
-            if room < 0 and some:
+            if room < 0 and entries:
                 more = True
                 break
-            some.append(entry)
-            upto = entry.seq
-        return owner.summary(name), owner.complete_seq if not more else upto, more, some
+            entries.append(entry)
+            up_to = entry.seq
+        return owner.summary(name), owner.complete_seq if not more else up_to, more, entries
 
     @staticmethod
     def _stored_after(owner: OwnerRegisters, after: int) -> list[StoredEntry]:
+        """The copies of an owner's registers with a higher sequence number, in order."""
         if owner.by_seq is None:
-            owner.by_seq = sorted(owner.entries.values(), key=lambda held: held.entry.seq)
-        return owner.by_seq[bisect_right(owner.by_seq, after, key=lambda held: held.entry.seq) :]
+            owner.by_seq = sorted(owner.entries.values(), key=lambda stored: stored.entry.seq)
+        return owner.by_seq[bisect_right(owner.by_seq, after, key=lambda stored: stored.entry.seq) :]
 
-    def merge_batch(self, row: OwnerSummary, after: int, upto: int, entries: list[Entry], now: float) -> None:
-        """Take a piece."""
+    def merge_batch(
+        self, summary: OwnerSummary, after: int, up_to: int, entries: list[Entry], now: float
+    ) -> None:
+        """Merge the entries of a pull reply, which holds all live entries in (``after``, ``up_to``]."""
         for entry in entries:
             self.merge_entry(entry, now)
-        for entry in entries:  # asked for, so no news to the others: halves that meet make no storm
+        # Pulled entries are not gossiped: two halves of a healed partition would flood each other with them
+        for entry in entries:
             self._stop_gossip(entry)
-        owner = self._get_or_add_owner(row.owner)
-        if row.owner != self.name and row.epoch > owner.epoch:
-            owner = self._reset_owner(row.owner, row.epoch)
-        if row.owner != self.name and owner.epoch == row.epoch and after <= owner.complete_seq:
-            # All that stands up to there has come: what has not was replaced by what comes later.
-            owner.mark_complete(min(upto, row.complete_seq))
+        owner = self._get_or_add_owner(summary.owner)
+        if summary.owner != self.name and summary.epoch > owner.epoch:
+            owner = self._reset_owner(summary.owner, summary.epoch)
+        if summary.owner != self.name and owner.epoch == summary.epoch and after <= owner.complete_seq:
+            # All live entries up to here have come; a number that is missing belongs to an entry that a later
+            # one replaced.
+            owner.mark_complete(min(up_to, summary.complete_seq))
 
     def keep_only(self, name: str, seqs: set[int]) -> None:
-        """The whole of an owner has come: what was not in it was removed while nobody here could hear of
-        it.
-        """
+        """Remove an owner's entries that a full transfer did not contain: they were removed elsewhere."""
         owner = self.owners.get(name)
         if owner is None or name == self.name:
             return
-        for key, held in list(owner.entries.items()):
-            if held.entry.seq not in seqs and held.entry.seq <= owner.complete_seq:
+        for key, stored in list(owner.entries.items()):
+            if stored.entry.seq not in seqs and stored.entry.seq <= owner.complete_seq:
                 self._stop_gossip(owner.remove(key).entry)
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -212,7 +212,7 @@
 
 
 def test_registers_are_bounded() -> None:
-    store = Store("me", 1, entries=10)
+    store = Store("me", 1, max_entries=10)
     for n in range(50):
         store.merge_entry(Entry("x", 1, n + 1, 1, f"k{n}", b"v", 0), 0.0)
     assert len(store.owners["x"].entries) == 10 and store.rejected == 40
