--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from snowwick.net import lines
-from snowwick.net.decider import Load, MoveAway, Outcome
-from snowwick.net.gauge import Answers, Gauge, Meter
+from snowwick.net.decider import LoadReport, MoveAway, Outcome
+from snowwick.net.delay_monitor import ConnectionTiming, DestinationTiming, Gauge
 from snowwick.net.lines import Reply
 from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
 from snowwick.net.peer import LinePeer, PeerEnded, RelayedLines, configure_socket, connect
@@ -51,7 +51,7 @@
         opening: bytes,
         wait_s: float,
         connect_timeout_s: float,
-        gauge: Gauge,
+        delay_monitor: Gauge,
     ) -> None:
         super().__init__(loop, configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
         self.front, self.destination_number, self.address, self.opening = (
@@ -60,9 +60,10 @@
             address,
             opening,
         )
-        self.gauge, self.meter = (
-            gauge,
-            Meter(front, destination_number, Answers()),
+        # Not registered with the monitor until the connection is established.
+        self.delay_monitor, self.timing = (
+            delay_monitor,
+            ConnectionTiming(front, destination_number, DestinationTiming()),
         )
         self.started_at = loop.clock()
         self.answer_deadline = self.started_at + wait_s
@@ -87,7 +88,7 @@
             # The destination still answers: its client is sent away politely, not cut off.
             self.front.post(MoveAway("garbled-destination"))
         finally:
-            self.gauge.remove(self.meter)
+            self.delay_monitor.remove(self.timing)
             # Closed before the front hears of it: the next route step must not find this one still out.
             self.close_socket()
             self._report_end(outcome or Outcome.RESET)
@@ -155,7 +156,7 @@
 
     def _establish(self, line: bytes) -> None:
         self.front.post(ConnectionEstablished(line, self._elapsed_ms()))
-        self.meter = self.gauge.add(self.front, self.destination_number)
+        self.timing = self.delay_monitor.add(self.front, self.destination_number)
         rest = lines.take_lines(self.input_buffer)
         if rest:
             self.on_lines(rest)
@@ -166,13 +167,13 @@
         for line in data.splitlines(keepends=True):
             self.last_reply = lines.reply_kind(line)
             if self.last_reply is not Reply.LOAD:
-                self.meter.answered(now)
+                self.timing.record_reply(now)
             elif (load := lines.parse_load(line)) is not None:
-                self.front.post(Load(self.front, self.destination_number, load))
+                self.front.post(LoadReport(self.front, self.destination_number, load))
 
     def on_message(self, message: object) -> None:
         if isinstance(message, RelayedLines):
-            self.meter.sent(self.loop.clock(), message.data.count(b"\n"))
+            self.timing.record_sent(self.loop.clock(), message.data.count(b"\n"))
         elif isinstance(message, PeerEnded):
             self._report_end(Outcome.CANCELLED)
         super().on_message(message)
@@ -181,14 +182,14 @@
         self._report_end(OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET))
 
     def next_deadline(self) -> float | None:
-        if self.close_deadline is not None or not self.meter.asked:
+        if self.close_deadline is not None or not self.timing.pending:
             return self.close_deadline
-        return max(self.meter.heard + SILENCE_TIMEOUT_S, self.meter.asked[0] + MIN_UNANSWERED_S)
+        return max(self.timing.last_reply + SILENCE_TIMEOUT_S, self.timing.pending[0] + MIN_UNANSWERED_S)
 
     def on_deadline(self) -> bool:
         """Guards against a destination that hangs or vanished: its connection stays open and says nothing."""
         if self.close_deadline is not None:
             return False
-        self.meter.asked.clear()  # asked once is enough; the front ends both sides
+        self.timing.pending.clear()  # asked once is enough; the front ends both sides
         self.front.post(MoveAway("silent"))
         return True
