--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -16,6 +16,7 @@
     MoveAway,
     Outcome,
     RouteStep,
+    RouteStepEnded,
     RouteStepEstablished,
 )
 from snowwick.net.delay_monitor import Gauge
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from snowwick.net import lines
-from snowwick.net.decider import Client, ConnectionRequested, Decider
+from snowwick.net.decider import Client, ConnectionRequested, ConnectionResumed, Decider
 
 ANSWER_MARGIN_MS = 20.0  # subtracted from the client's wait, so that the answer arrives in time
 
