--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -24,9 +24,9 @@
 
     restart_after_fault = True
 
-    def __init__(self, loop: Loop, ledger: AdmissionController) -> None:
+    def __init__(self, loop: Loop, admission: AdmissionController) -> None:
         super().__init__(loop)
-        self.ledger = ledger
+        self.admission = admission
         self.until: float | None = None
 
     def run(self) -> Coroutine:
@@ -36,15 +36,15 @@
             self.mailbox.clear()
             now = self.loop.clock()
             if self.until is None or now >= self.until:
-                for lease in self.ledger.reclaim(now):
+                for lease in self.admission.reclaim(now):
                     front = lease.owner
                     if isinstance(front, Actor):
                         front.post(MoveAway("reclaimed"))
-                wait = self.ledger.reclaim_delay_s()
+                wait = self.admission.reclaim_delay_s()
                 self.until = None if wait is None else now + wait
 
     def check(self) -> None:
-        if self.until is None and self.ledger.needs_reclaim():
+        if self.until is None and self.admission.needs_reclaim():
             self.post(CheckLimits())
 
 
@@ -65,10 +65,10 @@
         self.loop, self.contracts, self.pool_deciders = loop, contracts, pool_deciders
         self.balancers, self.index = balancers, index
         self.longest_ms, self.retry_after_ms = longest_ms, retry_after_ms
-        self.ledger = AdmissionController(
+        self.admission = AdmissionController(
             balancer_limits(contracts, balancers, index), seed, longest_ms / 1000.0
         )
-        self.reclaimer = Reclaimer(loop, self.ledger)
+        self.reclaimer = Reclaimer(loop, self.admission)
         self.rights: dict[str, float] | None = None  # of the budgets, where balancers move them
         self.stricter_shares: dict[str, float] = {}  # parts of budgets, where others' contracts allow less
         self.refused: Counter[tuple[str, str]] = Counter()  # by team and resource, since the last look
@@ -79,7 +79,7 @@
         """Other contracts from now on, all at once."""
         self.contracts = contracts
         book = balancer_limits(contracts, self.balancers, self.index, self.rights)
-        self.ledger.apply(book, self.loop.clock())
+        self.admission.apply(book, self.loop.clock())
         self._pools(running=True)
         self.reclaimer.check()
 
@@ -97,7 +97,7 @@
         if rights != self.rights:
             self.rights = rights
             book = balancer_limits(self.contracts, self.balancers, self.index, rights)
-            self.ledger.apply(book, self.loop.clock())
+            self.admission.apply(book, self.loop.clock())
             self.reclaimer.check()
 
     def measure_demand(self, seconds: float) -> tuple[dict[str, float], dict[str, float]]:
@@ -109,7 +109,7 @@
         used: dict[str, float] = {"fleet.connections": 0.0, "fleet.setups": 0.0}
         wanted = dict(used)
         for name in self.contracts.teams:
-            team = self.ledger.teams.get(name)
+            team = self.admission.teams.get(name)
             held = team.connection_share.in_use if team is not None else 0.0
             for key, now, refused in (
                 ("connections", held, float(self.refused[name, "connections"])),
@@ -134,7 +134,7 @@
             for pool in self.contracts.pools
         }
         self.pool_deciders.set_pools(self.contracts.pools, tenants, running)
-        self.tenants = {tenant: self.ledger.teams[name] for tenant, name in self.contracts.tenants.items()}
+        self.tenants = {tenant: self.admission.teams[name] for tenant, name in self.contracts.tenants.items()}
 
     def _busy(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Rejection:
         wait = self.retry_after_ms() if wait_ms is None else wait_ms
@@ -146,12 +146,12 @@
             return self._busy("no-contract") if not ask.resumed_destination else None
         ask.team, pool = team.name, team.pool
         if ask.resumed_destination:  # it stood before: counted, never refused
-            ask.lease = self.ledger.adopt(now, ask.client, ask.team, ask.class_name)
+            ask.lease = self.admission.adopt(now, ask.client, ask.team, ask.class_name)
             ask.decider = self.pool_deciders.by_pool[pool]
             return None
         if not self.pool_deciders.has_destination(pool):
             return self._busy("no-destinations", f"pool={pool}")
-        got = self.ledger.admit_for_team(now, ask.client, team, ask.class_name, ask.opening.key)
+        got = self.admission.admit_for_team(now, ask.client, team, ask.class_name, ask.opening.key)
         if isinstance(got, Refusal):
             self.refused[ask.team, "rate" if got.reason == "over-rate" else "connections"] += 1
             self.reclaimer.check()
@@ -164,15 +164,15 @@
 
     def on_established(self, ask: Request) -> None:
         if isinstance(ask.lease, Lease):
-            self.ledger.mark_established(ask.lease)
-            if self.ledger.teams_over_ceiling or self.ledger.misplaced_leases:
+            self.admission.mark_established(ask.lease)
+            if self.admission.teams_over_ceiling or self.admission.misplaced_leases:
                 self.reclaimer.check()
 
     def on_load(self, ask: Request, figure: float) -> None:
         if isinstance(ask.lease, Lease):
-            self.ledger.update_load(ask.lease, figure)
+            self.admission.update_load(ask.lease, figure)
             self.reclaimer.check()
 
     def on_ended(self, ask: Request) -> None:
         if isinstance(ask.lease, Lease):
-            self.ledger.release(ask.lease)
+            self.admission.release(ask.lease)
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -62,7 +62,7 @@
 
 
 def held(world: World) -> dict[str, float]:
-    return {name: team.connection_share.in_use for name, team in stage(world).ledger.teams.items()}
+    return {name: team.connection_share.in_use for name, team in stage(world).admission.teams.items()}
 
 
 def listed(world: World, **kinds: str) -> dict[str, Any]:
@@ -141,7 +141,7 @@
     world.play(scenario)
     world.until(lambda: not world.service.fronts)
     world.settle()
-    assert held(world) == {"x": 0, "y": 0} and stage(world).ledger.connection_budget.total_in_use == 0
+    assert held(world) == {"x": 0, "y": 0} and stage(world).admission.connection_budget.total_in_use == 0
     assert f" {reason} " in world.sink.getvalue() and "team=x" in world.sink.getvalue()
     assert not world.loop.open_sockets
 
@@ -239,7 +239,7 @@
     for _ in range(20):
         world.wait(60)
     world.play("c5 expect MOVE\nc5 end\n" + asks(7, "m") + "c7 expect BUSY *\nc7 end\nc1 send M\nd1 expect M")
-    assert held(world) == {"x": 2} and stage(world).ledger.connection_budget.total_in_use == 2
+    assert held(world) == {"x": 2} and stage(world).admission.connection_budget.total_in_use == 2
 
 
 def test_reload_that_gives_a_team_another_pool_moves_it_there(pools: World) -> None:
