--- a/snowwick/fleet/rights.py
+++ b/snowwick/fleet/rights.py
@@ -1,16 +1,16 @@
-"""Budgets as rights that are moved between balancers: leases of a bounded counter, never used twice.
-
-A bounded counter (Balegas et al., 2015) splits a budget into rights: each balancer has a static part and
-may pass some of it on.  What was passed on is a lease (Gray and Cheriton, 1989): the lender counts it as
-gone for ``LEASE`` seconds of its own clock from when it wrote the grant, the borrower uses it for that
-long by its own clock from when it wrote the *ask* that the grant answers, less what clocks may drift.
-Asking comes before granting, so the borrower always stops first; whoever vanishes, its leases run out,
-and no clock is compared with another.
-
-Both write registers, which may come late, twice or never, but not in another order than they were
-written.  A grant answers one ask and is never changed; the borrower goes by the newest that it has, says
-which, and what of it it will go on using at most.  Until it has said so the lender counts the most of all
-that it may be using.
+"""Moves rights to a budget between balancers, as leases of a bounded counter; no right is used twice.
+
+A bounded counter (Balegas et al., 2015) splits a budget into rights: each balancer has a static share and may
+lend some of it.  A loan is a lease (Gray and Cheriton, 1989).  The lender counts it as lent for ``LEASE_S``
+seconds of its own clock, from when it wrote the grant.  The borrower uses it for that time on its own clock,
+less the possible drift, from when it wrote the *request* that the grant answers.  A request is written before
+its grant, so the borrower always stops first.  Leases of a balancer that disappears expire, and no two clocks
+are compared.
+
+Both sides write registers, which can arrive late, more than once or never, but never in another order than
+they were written.  A grant answers one request and does not change.  The borrower uses the newest grant that
+it has, and its next request says which grant that is and how much of it may still be used.  Until then the
+lender counts the largest of all grants that the borrower may be using.
 """
 
 from __future__ import annotations
@@ -21,89 +21,84 @@
 
 import msgspec
 
-LEASE_S = 12.0  # s that a lender counts what it granted as gone
-MAX_DRIFT_FRACTION = 0.01  # by how much two clocks may run apart: a borrower stops that much earlier
-DRAIN_FRACTION = (
-    0.5  # of a lease, at whose end the borrower begins to go without: what stands must have time to move
-)
-MAX_LENT_FRACTION = (
-    0.9  # of its part that a balancer lends at most: its own next clients must not wait for a return
-)
-RENEW_S = 1.0  # s after which a borrower asks again: a lease bears several lost answers
-RESERVE_FRACTION = 0.1  # of what it uses itself that a balancer keeps or asks for beside it
-DEMAND_WINDOW_S = 3.0  # s over which the highest demand counts: a lull must not send rights to and fro
+LEASE_S = 12.0  # for which a lender counts a granted amount as lent
+MAX_DRIFT_FRACTION = 0.01  # clocks may run apart by this fraction, and a borrower stops earlier by it
+# Of a lease, before its end: the borrower then starts to do without it, as connections need time to move
+DRAIN_FRACTION = 0.5
+# Of the static share, that a balancer lends at most: its own next clients must not wait for a lease to end
+MAX_LENT_FRACTION = 0.9
+RENEW_S = 1.0  # between requests of a borrower; a lease outlasts several lost answers
+RESERVE_FRACTION = 0.1  # of its own use, that a balancer keeps free or requests in addition
+# The highest demand within this time counts, so that a short pause does not move rights back and forth
+DEMAND_WINDOW_S = 3.0
 
 
 class Holding(msgspec.Struct, array_like=True, frozen=True):
-    """What a borrower says of one lender: what it may still use, by which grant, for which start of it."""
+    """What a borrower still uses of one lender's grant."""
 
-    amount: float
-    grant_number: int
-    boot: int
+    amount: float  # at most this much
+    request_number: int  # the request that the grant answers
+    boot: int  # the lender's start
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A borrower's register for one budget: what it wants beyond its part, and what it holds."""
+    """A borrower's register for one budget."""
 
     number: int
-    wanted: float
-    spare: float  # what it could lend itself
-    holdings: dict[str, Holding] = {}
+    wanted: float  # beyond its static share
+    spare: float  # that it could lend itself
+    holdings: dict[str, Holding] = {}  # by lender
 
 
 class Grant(msgspec.Struct, array_like=True, frozen=True):
-    """A lender's register for one budget and borrower: the answer to that ask of that start of it.
-
-    ``amount`` may be used, ``wish`` is what the lender would have it come down to.
-    """
+    """A lender's register for one budget and borrower: the answer to one request."""
 
-    boot: int
+    boot: int  # the borrower's start
     request_number: int
-    amount: float
-    target_amount: float
+    amount: float  # that may be used
+    target_amount: float  # to which the borrower should reduce its use
 
 
 @dataclass(slots=True)
 class OutstandingGrant:
-    """At the lender: a grant that may be in use, until when."""
+    """At the lender: a grant that a borrower may be using."""
 
-    grant_number: int
+    request_number: int
     amount: float
     expires_at: float
 
 
 @dataclass(slots=True)
 class BorrowedLease:
-    """At the borrower: the newest grant of a lender, as far as it is still used."""
+    """At the borrower: the newest grant of a lender, reduced to what is still used of it."""
 
     amount: float
     target_amount: float
-    grant_number: int
+    request_number: int
     boot: int  # the lender's start
     expires_at: float
 
 
 @dataclass(slots=True)
 class Budget:
-    """One balancer's side of one budget.
+    """One balancer's share of one budget.
 
-    Over all balancers, at any moment, what ``limit`` allows is at most the budget, whatever is lost, delayed,
-    doubled or cut and whoever dies, as long as clocks run within ``DRIFT`` of each other.
+    At any time the ``limit`` values of all balancers together are at most the budget, whatever is lost,
+    delayed, duplicated or cut off and whichever balancer fails, as long as the clocks' drift stays within
+    ``MAX_DRIFT_FRACTION``.
     """
 
     name: str  # of this balancer
-    static_share: float  # the static part
-    integral: bool  # the budget counts whole things
-    cautious_until: float  # what an earlier start of this balancer lent may be in use till then
+    static_share: float
+    integral: bool  # the budget counts whole units, as connections
+    assume_lent_until: float  # until then grants of an earlier start of this balancer may be in use
     lease_s: float = LEASE_S
-    outstanding: dict[tuple[str, int], list[OutstandingGrant]] = field(
-        default_factory=dict
-    )  # by borrower and its start
-    answered_requests: dict[tuple[str, int], int] = field(
-        default_factory=dict
-    )  # the ask that was granted last
-    borrowed: dict[str, BorrowedLease] = field(default_factory=dict)
-    request_times: dict[int, float] = field(default_factory=dict)  # when each ask was written
+    # As a lender, by borrower and the borrower's start
+    outstanding: dict[tuple[str, int], list[OutstandingGrant]] = field(default_factory=dict)
+    answered_requests: dict[tuple[str, int], int] = field(default_factory=dict)  # the last one of each
+    # As a borrower
+    borrowed: dict[str, BorrowedLease] = field(default_factory=dict)  # by lender
+    request_times: dict[int, float] = field(default_factory=dict)  # when each request was written
     last_request_number: int = 0
     peak_demand: float = 0.0
     peak_at: float = -math.inf
@@ -111,195 +106,217 @@
     # -- what may be used --------------------------------------------------------------------------------
 
     def lent_amount(self, now: float) -> float:
-        """Of the static part, the most that may be in use elsewhere."""
-        gone = 0.0
-        for key, outs in list(self.outstanding.items()):
-            outs[:] = [one for one in outs if now < one.expires_at]
-            if outs:
-                gone += max(one.amount for one in outs)
+        """The most of the static share that other balancers may be using."""
+        lent = 0.0
+        for key, grants in list(self.outstanding.items()):
+            grants[:] = [grant for grant in grants if now < grant.expires_at]
+            if grants:
+                lent += max(grant.amount for grant in grants)
             else:
                 del self.outstanding[key]
-        return max(gone, MAX_LENT_FRACTION * self.static_share) if now < self.cautious_until else gone
+        return max(lent, MAX_LENT_FRACTION * self.static_share) if now < self.assume_lent_until else lent
 
     def own_amount(self, now: float) -> float:
-        """What is left of the static part."""
+        """What is left of the static share."""
         return max(0.0, self.static_share - self.lent_amount(now))
 
     def limit(self, now: float) -> float:
-        """What may be in use here at most."""
+        """The most that may be in use at this balancer."""
         return self.own_amount(now) + sum(
-            one.amount for one in self.borrowed.values() if now < one.expires_at
+            lease.amount for lease in self.borrowed.values() if now < lease.expires_at
         )
 
     def target(self, now: float) -> float:
-        """What should be in use here by now: what is wished back or not renewed is gone without in time."""
+        """The most that should be in use at this balancer.
+
+        It is below ``limit`` where a lender reduced a grant or a lease is about to expire without renewal.
+        """
         return self.own_amount(now) + sum(
-            min(one.amount, one.target_amount)
-            for one in self.borrowed.values()
-            if now < one.expires_at - DRAIN_FRACTION * self.lease_s
+            min(lease.amount, lease.target_amount)
+            for lease in self.borrowed.values()
+            if now < lease.expires_at - DRAIN_FRACTION * self.lease_s
         )
 
-    def confirm_start(self, others: Mapping[str, Mapping[str, Holding]], boot: int, all_others: int) -> None:
-        """End the caution of a start early: all other balancers there are have said that they know of it.
+    def confirm_start(
+        self, others: Mapping[str, Mapping[str, Holding]], boot: int, other_balancers: int
+    ) -> None:
+        """End ``assume_lent_until`` early once all other balancers have confirmed this start (``boot``).
 
-        ``others`` holds, by balancer, what it has told that it holds; ``all_others`` is how many there are.
-        Who knows of this start takes no more grants of an earlier one, and holds none.
+        ``others`` holds the holdings that each balancer reported, ``other_balancers`` is how many there are.
+        A balancer that reports this start accepts no more grants of an earlier start, and holds none.
         """
         if (
-            self.cautious_until > 0.0
-            and len(others) >= all_others
-            and all(self.name in holds and holds[self.name].boot == boot for holds in others.values())
+            self.assume_lent_until > 0.0
+            and len(others) >= other_balancers
+            and all(
+                self.name in holdings and holdings[self.name].boot == boot for holdings in others.values()
+            )
         ):
-            self.cautious_until = 0.0
+            self.assume_lent_until = 0.0
 
     # -- as a borrower -----------------------------------------------------------------------------------
 
     def record_demand(self, wanted: float, now: float) -> None:
-        """What would be in use here now if there were no limit."""
+        """Record what this balancer would use now without a limit."""
         if wanted >= self.peak_demand or now - self.peak_at > DEMAND_WINDOW_S:
             self.peak_demand, self.peak_at = wanted, now
 
     def make_request(self, used: float, boots: Mapping[str, int], now: float) -> LeaseRequest:
-        """The next ask; ``used`` is in use here now, ``boots`` are the members and their starts.
+        """The next request; from now on this balancer uses no more than it says.
 
-        From here on no more is used than it says.
+        ``used`` is in use at this balancer, ``boots`` holds the start of each other member.
         """
         own = self.own_amount(now)
-        need = (1.0 + RESERVE_FRACTION) * self.peak_demand - own
-        want = max(0.0, float(math.ceil(need - 1e-9)) if self.integral else need)
-        over, room = max(0.0, used - own), max(want, used - own, 0.0)
-        holds = {name: Holding(0.0, 0, boot) for name, boot in boots.items()}
-        for name, one in sorted(self.borrowed.items(), key=lambda row: (-row[1].expires_at, row[0])):
-            if now >= one.expires_at:
+        needed = (1.0 + RESERVE_FRACTION) * self.peak_demand - own
+        wanted = max(0.0, float(math.ceil(needed - 1e-9)) if self.integral else needed)
+        required, allowed = max(0.0, used - own), max(wanted, used - own, 0.0)
+        holdings = {name: Holding(0.0, 0, boot) for name, boot in boots.items()}
+        for name, lease in sorted(self.borrowed.items(), key=lambda item: (-item[1].expires_at, item[0])):
+            if now >= lease.expires_at:
                 del self.borrowed[name]
                 continue
-            # What is in use is kept; what is not goes back as far as it is not wanted, or wished back.
-            keep = min(one.amount, max(over, min(room, one.target_amount)))
-            over, room, one.amount = max(0.0, over - keep), max(0.0, room - keep), keep
-            holds[name] = Holding(keep, one.grant_number, one.boot)
+            # What is in use is kept; the rest is given back unless it is wanted and the lender agrees.
+            kept = min(lease.amount, max(required, min(allowed, lease.target_amount)))
+            required, allowed, lease.amount = max(0.0, required - kept), max(0.0, allowed - kept), kept
+            holdings[name] = Holding(kept, lease.request_number, lease.boot)
         self.last_request_number += 1
         self.request_times = {
-            number: at for number, at in self.request_times.items() if now - at < self.lease_s
+            number: written_at
+            for number, written_at in self.request_times.items()
+            if now - written_at < self.lease_s
         }
         self.request_times[self.last_request_number] = now
-        return LeaseRequest(self.last_request_number, want, self.spare_amount(used, now), holds)
+        return LeaseRequest(self.last_request_number, wanted, self.spare_amount(used, now), holdings)
 
-    def receive_grant(self, lender: str, boot: int, grant: Grant, mine: int, now: float) -> None:
-        """A lender's grant to this balancer; ``boot`` is the lender's start, ``mine`` this balancer's."""
-        at, old = self.request_times.get(grant.request_number), self.borrowed.get(lender)
-        if grant.boot != mine or at is None:
+    def receive_grant(self, lender: str, lender_boot: int, grant: Grant, boot: int, now: float) -> None:
+        """Use a grant of a lender's start ``lender_boot`` to this balancer's start ``boot``."""
+        requested_at, old = self.request_times.get(grant.request_number), self.borrowed.get(lender)
+        if grant.boot != boot or requested_at is None:
             return
-        until = at + self.lease_s * (1.0 - MAX_DRIFT_FRACTION)
-        if old is None or old.boot != boot or grant.request_number > old.grant_number:
-            if old is not None and old.boot != boot and now < old.expires_at:
-                return  # by an earlier start of the lender: it runs out first, or both would be used
+        expires_at = requested_at + self.lease_s * (1.0 - MAX_DRIFT_FRACTION)
+        if old is None or old.boot != lender_boot or grant.request_number > old.request_number:
+            if old is not None and old.boot != lender_boot and now < old.expires_at:
+                return  # the lease of the lender's earlier start has to expire first, or both would be used
             self.borrowed[lender] = BorrowedLease(
-                grant.amount, grant.target_amount, grant.request_number, boot, until
+                grant.amount, grant.target_amount, grant.request_number, lender_boot, expires_at
             )
 
     # -- as a lender -------------------------------------------------------------------------------------
 
     def spare_amount(self, used: float, now: float) -> float:
-        """What can be lent beside what has been."""
-        if now < self.cautious_until:
+        """What can be lent in addition to what is lent already."""
+        if now < self.assume_lent_until:
             return 0.0
-        keep = (1.0 + RESERVE_FRACTION) * max(self.peak_demand, used)
-        room = min(self.static_share - keep, MAX_LENT_FRACTION * self.static_share) - self.lent_amount(now)
-        return max(0.0, float(math.floor(room + 1e-9)) if self.integral else room)
+        kept = (1.0 + RESERVE_FRACTION) * max(self.peak_demand, used)
+        spare = min(self.static_share - kept, MAX_LENT_FRACTION * self.static_share) - self.lent_amount(now)
+        return max(0.0, float(math.floor(spare + 1e-9)) if self.integral else spare)
 
     def grant_requests(
-        self, asks: Mapping[str, tuple[int, LeaseRequest]], used: float, now: float
+        self, requests: Mapping[str, tuple[int, LeaseRequest]], used: float, now: float
     ) -> dict[str, Grant]:
-        """Answers to the asks that have none yet; ``asks`` holds each member's start and register.
+        """Grants for the requests that are not answered yet, by borrower.
 
-        A want is met by all that can spare, each in proportion to what it can, so that lenders need not talk.
+        ``requests`` holds the start and the newest request of each other member.  Each lender meets a part of
+        a request in proportion to what it can spare, so that lenders need not coordinate.
         """
         granted: dict[str, Grant] = {}
-        for name, (boot, ask) in sorted(asks.items()):
-            self._settle_grants(name, boot, ask)
+        for name, (boot, request) in sorted(requests.items()):
+            self._settle_grants(name, boot, request)
         spare = self.spare_amount(used, now)
-        wants = sum(ask.wanted for _, ask in asks.values())
-        mine = {
-            name: max([one.amount for one in self.outstanding.get((name, boot), ())], default=0.0)
-            for name, (boot, _) in asks.items()
+        total_wanted = sum(request.wanted for _, request in requests.values())
+        lent = {
+            name: max([grant.amount for grant in self.outstanding.get((name, boot), ())], default=0.0)
+            for name, (boot, _) in requests.items()
         }
-        # What I have lent already and can spare beside it, against what all others could still lend.
-        pot = spare + sum(mine.values())
-        for name, (boot, ask) in sorted(asks.items()):
-            if self.answered_requests.get((name, boot), 0) >= ask.number:
+        # What this lender has lent and can still lend is shared among the borrowers by what they want
+        lendable = spare + sum(lent.values())
+        for name, (boot, request) in sorted(requests.items()):
+            if self.answered_requests.get((name, boot), 0) >= request.number:
                 continue
-            elsewhere = sum(one.amount for other, one in ask.holdings.items() if other != self.name)
-            others = sum(ask_.spare for other, (_, ask_) in asks.items() if other != name)
-            open_want = max(0.0, ask.wanted - elsewhere - mine[name])
-            fair = pot * ask.wanted / wants if wants > 0.0 else 0.0
-            more = open_want * (spare / (spare + others) if spare + others > 0.0 else 0.0)
-            wish = min(mine[name] + more, fair) if ask.wanted > 0.0 else 0.0
+            elsewhere = sum(
+                holding.amount for lender, holding in request.holdings.items() if lender != self.name
+            )
+            others_spare = sum(other.spare for lender, (_, other) in requests.items() if lender != name)
+            open_amount = max(0.0, request.wanted - elsewhere - lent[name])
+            fair = lendable * request.wanted / total_wanted if total_wanted > 0.0 else 0.0
+            more = open_amount * (spare / (spare + others_spare) if spare + others_spare > 0.0 else 0.0)
+            target = min(lent[name] + more, fair) if request.wanted > 0.0 else 0.0
             if self.integral:
-                up = wish <= mine[name] + spare
-                wish = float(math.ceil(wish - 1e-9) if up else math.floor(wish))
-            held = ask.holdings.get(self.name)
-            kept = min(held.amount, mine[name]) if held is not None else 0.0
-            amount = max(kept, min(wish, mine[name] + spare))
-            if amount <= 0.0 and mine[name] <= 0.0:
+                round_up = target <= lent[name] + spare
+                target = float(math.ceil(target - 1e-9) if round_up else math.floor(target))
+            holding = request.holdings.get(self.name)
+            kept = min(holding.amount, lent[name]) if holding is not None else 0.0
+            amount = max(kept, min(target, lent[name] + spare))
+            if amount <= 0.0 and lent[name] <= 0.0:
                 continue
-            spare = max(0.0, spare - max(0.0, amount - mine[name]))
-            self.answered_requests[name, boot] = ask.number
+            spare = max(0.0, spare - max(0.0, amount - lent[name]))
+            self.answered_requests[name, boot] = request.number
             self.outstanding.setdefault((name, boot), []).append(
-                OutstandingGrant(ask.number, amount, now + self.lease_s)
+                OutstandingGrant(request.number, amount, now + self.lease_s)
             )
-            granted[name] = Grant(boot, ask.number, amount, min(wish, amount))
+            granted[name] = Grant(boot, request.number, amount, min(target, amount))
         return granted
 
-    def _settle_grants(self, name: str, boot: int, ask: LeaseRequest) -> None:
-        """What the borrower says it goes by: grants before that are over, of that one no more is used."""
-        held, outs = ask.holdings.get(self.name), self.outstanding.get((name, boot))
-        if held is None or not outs:
+    def _settle_grants(self, name: str, boot: int, request: LeaseRequest) -> None:
+        """Drop grants older than the one that a borrower uses, and reduce that one to what it still uses."""
+        holding, grants = request.holdings.get(self.name), self.outstanding.get((name, boot))
+        if holding is None or not grants:
             return
-        for one in outs:
-            if one.grant_number == held.grant_number:
-                one.amount = min(one.amount, held.amount)
-        outs[:] = [one for one in outs if one.grant_number >= held.grant_number]
+        for grant in grants:
+            if grant.request_number == holding.request_number:
+                grant.amount = min(grant.amount, holding.amount)
+        grants[:] = [grant for grant in grants if grant.request_number >= holding.request_number]
 
 
 class Leases:
-    """All budgets of one balancer, and when their registers have to be written anew."""
+    """All budgets of one balancer, and when their requests have to be written again."""
 
-    def __init__(self, name: str, parts: Mapping[str, tuple[float, bool]], now: float) -> None:
-        """``parts`` holds, by budget, the static part and whether it counts whole things."""
+    def __init__(self, name: str, shares: Mapping[str, tuple[float, bool]], now: float) -> None:
+        """``shares`` holds, by budget, the static share and whether it counts whole units."""
         self.name = name
-        self.budgets = {key: Budget(name, part, whole, now + LEASE_S) for key, (part, whole) in parts.items()}
+        self.budgets = {
+            key: Budget(name, share, integral, now + LEASE_S) for key, (share, integral) in shares.items()
+        }
+        # By budget: the last request, when it was written, and the members' starts at that time
         self.last_requests: dict[str, tuple[LeaseRequest, float, dict[str, int]]] = {}
 
-    def update_shares(self, parts: Mapping[str, tuple[float, bool]], now: float) -> None:
-        """Other contracts: new budgets begin with caution, what was lent of the others stays lent."""
-        for key in self.budgets.keys() - parts.keys():
+    def update_shares(self, shares: Mapping[str, tuple[float, bool]], now: float) -> None:
+        """Apply changed contracts; a budget that is new here assumes at first that most of it is lent."""
+        for key in self.budgets.keys() - shares.keys():
             del self.budgets[key]
-        for key, (part, whole) in parts.items():
-            one = self.budgets.setdefault(key, Budget(self.name, part, whole, now + LEASE_S))
-            one.static_share = part
+        for key, (share, integral) in shares.items():
+            budget = self.budgets.setdefault(key, Budget(self.name, share, integral, now + LEASE_S))
+            budget.static_share = share
 
     def requests_due(
         self, used: Mapping[str, float], boots: dict[str, int], now: float
     ) -> dict[str, LeaseRequest]:
-        """The asks to write now: while anything is wanted or held, and where the members have changed."""
-        fresh: dict[str, LeaseRequest] = {}
-        for key, one in self.budgets.items():
-            before = self.last_requests.get(key)
+        """The requests to write now, by budget.
+
+        A request is written every ``RENEW_S`` while anything is wanted or borrowed, and when the members or
+        what this balancer can spare has changed.
+        """
+        requests: dict[str, LeaseRequest] = {}
+        for key, budget in self.budgets.items():
+            last = self.last_requests.get(key)
             in_use = used.get(key, 0.0)
-            if before is not None and now - before[1] < RENEW_S:
+            if last is not None and now - last[1] < RENEW_S:
                 continue
-            wanting = (1.0 + RESERVE_FRACTION) * one.peak_demand > one.own_amount(now) or bool(one.borrowed)
-            spare = one.spare_amount(in_use, now)
+            wanting = (1.0 + RESERVE_FRACTION) * budget.peak_demand > budget.own_amount(now) or bool(
+                budget.borrowed
+            )
+            spare = budget.spare_amount(in_use, now)
             if (
-                before is None
+                last is None
                 or wanting
-                or before[0].wanted > 0.0
-                or before[2] != boots
-                or abs(spare - before[0].spare) > RESERVE_FRACTION * one.static_share
+                or last[0].wanted > 0.0
+                or last[2] != boots
+                or abs(spare - last[0].spare) > RESERVE_FRACTION * budget.static_share
             ):
-                fresh[key] = one.make_request(in_use, boots, now)
-                self.last_requests[key] = fresh[key], now, dict(boots)
-        return fresh
+                requests[key] = budget.make_request(in_use, boots, now)
+                self.last_requests[key] = requests[key], now, dict(boots)
+        return requests
 
     def targets(self, now: float) -> dict[str, float]:
-        return {key: one.target(now) for key, one in self.budgets.items()}
+        """The most that should be in use at this balancer, by budget."""
+        return {key: budget.target(now) for key, budget in self.budgets.items()}
--- a/snowwick/fleet/wire.py
+++ b/snowwick/fleet/wire.py
@@ -1,8 +1,8 @@
-"""Frames between balancers: msgpack under a keyed digest, one a datagram.
+"""The frames between balancers: msgpack messages with a keyed digest, one per UDP datagram.
 
-A frame is one byte of version, 16 bytes of BLAKE2b keyed with the fleet's key, and the message.  The digest
-covers all that follows it and the version.  What cannot be proved to be a fresh frame of a member for this
-start of this balancer is dropped by its reason code and never raises.
+A datagram is one byte of version, 16 bytes of BLAKE2b keyed with the fleet's key, and the message.  The
+digest covers the version and the message.  A datagram that cannot be verified as a fresh frame of a member
+for this start of this balancer raises only ``FrameDropped``, with a reason code.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 import msgspec
 
-VERSION = 1
+VERSION = 1  # of the frame format
 DIGEST_BYTES = 16
-MAX_FRAME_BYTES = (
-    1400  # bytes of a frame: an Ethernet's worth, so that the loss of one part never costs several
-)
-REPLAY_WINDOW_FRAMES = 256  # frames that may overtake each other (RFC 4303, 3.4.3)
-# Remembered for replays: far above any fleet, so that names made up by a keyholder are bounded
+# A frame fits one Ethernet packet: were it split, the loss of one fragment would lose the whole frame
+MAX_FRAME_BYTES = 1400
+REPLAY_WINDOW_FRAMES = 256  # how far frames of one sender may arrive out of order (RFC 4303, 3.4.3)
+# Senders with a replay window: far more than any fleet has, but a bound on the memory that a holder of the
+# key can use up with invented names
 MAX_SENDERS = 4096
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of a member; ``state`` as in members.py, ``boot`` is drawn anew at each start."""
+    """A membership update; ``state`` as in members.py, ``boot`` is a random number of each start."""
 
     name: str
     address: str
@@ -35,10 +35,11 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One register: written by its owner alone, the highest (epoch, seq) holds; no value is a tombstone.
+    """One version of a register; only its owner writes it, and the highest (epoch, seq) wins.
 
-    ``stamp`` is the owner's hybrid clock, ``left`` the ms that it may still be acted on (0: while its owner
-    is a member); the time that a copy has been held here is taken off before it is passed on.
+    A ``value`` of None is a tombstone.  ``timestamp`` is from the owner's hybrid logical clock.
+    ``remaining_ms`` is how long the value may still be acted on (0: as long as its owner is a member); each
+    member subtracts the time that it held the entry before it sends it.
     """
 
     owner: str
@@ -52,8 +53,9 @@
 
 
 class Ping(msgspec.Struct, array_like=True, tag=1):
-    """Answer with ``Ack``; ``accused`` tells the receiver at once that it is suspected (Lifeguard's
-    buddy).
+    """Asks the receiver for an ``Ack``.
+
+    ``suspected`` informs the receiver at once that it is suspected (Lifeguard's buddy system).
     """
 
     number: int
@@ -61,38 +63,41 @@
 
 
 class Ack(msgspec.Struct, array_like=True, tag=2):
-    """To a ping; ``number`` is the asker's own."""
+    """Answers a ``Ping`` with the number of that ping."""
 
     number: int
 
 
 class PingReq(msgspec.Struct, array_like=True, tag=3):
-    """Ping that member for me; answered with ``Ack`` if it answers, else with ``Nack`` in time."""
+    """Asks the receiver to ping the member ``name``.
+
+    The receiver sends an ``Ack`` when that member answers, or a ``Nack`` before the probe's time runs out.
+    """
 
     number: int
     name: str
 
 
 class Nack(msgspec.Struct, array_like=True, tag=4):
-    """The member did not answer, but I do: the fault is not the asker's own."""
+    """Answers a ``PingReq`` whose member was silent; it shows the requester that its own link works."""
 
     number: int
 
 
 class RootHash(msgspec.Struct, array_like=True, tag=5):
-    """The hash over all that the sender holds."""
+    """The hash over all registers that the sender holds."""
 
     hash: int
 
 
 class RangeHashes(msgspec.Struct, array_like=True, tag=6):
-    """The hashes of the ranges into which the owners fall."""
+    """The hashes of the sender's registers, one for each range of owners."""
 
     hashes: list[int]
 
 
 class OwnerSummary(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender holds of an owner: all up to ``complete``, and the hash of what stands."""
+    """What the sender holds of an owner: all entries up to ``complete_seq``, and a hash of the live ones."""
 
     owner: str
     epoch: int
@@ -101,9 +106,10 @@
 
 
 class VersionVector(msgspec.Struct, array_like=True, tag=7):
-    """A version vector's rows; ``answer`` asks for the receiver's rows of the same owners.
+    """Summaries of some owners; ``wants_reply`` asks for the receiver's summaries of the same owners.
 
-    The rows are all that the sender has in those of ``count`` ranges; none are named where not all had room.
+    The summaries are all that the sender has in ``ranges``, of ``range_count`` ranges of owners.  ``ranges``
+    is empty where not all summaries had room.
     """
 
     summaries: list[OwnerSummary]
@@ -113,7 +119,10 @@
 
 
 class PullRequest(msgspec.Struct, array_like=True, tag=8):
-    """Send me that owner's entries after ``after``; ``whole`` says that what does not come is to go."""
+    """Asks for an owner's entries above the sequence number ``after``.
+
+    In a ``full`` transfer the requester removes the entries that it does not receive.
+    """
 
     owner: str
     epoch: int
@@ -122,7 +131,7 @@
 
 
 class PullReply(msgspec.Struct, array_like=True, tag=9):
-    """Entries of one owner in the order of ``seq``, all that stand in (after, upto]."""
+    """All live entries of one owner in (``after``, ``up_to``], in the order of ``seq``."""
 
     summary: OwnerSummary
     after: int
@@ -133,18 +142,18 @@
 
 
 class Gossip(msgspec.Struct, array_like=True, tag=10):
-    """Nothing but what every frame carries beside its body."""
+    """An empty body, for a frame that only carries membership updates and entries."""
 
 
 class StatusRequest(msgspec.Struct, array_like=True, tag=11):
-    """An operator's tool asks how things stand; ``number`` comes back with each part of the answer."""
+    """An operator's tool asks for one part of the status; the reply repeats ``number`` and ``part``."""
 
     number: int
     part: int
 
 
 class StatusReply(msgspec.Struct, array_like=True, tag=12):
-    """One part of the answer to ``Ask``: JSON, in ``parts`` parts."""
+    """One of ``part_count`` parts of the status, a JSON text."""
 
     number: int
     part: int
@@ -166,12 +175,15 @@
     | StatusRequest
     | StatusReply
 )
-# May come from who does not know the receiver's boot yet; nothing they carry counts then
+# Bodies accepted from senders that do not know the receiver's boot yet; updates in such frames are ignored
 BODIES_WITHOUT_BOOT = (Ping, Ack, StatusRequest)
 
 
 class Frame(msgspec.Struct, array_like=True):
-    """One datagram; ``to_boot`` is 0 where the sender has not heard from the receiver yet."""
+    """One message; ``receiver_boot`` is 0 where the sender does not know the receiver's boot yet.
+
+    ``seq`` numbers the sender's frames against replays.  ``members`` and ``entries`` are gossip.
+    """
 
     sender: str
     address: str
@@ -190,7 +202,7 @@
 
 
 class FrameDropped(Exception):
-    """The frame does not count; ``reason`` is its code."""
+    """The frame is invalid or not fresh; ``reason`` is the code under which it is counted."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -198,28 +210,30 @@
 
 
 def encoded_size(message: msgspec.Struct) -> int:
-    """Bytes that a part takes in a frame."""
+    """The number of bytes that a message takes in a frame."""
     return len(ENCODER.encode(message))
 
 
 def keyed_digest(key: bytes, data: bytes) -> bytes:
+    """The BLAKE2b digest of ``data`` under a key."""
     return blake2b(data, digest_size=DIGEST_BYTES, key=key).digest()
 
 
 def seal(frame: Frame, key: bytes) -> bytes:
-    """The datagram of a frame."""
+    """Encode a frame as a datagram with its digest under a key."""
     data = bytes([VERSION]) + ENCODER.encode(frame)
     return data[:1] + keyed_digest(key, data) + data[1:]
 
 
 def unseal(datagram: bytes, keys: Sequence[bytes]) -> Frame:
-    """The frame of a datagram under any of the keys; raises Dropped."""
+    """Decode a datagram whose digest matches one of the keys; raises FrameDropped."""
     if len(datagram) > MAX_FRAME_BYTES:
         raise FrameDropped("too-long")
     if len(datagram) <= 1 + DIGEST_BYTES or datagram[0] != VERSION:
         raise FrameDropped("version" if datagram[:1] != bytes([VERSION]) else "malformed")
-    said, data = datagram[1 : 1 + DIGEST_BYTES], datagram[:1] + datagram[1 + DIGEST_BYTES :]
-    if not any(hmac.compare_digest(said, keyed_digest(key, data)) for key in keys):
+    received_digest = datagram[1 : 1 + DIGEST_BYTES]
+    data = datagram[:1] + datagram[1 + DIGEST_BYTES :]
+    if not any(hmac.compare_digest(received_digest, keyed_digest(key, data)) for key in keys):
         raise FrameDropped("digest")
     try:
         return DECODER.decode(data[1:])
@@ -229,7 +243,10 @@
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """Which of a sender's numbers have come: the highest, and a bit for each of the last ``WINDOW``."""
+    """The sequence numbers received from one start of a sender.
+
+    Holds the highest number and a bit for each of the last ``REPLAY_WINDOW_FRAMES`` numbers.
+    """
 
     boot: int
     incarnation: int
@@ -237,7 +254,7 @@
     seen_bits: int = 0
 
     def accept(self, seq: int) -> bool:
-        """True the first time that a number comes; what is older than the window counts as seen."""
+        """Whether a number is new; numbers older than the window count as received."""
         if seq > self.highest:
             self.seen_bits = (self.seen_bits << min(seq - self.highest, REPLAY_WINDOW_FRAMES) | 1) & (
                 (1 << REPLAY_WINDOW_FRAMES) - 1
@@ -253,10 +270,10 @@
 
 @dataclass(slots=True)
 class ReplayFilter:
-    """Lets each frame in once.
+    """Accepts each frame once.
 
-    A frame counts for the start of the balancer that it was sent to; a sender that starts anew has a higher
-    incarnation, so that what an earlier start of it sent is not taken again.
+    A frame is valid only for the start of the balancer that it was sent to.  A sender that restarts has a
+    higher incarnation, so frames of its earlier starts are not accepted again.
     """
 
     name: str
@@ -264,7 +281,7 @@
     windows: dict[str, ReplayWindow] = field(default_factory=dict)
 
     def check(self, frame: Frame) -> None:
-        """Raises Dropped."""
+        """Raise FrameDropped for a frame that is for another receiver, replayed, or of too many senders."""
         if frame.receiver not in (self.name, ""):
             raise FrameDropped("for-another")
         if frame.receiver_boot not in (0, self.boot):
@@ -272,9 +289,10 @@
         if not frame.receiver_boot:
             if not isinstance(frame.body, BODIES_WITHOUT_BOOT):
                 raise FrameDropped("replayed")
-            frame.members, frame.entries = [], []
+            frame.members = []
+            frame.entries = []
         if isinstance(frame.body, StatusRequest):
-            return  # a tool is no member; asking changes nothing
+            return  # sent by a tool, which is no member; a replayed request changes nothing
         window = self.windows.get(frame.sender)
         if window is None or frame.boot != window.boot:
             if window is not None and frame.incarnation <= window.incarnation:
