--- a/snowwick/fleet/__init__.py
+++ b/snowwick/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""What balancers tell each other: links, membership, replicated state.  Free of I/O, clock and chance.
+"""The protocol between balancers: frames, membership and replicated registers.
 
-Loaded only where a fleet file is given; see docs/replication.md.
+Does no I/O and reads no clock or random source of its own, except for the fleet file.  Loaded only where a
+fleet file is given; see docs/replication.md.
 """
--- a/snowwick/fleet/clock.py
+++ b/snowwick/fleet/clock.py
@@ -1,36 +1,40 @@
-"""The hybrid logical clock (Kulkarni et al., 2014): near the wall clock, never behind what was heard."""
+"""The hybrid logical clock (Kulkarni et al., 2014).
+
+Its timestamps stay close to the wall clock and are higher than all timestamps received before.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LOGICAL_BITS = 16  # bits of a stamp that count events within a ms
-MAX_AHEAD_MS = 30_000  # ms by which a stamp that was heard may lead this machine's clock and still move ours
+LOGICAL_BITS = 16  # low bits of a timestamp, which count events within one ms
+MAX_AHEAD_MS = 30_000  # received timestamps further ahead of the wall clock do not advance this clock
 
 
 @dataclass(slots=True)
 class HybridClock:
-    """Stamps are whole numbers: ms of the wall clock, then a counter.
+    """Timestamps are integers: Unix time in ms, shifted left by ``LOGICAL_BITS``, plus a counter.
 
-    A stamp from a clock that is minutes ahead is kept as it is but moves no other clock, so that the one
-    wrong machine stays alone with its time; of two writers it wins at most until its clock is put right.
+    A timestamp from a clock that is minutes ahead is stored unchanged but advances no other clock, so that
+    one machine with a wrong clock does not affect the others.  Of two writers it wins only until its clock is
+    corrected.
     """
 
-    last: int = 0
+    last: int = 0  # the highest timestamp issued or received
 
     def next_timestamp(self, wall_ms: float) -> int:
-        """A stamp for an event here, after all stamps given and heard before."""
+        """A timestamp for a local event, higher than all that were issued or received before."""
         self.last = max(self.last + 1, int(wall_ms) << LOGICAL_BITS)
         return self.last
 
-    def observe(self, stamp: int, wall_ms: float) -> bool:
-        """Take another's stamp into account; False where it lies too far ahead to be believed."""
-        if stamp >> LOGICAL_BITS > wall_ms + MAX_AHEAD_MS:
+    def observe(self, timestamp: int, wall_ms: float) -> bool:
+        """Advance the clock to a received timestamp; False where that is too far ahead to be used."""
+        if timestamp >> LOGICAL_BITS > wall_ms + MAX_AHEAD_MS:
             return False
-        self.last = max(self.last, stamp)
+        self.last = max(self.last, timestamp)
         return True
 
 
-def timestamp_ms(stamp: int) -> int:
-    """The wall clock's ms of a stamp."""
-    return stamp >> LOGICAL_BITS
+def timestamp_ms(timestamp: int) -> int:
+    """The Unix time in ms of a timestamp."""
+    return timestamp >> LOGICAL_BITS
--- a/snowwick/fleet/file.py
+++ b/snowwick/fleet/file.py
@@ -1,4 +1,4 @@
-"""The operators' fleet file: its form (version 1) and its checks."""
+"""The fleet file that operators write: its format (version 1) and its validation."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 from snowwick.toml_reader import TomlReader
 
-MIN_KEY_BYTES = 16  # bytes: a shorter key can be guessed
+MIN_KEY_BYTES = 16  # a shorter key can be guessed
 
 Address = Annotated[str, msgspec.Meta(pattern=r"^[^:\s]+:\d{1,5}$")]
 Positive = Annotated[float, msgspec.Meta(gt=0.0)]
 
 
 class FleetFileError(ValueError):
-    """The file cannot be used; ``faults`` holds a line for each fault, its full key path first."""
+    """The file cannot be used; ``faults`` has one line for each fault, which starts with its key path."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -27,59 +27,62 @@
 
 
 class Links(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How this balancer reaches the others."""
+    """How this balancer and the other members reach each other."""
 
     listen: Address
     key_file: str
     seeds: list[Address]
-    address: Address | None = None  # where the others reach this one, if that is not ``listen``
-    old_key_file: str | None = None  # taken from others too, while keys are changed
+    address: Address | None = None  # at which others reach this balancer, if it is not ``listen``
+    old_key_file: str | None = None  # accepted from others as well, while keys are replaced
     period_ms: Annotated[float, msgspec.Meta(ge=20.0, le=5000.0)] = 200.0
-    routes: dict[str, Address] = {}  # other addresses by which this one reaches some members' own
+    routes: dict[str, Address] = {}  # member's address to the address that reaches it from here
 
 
 class Share(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What is told and heeded."""
+    """What this balancer publishes to the fleet and takes over from it."""
 
     health: bool = True
     list: bool = True
     load: bool = True
     rights: bool = True
-    discovery: str = "discovery"  # versions are compared only among balancers that name the same
+    discovery: str = "discovery"  # list versions are compared between balancers with the same name here
 
 
 class FleetFile(msgspec.Struct, frozen=True):
-    """The whole file, checked; ``keys`` holds the key to send under, then those that are taken too."""
+    """The validated file."""
 
     links: Links
     share: Share
-    keys: tuple[bytes, ...]
-    digest: str  # of what should be the same at all: balancers with different files say so
+    keys: tuple[bytes, ...]  # the first one is for sending, all are accepted
+    digest: str  # of the settings that should be the same at all balancers; a difference is logged
 
 
 def _key(reader: TomlReader, path: str, name: str, folder: Path) -> bytes | None:
-    """The key in a file that only its owner may read."""
-    where = folder / name
+    """Read a key file, which only its owner may be able to access; None where there is a fault."""
+    file_path = folder / name
     try:
-        with where.open("rb") as file:
-            about = os.fstat(file.fileno())
+        with file_path.open("rb") as file:
+            file_status = os.fstat(file.fileno())
             data = file.read(4096).strip()
     except OSError as error:
-        reader.add_fault(path, f"cannot read {where}: {error.strerror}")
+        reader.add_fault(path, f"cannot read {file_path}: {error.strerror}")
         return None
-    if about.st_mode & (stat.S_IRWXG | stat.S_IRWXO):
-        reader.add_fault(path, f"{where} may be read by others than its owner; chmod 600 it")
-    elif about.st_uid != os.geteuid():
-        reader.add_fault(path, f"{where} belongs to another user")
+    if file_status.st_mode & (stat.S_IRWXG | stat.S_IRWXO):
+        reader.add_fault(path, f"{file_path} is accessible to group or others; run chmod 600 on it")
+    elif file_status.st_uid != os.geteuid():
+        reader.add_fault(path, f"{file_path} is owned by another user")
     elif len(data) < MIN_KEY_BYTES:
-        reader.add_fault(path, f"{where} holds {len(data)} bytes; a key has at least {MIN_KEY_BYTES}")
+        reader.add_fault(path, f"{file_path} holds {len(data)} bytes; a key needs at least {MIN_KEY_BYTES}")
     else:
         return blake2b(data, digest_size=32, person=b"snowwick-fleet").digest()
     return None
 
 
 def parse(text: str, folder: Path) -> FleetFile:
-    """Check a file's text; key files are named from ``folder``.  Raises BadFleet with every fault found."""
+    """Validate a file's text; paths of key files are relative to ``folder``.
+
+    Raises FleetFileError with every fault found.
+    """
     reader = TomlReader()
     raw = reader.parse(text, {"links", "share"})
     links = (
@@ -94,21 +97,21 @@
         for path, address in [
             ("links.listen", links.listen),
             ("links.address", links.address),
-            *((f"links.seeds.{n}", one) for n, one in enumerate(links.seeds)),
-            *((f"links.routes.{n}", one) for n, one in links.routes.items()),
+            *((f"links.seeds.{index}", seed) for index, seed in enumerate(links.seeds)),
+            *((f"links.routes.{member}", route) for member, route in links.routes.items()),
         ]:
             if address is not None and int(address.rpartition(":")[2]) > 65535:
-                reader.add_fault(path, f"{address!r} has no such port")
+                reader.add_fault(path, f"port of {address!r} is above 65535")
         if len(keys) == 2 and keys[0] == keys[1]:
             reader.add_fault("links.old_key_file", "holds the same key as links.key_file")
     if reader.faults or links is None or share is None:
         raise FleetFileError(reader.faults)
-    common = repr((links.period_ms, msgspec.structs.astuple(share)))  # addresses are each balancer's own
+    common = repr((links.period_ms, msgspec.structs.astuple(share)))  # addresses differ between balancers
     return FleetFile(links, share, tuple(keys), blake2b(common.encode(), digest_size=6).hexdigest())
 
 
 def load(path: str | Path) -> FleetFile:
-    """Read a file; raises BadFleet, also where it cannot be read."""
+    """Read and validate a file; raises FleetFileError, also where it cannot be read."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -25,7 +25,7 @@
     [
         (("version = 1", "version = 2"), "version: must be 1, not 2"),
         (('listen = "127.0.0.1:7946"\n', ""), "links.listen: is missing"),
-        (("7946", "79460"), "links.listen: '127.0.0.1:79460' has no such port"),
+        (("7946", "79460"), "links.listen: port of '127.0.0.1:79460' is above 65535"),
         (('["127.0.0.1:7947"]', '["nowhere"]'), "links.seeds.0: "),
         (('["127.0.0.1:7947"]', "[]\nperiod_ms = 5"), "links.period_ms: "),
         (('"key"', '"none"'), "links.key_file: cannot read"),
@@ -41,7 +41,9 @@
 
 
 def test_a_key_that_others_may_read_or_that_is_short_is_refused(tmp_path: Path) -> None:
-    with pytest.raises(FleetFileError, match=r"links.key_file: .* may be read by others"):
+    with pytest.raises(
+        FleetFileError, match=r"links.key_file: .* is accessible to group or others; run chmod 600 on it"
+    ):
         parse(GOOD, folder(tmp_path, 0o640))
     with pytest.raises(FleetFileError, match=r"links.key_file: .* holds 5 bytes"):
         parse(GOOD, folder(tmp_path, key=b"short"))
