--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""A balancer under test with its timers: no servers, no network, only events and their actions."""
+"""Balancers under test with their timers: no servers and no network, only events and their actions."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from dataclasses import replace
 from typing import Any
 
-from crowgap import interface as i
+from crowgap import interface
 from crowgap.policy import Balancer
 
-SAFE = i.RequestClass("feed", aim=300.0, deadline=1200.0, priority=5.0, message_aim=100.0)
-BASE = i.Settings(
-    classes=(SAFE,),
+SAFE_CLASS = interface.RequestClass("feed", aim=300.0, deadline=1200.0, priority=5.0, message_aim=100.0)
+BASE_SETTINGS = interface.Settings(
+    classes=(SAFE_CLASS,),
     balancers=1,
     max_attempts=5,
     max_retry_after=1000.0,
@@ -22,103 +22,127 @@
     warmup_start_capacity=0.2,
     collapse_multiple=2.5,
 )
-FINAL = (i.Refuse, i.Fail)
+FINAL_ACTIONS = (interface.Refuse, interface.Fail)
 
 
-def ready(*backends: int, started: float = 0.0) -> list[i.BackendEntry]:
-    return [i.BackendEntry(b, i.State.READY, "east", b % 2, 1.0, started) for b in backends]
+def ready_entries(*backends: int, started: float = 0.0) -> list[interface.BackendEntry]:
+    return [
+        interface.BackendEntry(backend, interface.State.READY, "east", backend % 2, 1.0, started)
+        for backend in backends
+    ]
 
 
-class Bench:
-    """Feeds events in time order, fires due timers, and keeps every action with its time."""
+class BalancerHarness:
+    """One balancer with its timers, and a record of all its actions with their times."""
 
     def __init__(self, seed: int = 7, backends: int = 8, now: float = 1000.0, **changes: Any) -> None:
         self.now = now
-        self.balancer = Balancer(replace(BASE, **changes), seed)
-        self.actions: list[tuple[float, i.Action]] = []
-        self.timers: list[tuple[float, int]] = []
-        self.attempts: dict[int, int] = {}
+        self.balancer = Balancer(replace(BASE_SETTINGS, **changes), seed)
+        self.actions: list[tuple[float, interface.Action]] = []
+        self.timers: list[tuple[float, int]] = []  # time and token
+        self.attempts: dict[int, int] = {}  # number of the last attempt, by request
         if backends:
-            self.put(i.ListUpdate(i.ListKind.RESTORED, ready(*range(1, backends + 1))))
+            self.handle_event(
+                interface.ListUpdate(interface.ListKind.RESTORED, ready_entries(*range(1, backends + 1)))
+            )
 
-    def put(self, event: i.Event) -> list[i.Action]:
+    def handle_event(self, event: interface.Event) -> list[interface.Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.actions.append((self.now, action))
-            if isinstance(action, i.SetTimer):
+            if isinstance(action, interface.SetTimer):
                 heapq.heappush(self.timers, (max(action.at, self.now + 1e-3), action.token))
-            elif isinstance(action, i.Send):
+            elif isinstance(action, interface.Send):
                 self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
         return actions
 
-    def run(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
+        """Fire the timers that are due up to this time."""
         while self.timers and self.timers[0][0] <= until:
             at, token = heapq.heappop(self.timers)
             self.now = max(self.now, at)
-            self.put(i.TimerDue(token))
+            self.handle_event(interface.TimerDue(token))
         self.now = until
 
-    def ask(self, request: int, key: str = "g1", patience: float = 1000.0, **more: Any) -> list[i.Action]:
-        return self.put(i.Request(request, "feed", patience, f"c{request}", key, **more))
+    def send_request(
+        self, request: int, key: str = "g1", patience: float = 1000.0, **fields: Any
+    ) -> list[interface.Action]:
+        return self.handle_event(interface.Request(request, "feed", patience, f"c{request}", key, **fields))
 
-    def end(self, send: i.Send, outcome: i.Outcome, closed: bool = False) -> list[i.Action]:
+    def end_attempt(
+        self, send: interface.Send, outcome: interface.Outcome, client_answered: bool = False
+    ) -> list[interface.Action]:
         attempt = self.attempts[send.request]
-        return self.put(i.Ended(send.request, attempt, send.backend, outcome, 5.0, closed))
+        return self.handle_event(
+            interface.Ended(send.request, attempt, send.backend, outcome, 5.0, client_answered)
+        )
 
-    def stand(self, send: i.Send) -> list[i.Action]:
-        return self.put(i.Established(send.request, self.attempts[send.request], send.backend, 5.0))
+    def establish(self, send: interface.Send) -> list[interface.Action]:
+        return self.handle_event(
+            interface.Established(send.request, self.attempts[send.request], send.backend, 5.0)
+        )
 
-    def all(self, kind: type[Any], request: int | None = None) -> list[Any]:
+    def actions_of_type(self, kind: type[Any], request: int | None = None) -> list[Any]:
         return [
-            a
-            for _, a in self.actions
-            if isinstance(a, kind) and (request is None or getattr(a, "request", None) == request)
+            action
+            for _, action in self.actions
+            if isinstance(action, kind) and (request is None or getattr(action, "request", None) == request)
         ]
 
-    def overload(self, first: int = 100000) -> None:
-        """Time-outs spread over the backends until the throttle is on."""
+    def overload(self, first_request: int = 100000) -> None:
+        """Let attempts at all backends time out until the throttle turns on."""
         for n in range(60):
-            for action in self.ask(first + n, f"k{n}"):
-                if isinstance(action, i.Send):
-                    self.end(action, i.Outcome.TIMEOUT)
-            self.run(self.now + 20.0)
+            for action in self.send_request(first_request + n, f"k{n}"):
+                if isinstance(action, interface.Send):
+                    self.end_attempt(action, interface.Outcome.TIMEOUT)
+            self.run_until(self.now + 20.0)
         assert self.balancer.throttle.active
 
 
 class Fleet:
-    """Many balancers on one clock that hear nothing of each other: what all of them do, summed up."""
-
-    def __init__(self, balancers: int, entries: list[i.BackendEntry], seed: int = 1, **changes: Any) -> None:
-        self.random, self.now, self.last = random.Random(seed), 1000.0, 0
-        self.benches = [
-            Bench(seed * 1000 + n, 0, self.now, **changes, balancers=balancers) for n in range(balancers)
+    """Many balancers on one clock that do not communicate, and the connections that all of them open."""
+
+    def __init__(
+        self, balancers: int, entries: list[interface.BackendEntry], seed: int = 1, **changes: Any
+    ) -> None:
+        self.random, self.now, self.last_request = random.Random(seed), 1000.0, 0
+        self.harnesses = [
+            BalancerHarness(seed * 1000 + n, 0, self.now, **changes, balancers=balancers)
+            for n in range(balancers)
         ]
-        for bench in self.benches:
-            bench.put(i.ListUpdate(i.ListKind.RESTORED, entries))
-        # Uneven traffic: some see several times what others do.
-        self.weights = [self.random.gammavariate(2.0, 1.0) for _ in self.benches]
-        self.standing: dict[tuple[str, str], tuple[Bench, i.Send]] = {}
-        self.loads: Counter[int] = Counter()  # what the backends know: a probe takes longer by its square
-
-    def come(self, group: str, client: str, load: Callable[[int], float] = lambda backend: -1.0) -> None:
-        """A client comes, anew or again, at any balancer, and stands if sent on; ``load`` is reported."""
-        if (old := self.standing.pop((group, client), None)) is not None:
-            old[0].end(old[1], i.Outcome.CANCELLED, closed=True)
-            self.loads[old[1].backend] -= 1
-        (bench,) = self.random.choices(self.benches, self.weights)
-        bench.run(self.now)
-        self.last += 1
-        actions = bench.put(i.Request(self.last, "feed", 1000.0, client, group))
-        for action in actions:  # grows as probes are answered
-            if isinstance(action, i.Probe):
-                asked = bench.balancer.backends[action.backend]
-                busy = self.loads[asked.id] / bench.balancer._capacity_fraction(asked)
-                actions += bench.put(i.ProbeResult(asked.id, 2.0 + 0.01 * busy**2, load(asked.id)))
-            elif isinstance(action, i.Send):
-                bench.stand(action)
-                self.standing[group, client] = bench, action
-                self.loads[action.backend] += 1
-
-    def pairs(self) -> int:
-        """How many pairs of a backend and a group that it holds any of."""
-        return len({(send.backend, group) for (group, _), (_, send) in self.standing.items()})
+        for harness in self.harnesses:
+            harness.handle_event(interface.ListUpdate(interface.ListKind.RESTORED, entries))
+        # Uneven traffic: some balancers get several times as many clients as others.
+        self.weights = [self.random.gammavariate(2.0, 1.0) for _ in self.harnesses]
+        self.connections: dict[tuple[str, str], tuple[BalancerHarness, interface.Send]] = {}
+        # By backend.  The time that a probe takes grows with its square.
+        self.connection_counts: Counter[int] = Counter()
+
+    def connect_client(
+        self, group: str, client: str, load: Callable[[int], float] = lambda backend: -1.0
+    ) -> None:
+        """Connect or reconnect a client through a random balancer; backends report ``load``, -1 for none."""
+        if (previous := self.connections.pop((group, client), None)) is not None:
+            previous[0].end_attempt(previous[1], interface.Outcome.CANCELLED, client_answered=True)
+            self.connection_counts[previous[1].backend] -= 1
+        (harness,) = self.random.choices(self.harnesses, self.weights)
+        harness.run_until(self.now)
+        self.last_request += 1
+        actions = harness.handle_event(interface.Request(self.last_request, "feed", 1000.0, client, group))
+        for action in actions:  # the list grows as probes are answered
+            if isinstance(action, interface.Probe):
+                backend = harness.balancer.backends[action.backend]
+                utilization = self.connection_counts[backend.id] / harness.balancer._capacity_fraction(
+                    backend
+                )
+                actions += harness.handle_event(
+                    interface.ProbeResult(backend.id, 2.0 + 0.01 * utilization**2, load(backend.id))
+                )
+            elif isinstance(action, interface.Send):
+                harness.establish(action)
+                self.connections[group, client] = harness, action
+                self.connection_counts[action.backend] += 1
+
+    def backend_group_pairs(self) -> int:
+        """Return the number of pairs of a backend and a group of which it holds a connection."""
+        return len({(send.backend, group) for (group, _), (_, send) in self.connections.items()})
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: translation, bad input, and the same actions however the instances are spread."""
+"""The simulator adapter: translation, malformed input, and the same actions in one process or several."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
     "a key of tomorrow": {"x": 1},
 }
 MEMBERS = [
-    {"backend": b, "rackZone": "a", "unitGroup": 0, "status": "active", "powerHint": 1.0}
-    for b in range(11, 19)
+    {"backend": backend, "rackZone": "a", "unitGroup": 0, "status": "active", "powerHint": 1.0}
+    for backend in range(11, 19)
 ]
 
 
-def attach(i: int, **changes: Any) -> list[dict[str, Any]]:
+def attach_events(instance: int, **changes: Any) -> list[dict[str, Any]]:
     return [
-        {"verb": "ATTACH", "i": i, "salt": 5 + i, "setup": {**SETUP, **changes}},
-        {"verb": "MEMBERSHIP", "i": i, "rev": 1, "form": "restored", "members": MEMBERS},
+        {"verb": "ATTACH", "i": instance, "salt": 5 + instance, "setup": {**SETUP, **changes}},
+        {"verb": "MEMBERSHIP", "i": instance, "rev": 1, "form": "restored", "members": MEMBERS},
     ]
 
 
-def order(i: int, n: int, **more: Any) -> dict[str, Any]:
+def request_event(instance: int, number: int, **more: Any) -> dict[str, Any]:
     return {
         "verb": "ORDER",
-        "i": i,
-        "msgId": n,
-        "nameKey": f"c{n}",
-        "teamId": f"g{n % 7}",
+        "i": instance,
+        "msgId": number,
+        "nameKey": f"c{number}",
+        "teamId": f"g{number % 7}",
         "patienceLeft": 1000.0,
         "type": "feed",
         "party": "t",
@@ -66,20 +66,20 @@
     return json.dumps({"moment": moment, "input": events})
 
 
-def play(lines: list[str]) -> list[list[dict[str, Any]]]:
+def replies(lines: list[str]) -> list[list[dict[str, Any]]]:
     sink = io.StringIO()
     assert benchlink.main(io.StringIO("\n".join(lines) + "\n"), sink) == 0
     return [json.loads(line)["out"] for line in sink.getvalue().splitlines()]
 
 
-def test_every_event_is_answered_in_the_wires_words() -> None:
-    first, *_ = play([batch(1.0, *attach(0), order(0, 1))])
-    assert [a["verb"] for a in first] == ["DEFER", "DEFER", "HAND_OFF"]
+def test_each_event_is_answered_with_the_simulators_messages() -> None:
+    first, *_ = replies([batch(1.0, *attach_events(0), request_event(0, 1))])
+    assert [action["verb"] for action in first] == ["DEFER", "DEFER", "HAND_OFF"]
     backend = first[-1]["backend"]
-    out = play(
+    actions = replies(
         [
             batch(1.0),
-            batch(1.0, *attach(0), order(0, 1)),
+            batch(1.0, *attach_events(0), request_event(0, 1)),
             batch(2.0, {"verb": "CARRIED", "i": 0, "msgId": 2, "type": "feed", "backend": 11, "bitmap": 0}),
             batch(9.0, {"verb": "HEAD_RECEIVED", "i": 0, "msgId": 1, "attempt": 0, "backend": backend}),
             batch(
@@ -107,38 +107,46 @@
             batch(
                 5002.0,
                 {"verb": "MEMBERSHIP", "i": 0, "rev": 2, "form": "replace", "members": []},
-                order(0, 3),
+                request_event(0, 3),
             ),
             batch(5900.0, {"verb": "TICK_DUE", "i": 0, "cookie": 0}),
-            batch(5950.0, {"verb": "CRASH_NOW", "i": 0}, *attach(0)),
+            batch(5950.0, {"verb": "CRASH_NOW", "i": 0}, *attach_events(0)),
         ]
     )
-    assert [a["verb"] for a in out[6]] == ["TRACK"]
-    assert [a["verb"] for a in out[7]] == ["DEFER"]
-    assert not [a for a in out[8] if a["verb"] == "HAND_OFF"]
-    assert len(out) == 11
+    assert [action["verb"] for action in actions[6]] == ["TRACK"]
+    assert [action["verb"] for action in actions[7]] == ["DEFER"]
+    assert not [action for action in actions[8] if action["verb"] == "HAND_OFF"]
+    assert len(actions) == 11
 
 
 @pytest.mark.parametrize(
-    "line,told",
+    "line,expected",
     [
         ("{", "not JSON"),
         ("[1]", "must be an object"),
         ('{"input": []}', "moment"),
         (batch(1.0, {"verb": "NEWS", "i": 0}), "never attached"),
-        (batch(1.0, *attach(0), {"verb": "NEWS", "i": 0}), "unknown event"),
-        (batch(1.0, *attach(0), {"verb": "ORDER", "i": 0, "msgId": 1, "type": "feed"}), "patienceLeft"),
-        (batch(1.0, *attach(0), {"verb": "COMPLETED", "i": 0, "msgId": 1, "backend": 1, "code": 44}), "44"),
+        (batch(1.0, *attach_events(0), {"verb": "NEWS", "i": 0}), "unknown event"),
+        (
+            batch(1.0, *attach_events(0), {"verb": "ORDER", "i": 0, "msgId": 1, "type": "feed"}),
+            "patienceLeft",
+        ),
+        (
+            batch(
+                1.0, *attach_events(0), {"verb": "COMPLETED", "i": 0, "msgId": 1, "backend": 1, "code": 44}
+            ),
+            "44",
+        ),
         (batch(1.0, {"verb": "ATTACH", "i": 0, "salt": 1}), "setup"),
         ('{"moment": 1, "input": [7]}', "unusable"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_message(
-    line: str, told: str, capsys: pytest.CaptureFixture[str]
+def test_malformed_input_ends_with_one_line_of_error(
+    line: str, expected: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert benchlink.main(io.StringIO(line + "\n"), io.StringIO()) != 0
     (message,) = capsys.readouterr().err.splitlines()
-    assert told in message and "Traceback" not in message
+    assert expected in message and "Traceback" not in message
 
 
 def test_exception_in_the_module_becomes_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -146,39 +154,47 @@
         raise RuntimeError("broken on purpose")
 
     monkeypatch.setattr(Balancer, "handle", fail)
-    (out,) = play([batch(1.0, *attach(4)[:1], {"verb": "GONE", "i": 4, "msgId": 1})])
-    assert out == [{"verb": "CRASH", "i": 4, "bodyText": "RuntimeError: broken on purpose"}]
+    (actions,) = replies([batch(1.0, *attach_events(4)[:1], {"verb": "GONE", "i": 4, "msgId": 1})])
+    assert actions == [{"verb": "CRASH", "i": 4, "bodyText": "RuntimeError: broken on purpose"}]
 
 
-def test_senseless_settings_crash_with_the_fields_name() -> None:
-    (out,) = play([batch(1.0, *attach(0, nInstances=0)[:1])])
-    assert out[0]["verb"] == "CRASH" and "balancers" in out[0]["bodyText"]
+def test_invalid_settings_are_reported_as_crash_with_the_field() -> None:
+    (actions,) = replies([batch(1.0, *attach_events(0, nInstances=0)[:1])])
+    assert actions[0]["verb"] == "CRASH" and "balancers" in actions[0]["bodyText"]
 
 
 def script(instances: list[int]) -> list[str]:
-    lines = [batch(1.0, *[e for i in instances for e in attach(i, selfIndex=i)])]
+    lines = [
+        batch(
+            1.0, *[event for instance in instances for event in attach_events(instance, selfIndex=instance)]
+        )
+    ]
     for step in range(60):
-        events = [order(i, step * 100 + i * 10 + n) for i in instances for n in range(4)]
+        events = [
+            request_event(instance, step * 100 + instance * 10 + number)
+            for instance in instances
+            for number in range(4)
+        ]
         events += [
             {
                 "verb": "COMPLETED",
-                "i": i,
-                "msgId": (step - 1) * 100 + i * 10,
+                "i": instance,
+                "msgId": (step - 1) * 100 + instance * 10,
                 "attempt": 0,
                 "backend": 11 + step % 8,
                 "code": step % 6,
             }
-            for i in instances
+            for instance in instances
             if step
         ]
-        events += [{"verb": "TICK_DUE", "i": i, "cookie": step % 2} for i in instances]
+        events += [{"verb": "TICK_DUE", "i": instance, "cookie": step % 2} for instance in instances]
         lines.append(batch(10.0 + 40.0 * step, *events))
     return lines
 
 
-def run(lines: list[str], hash_seed: str) -> list[list[dict[str, Any]]]:
+def run_process(lines: list[str], hash_seed: str) -> list[list[dict[str, Any]]]:
     command = [sys.executable, "-m", "crowgap.benchlink"]
-    done = subprocess.run(
+    result = subprocess.run(
         command,
         input="\n".join(lines) + "\n",
         cwd=ROOT,
@@ -187,14 +203,14 @@
         check=True,
         env={"PYTHONHASHSEED": hash_seed},
     )
-    return [json.loads(line)["out"] for line in done.stdout.splitlines()]
+    return [json.loads(line)["out"] for line in result.stdout.splitlines()]
 
 
 def test_same_actions_under_other_hash_seeds_and_in_several_processes() -> None:
-    together = run(script([0, 1, 2]), "1")
-    assert together == run(script([0, 1, 2]), "4242")
-    apart = [run(script([i]), str(i)) for i in (0, 1, 2)]
-    for at, out in enumerate(together):
-        for i in (0, 1, 2):
-            assert [a for a in out if a["i"] == i] == apart[i][at]
-    assert any(a["verb"] == "HAND_OFF" for out in together for a in out)
+    together = run_process(script([0, 1, 2]), "1")
+    assert together == run_process(script([0, 1, 2]), "4242")
+    apart = [run_process(script([instance]), str(instance)) for instance in (0, 1, 2)]
+    for index, actions in enumerate(together):
+        for instance in (0, 1, 2):
+            assert [action for action in actions if action["i"] == instance] == apart[instance][index]
+    assert any(action["verb"] == "HAND_OFF" for actions in together for action in actions)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,63 +1,67 @@
-"""What many balancers do together that none of them sees: no talk, one clock, uneven traffic."""
+"""The combined effect of many balancers that do not communicate, with uneven traffic."""
 
 from __future__ import annotations
 
 import pytest
-from harness import Fleet, ready
+from harness import Fleet, ready_entries
 
-from crowgap import interface as i
+from crowgap import interface
 from crowgap.policy import COLD_BUDGET_FRACTION, GROUP_COST_CONNECTIONS
 
-BACKENDS, CLIENTS = 40, 800
+BACKEND_COUNT = 40
+CLIENT_COUNT = 800
 
 
-def played(balancers: int, probes: bool) -> Fleet:
-    """Twice as many come as stand, in groups as large as they usually are: by Zipf."""
+def connected_fleet(balancers: int, probes: bool) -> Fleet:
+    """Return a fleet where all clients have connected twice, in groups with sizes by Zipf's law."""
     fleet = Fleet(
         balancers,
-        ready(*range(1, BACKENDS + 1)),
-        tenants=(i.Tenant("t", 2.0 * CLIENTS),),
+        ready_entries(*range(1, BACKEND_COUNT + 1)),
+        tenants=(interface.Tenant("t", 2.0 * CLIENT_COUNT),),
         probes_allowed=probes,
     )
-    names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.2 * CLIENTS / rank))]
+    names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.2 * CLIENT_COUNT / rank))]
     for _ in range(2):
         for group, client in fleet.random.sample(names, len(names)):
             fleet.now += 30.0
-            fleet.come(group, client)
-    assert len(fleet.standing) == len(names)
+            fleet.connect_client(group, client)
+    assert len(fleet.connections) == len(names)
     return fleet
 
 
 @pytest.mark.parametrize("balancers", [1, 10, 40, 200])
-def test_groups_that_few_have_seen_are_not_scattered(balancers: int) -> None:
-    """A server that holds any of a group pays for it: what all split must not cost as the clients do.
+def test_groups_that_balancers_have_seen_rarely_are_not_scattered(balancers: int) -> None:
+    """A backend pays for each group that it holds; splitting groups must cost less than the clients do.
 
-    Guards against taking a group that was seen once for a large one: at 200 balancers all are seen once.
+    Guards against taking a group that was seen once for a large one: 200 balancers see each group about once.
     """
-    fleet = played(balancers, probes=False)
-    assert GROUP_COST_CONNECTIONS * fleet.pairs() < 0.8 * len(fleet.standing)
+    fleet = connected_fleet(balancers, probes=False)
+    assert GROUP_COST_CONNECTIONS * fleet.backend_group_pairs() < 0.8 * len(fleet.connections)
 
 
 @pytest.mark.parametrize("balancers", [2, 200])
-def test_what_all_do_to_a_backend_is_seen_by_each_before_it_adds_to_it(balancers: int) -> None:
-    """At 200 balancers a crowded backend got more from everybody: none of them saw it in its own few."""
-    mean = sum(played(balancers, probes=False).loads.values()) / BACKENDS
-    assert max(played(balancers, probes=False).loads.values()) > 2.5 * mean or balancers == 2
-    assert max(played(balancers, probes=True).loads.values()) < 2.0 * mean
+def test_probes_keep_many_balancers_from_overloading_a_backend(balancers: int) -> None:
+    """A crowded backend got more from each of 200 balancers: none saw that in its own few connections."""
+    mean = sum(connected_fleet(balancers, probes=False).connection_counts.values()) / BACKEND_COUNT
+    assert (
+        max(connected_fleet(balancers, probes=False).connection_counts.values()) > 2.5 * mean
+        or balancers == 2
+    )
+    assert max(connected_fleet(balancers, probes=True).connection_counts.values()) < 2.0 * mean
 
 
 @pytest.mark.parametrize("balancers", [1, 10, 40, 200])
-def test_cold_backend_is_used_and_not_pushed_over_when_all_come_at_once(balancers: int) -> None:
-    """All balancers have just restarted and know nothing; every client comes again within 1.5 s.
+def test_cold_backend_is_used_but_not_overloaded_when_all_clients_reconnect(balancers: int) -> None:
+    """All balancers have just restarted without any state; every client reconnects within 1.5 s.
 
-    The budget of the rule is read as a multiple of what fills a server over its warm-up.
+    The budget is ``collapse_multiple`` times the part of its capacity that a backend takes in its warm-up.
     """
     warm, clients, cold = 26, 700, 99
     fleet = Fleet(
         balancers,
-        ready(*range(1, warm + 1)) + ready(cold, started=1000.0),
+        ready_entries(*range(1, warm + 1)) + ready_entries(cold, started=1000.0),
         probes_allowed=True,
-        tenants=(i.Tenant("t", 1.8 * clients),),
+        tenants=(interface.Tenant("t", 1.8 * clients),),
         warmup_time=8800.0,
         warmup_start_capacity=0.3,
         collapse_multiple=3.0,
@@ -66,35 +70,37 @@
     names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.23 * clients / rank))]
     for group, client in fleet.random.sample(names, len(names)):
         fleet.now += 1500.0 / len(names)
-        fleet.come(group, client)
+        fleet.connect_client(group, client)
     capacity = 1.8 * clients / 0.81 / (warm + 1)
-    budget = 3.0 * 3000.0 * 0.42 * capacity / 8800.0  # 0.42: what it can take in the middle of 3 s
-    assert 0.1 * len(names) / warm < fleet.loads[cold] <= budget
+    budget = 3.0 * 3000.0 * 0.42 * capacity / 8800.0  # 0.42: its capacity fraction in the middle of 3 s
+    assert 0.1 * len(names) / warm < fleet.connection_counts[cold] <= budget
 
 
 @pytest.mark.parametrize("balancers", [1, 40, 200])
-def test_silent_backend_is_left_by_all_and_not_tried_again_by_all_at_once(balancers: int) -> None:
-    fleet = played(balancers, probes=True)
-    silent = max(fleet.loads, key=lambda backend: fleet.loads[backend])
-    holders = [bench for bench in fleet.benches if bench.balancer.backends[silent].flows]
-    tried = []
-    for bench in holders:
-        bench.run(fleet.now + 3000.0)
-        bench.actions.clear()
-        held = {flow.id for flow in bench.balancer.backends[silent].flows.values() if flow.is_open}
-        bench.put(i.BackendSilent(silent))
-        assert {move.request for move in bench.all(i.Move)} == held
-        tried.append(bench.balancer.backends[silent].down_until - bench.now)
-    assert min(tried) >= 0.5 * 250.0 and (len(tried) < 10 or max(tried) - min(tried) >= 200.0)
+def test_all_balancers_leave_a_silent_backend_and_retry_it_at_different_times(balancers: int) -> None:
+    fleet = connected_fleet(balancers, probes=True)
+    silent = max(fleet.connection_counts, key=lambda backend: fleet.connection_counts[backend])
+    affected = [harness for harness in fleet.harnesses if harness.balancer.backends[silent].flows]
+    skip_times = []
+    for harness in affected:
+        harness.run_until(fleet.now + 3000.0)
+        harness.actions.clear()
+        held = {flow.id for flow in harness.balancer.backends[silent].flows.values() if flow.is_open}
+        harness.handle_event(interface.BackendSilent(silent))
+        assert {move.request for move in harness.actions_of_type(interface.Move)} == held
+        skip_times.append(harness.balancer.backends[silent].down_until - harness.now)
+    assert min(skip_times) >= 0.5 * 250.0 and (
+        len(skip_times) < 10 or max(skip_times) - min(skip_times) >= 200.0
+    )
 
 
 @pytest.mark.parametrize("balancers", [1, 3, 40, 200])
-def test_cold_backend_whose_report_is_old_is_not_pushed_over_by_all_who_see_it_empty(balancers: int) -> None:
-    """Each sees the same late report of an empty server: 200 balancers sent it 6.8 times what it could do."""
+def test_cold_backend_with_an_old_low_report_is_not_overloaded_by_all_balancers(balancers: int) -> None:
+    """All see the same late report of an empty backend: 200 balancers sent it 6.8 times its capacity."""
     warm, clients, cold = 26, 700, 99
     fleet = Fleet(
         balancers,
-        ready(*range(1, warm + 1)) + ready(cold, started=1000.0),
+        ready_entries(*range(1, warm + 1)) + ready_entries(cold, started=1000.0),
         probes_allowed=True,
         load_reported=True,
         warmup_time=24000.0,
@@ -102,11 +108,13 @@
         collapse_multiple=3.0,
         overload_window=3000.0,
     )
-    for bench in fleet.benches:
+    for harness in fleet.harnesses:
         for backend in (*range(1, warm + 1), cold):
-            bench.put(i.ProbeResult(backend, 2.0, 0.0 if backend == cold else 0.5))
+            harness.handle_event(interface.ProbeResult(backend, 2.0, 0.0 if backend == cold else 0.5))
     names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.23 * clients / rank))]
     for group, client in fleet.random.sample(names, len(names)):
         fleet.now += 1500.0 / len(names)
-        fleet.come(group, client, load=lambda b: 0.0 if b == cold else 0.5)
-    assert fleet.loads[cold] <= 0.14 * COLD_BUDGET_FRACTION * len(names), "a part of the clients, by the hash"
+        fleet.connect_client(group, client, load=lambda backend: 0.0 if backend == cold else 0.5)
+    assert fleet.connection_counts[cold] <= 0.14 * COLD_BUDGET_FRACTION * len(names), (
+        "a part of the clients, by the hash"
+    )
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,13 +1,13 @@
-"""The ordinary path and its departures."""
+"""Placement, throttle, moves and probes of one balancer."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 import pytest
-from harness import SAFE, Bench, ready
+from harness import SAFE_CLASS, BalancerHarness, ready_entries
 
-from crowgap import interface as i
+from crowgap import interface
 from crowgap.policy import (
     BANK_AND_BUFFER_SLOTS,
     BANK_AT_TURN_ON_TOKENS,
@@ -20,295 +20,310 @@
 )
 
 
-def sends(actions: list[i.Action]) -> list[i.Send]:
-    return [a for a in actions if isinstance(a, i.Send)]
+def sends(actions: list[interface.Action]) -> list[interface.Send]:
+    return [action for action in actions if isinstance(action, interface.Send)]
 
 
-def place(bench: Bench, n: int, key: str) -> int:
-    (send,) = sends(bench.ask(n, key))
+def placement(harness: BalancerHarness, n: int, key: str) -> int:
+    (send,) = sends(harness.send_request(n, key))
     return send.backend
 
 
-def test_balancers_agree_on_a_groups_backend() -> None:
-    first, second = Bench(seed=1), Bench(seed=2)
+def test_balancers_agree_on_the_backend_of_a_group() -> None:
+    first, second = BalancerHarness(seed=1), BalancerHarness(seed=2)
     for n in range(50):
-        assert place(first, n, f"g{n}") == place(second, n, f"g{n}")
+        assert placement(first, n, f"g{n}") == placement(second, n, f"g{n}")
 
 
-def test_membership_change_moves_only_what_it_must() -> None:
-    few, more = Bench(backends=20), Bench(backends=20)
+def test_membership_change_moves_only_the_groups_of_the_new_backend() -> None:
+    changed, unchanged = BalancerHarness(backends=20), BalancerHarness(backends=20)
     for n in range(200):
-        place(few, n, f"g{n}")
-    few.put(i.ListUpdate(i.ListKind.CHANGES, ready(21)))
-    few.put(i.ListUpdate(i.ListKind.CHANGES, [i.BackendEntry(5, i.State.GONE)]))
-    few.put(i.ListUpdate(i.ListKind.CHANGES, ready(5)))
-    homes = [place(more, n, f"g{n}") for n in range(200)]
-    after = [place(few, 1000 + n, f"g{n}") for n in range(200)]
-    moved = [b for a, b in zip(homes, after, strict=True) if a != b]
+        placement(changed, n, f"g{n}")
+    changed.handle_event(interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(21)))
+    changed.handle_event(
+        interface.ListUpdate(interface.ListKind.CHANGES, [interface.BackendEntry(5, interface.State.GONE)])
+    )
+    changed.handle_event(interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(5)))
+    homes = [placement(unchanged, n, f"g{n}") for n in range(200)]
+    after = [placement(changed, 1000 + n, f"g{n}") for n in range(200)]
+    moved = [new for old, new in zip(homes, after, strict=True) if old != new]
     assert set(moved) == {21} and len(moved) < 30
 
 
-def test_head_of_a_ranking_is_made_anew_with_the_list() -> None:
-    bench = Bench(backends=60)
-    place(bench, 1, "g")
-    bench.put(i.ListUpdate(i.ListKind.CHANGES, ready(*range(61, 90))))
-    place(bench, 2, "g")
-    fresh = Bench(backends=89)
-    place(fresh, 1, "g")
-    (cached,) = bench.balancer.groups.values()
+def test_cached_ranking_is_recomputed_when_the_list_changes() -> None:
+    harness = BalancerHarness(backends=60)
+    placement(harness, 1, "g")
+    harness.handle_event(interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(*range(61, 90))))
+    placement(harness, 2, "g")
+    fresh = BalancerHarness(backends=89)
+    placement(fresh, 1, "g")
+    (cached,) = harness.balancer.groups.values()
     (new,) = fresh.balancer.groups.values()
     assert cached.top_ranks == new.top_ranks and len(new.top_ranks) == RANKS_KEPT
 
 
-def test_heavier_backends_get_more() -> None:
-    bench = Bench(backends=0)
-    entries = ready(*range(1, 9))
+def test_backends_of_higher_weight_get_more_groups() -> None:
+    harness = BalancerHarness(backends=0)
+    entries = ready_entries(*range(1, 9))
     entries[0].weight = 4.0
-    bench.put(i.ListUpdate(i.ListKind.FULL, entries))
-    homes = [place(bench, n, f"g{n}") for n in range(1100)]
+    harness.handle_event(interface.ListUpdate(interface.ListKind.FULL, entries))
+    homes = [placement(harness, n, f"g{n}") for n in range(1100)]
     assert 300 < homes.count(1) < 500
 
 
-def test_throttle_is_off_in_quiet_times_and_one_bad_backend_leaves_it_off() -> None:
-    bench = Bench()
+def test_throttle_stays_off_when_one_backend_fails() -> None:
+    harness = BalancerHarness()
     for n in range(300):
-        for send in sends(bench.ask(n, f"g{n}")):
+        for send in sends(harness.send_request(n, f"g{n}")):
             if send.backend == 1:
-                bench.end(send, i.Outcome.TIMEOUT)
+                harness.end_attempt(send, interface.Outcome.TIMEOUT)
             else:
-                bench.stand(send)
-        bench.run(bench.now + 10.0)
-    assert not bench.balancer.throttle.active
-    assert len(bench.all(i.Send)) >= 300 and not bench.all(i.Refuse)
+                harness.establish(send)
+        harness.run_until(harness.now + 10.0)
+    assert not harness.balancer.throttle.active
+    assert len(harness.actions_of_type(interface.Send)) >= 300 and not harness.actions_of_type(
+        interface.Refuse
+    )
 
 
-def test_sum_of_buffer_and_bank_is_constant_and_buffer_goes_first_delays_then_refuses() -> None:
-    bench = Bench()
-    bench.overload()
-    throttle = bench.balancer.throttle
+def test_buffer_and_bank_share_a_constant_number_of_slots_and_a_full_buffer_refuses() -> None:
+    harness = BalancerHarness()
+    harness.overload()
+    throttle = harness.balancer.throttle
     assert throttle.bank_capacity(throttle.turned_on_at) == BANK_AT_TURN_ON_TOKENS
     assert (
         throttle.bank_capacity(throttle.turned_on_at + BUFFER_SHRINK_DELAY_MS + BUFFER_SHRINK_MS)
         == BANK_AND_BUFFER_SLOTS
     )
-    throttle.refill_rate, throttle.tokens, throttle.turned_on_at, throttle.waiting = (
-        0.0001,
-        0.0,
-        bench.now,
-        [],
-    )
-    before = len(bench.all(i.Refuse))
+    throttle.refill_rate = 0.0001
+    throttle.tokens = 0.0
+    throttle.turned_on_at = harness.now
+    throttle.waiting = []
+    before = len(harness.actions_of_type(interface.Refuse))
     for n in range(int(BANK_AND_BUFFER_SLOTS - BANK_AT_TURN_ON_TOKENS)):
-        assert not sends(bench.ask(n, f"w{n}"))
-    assert len(bench.all(i.Refuse)) == before
+        assert not sends(harness.send_request(n, f"w{n}"))
+    assert len(harness.actions_of_type(interface.Refuse)) == before
     for n in range(100, 110):
-        bench.ask(n, f"w{n}")
-    assert len(bench.all(i.Refuse)) > before
+        harness.send_request(n, f"w{n}")
+    assert len(harness.actions_of_type(interface.Refuse)) > before
 
 
-def test_retries_after_refusals_are_spread() -> None:
-    bench = Bench(backends=0)
+def test_retry_after_times_of_refusals_are_spread() -> None:
+    harness = BalancerHarness(backends=0)
     for n in range(20):
-        bench.ask(n, patience=300.0)
-    bench.run(bench.now + 300.0)
-    waits = {a.retry_after for a in bench.all(i.Refuse)}
+        harness.send_request(n, patience=300.0)
+    harness.run_until(harness.now + 300.0)
+    waits = {action.retry_after for action in harness.actions_of_type(interface.Refuse)}
     assert len(waits) == 20 and max(waits) <= 1000.0 and min(waits) > 0.0
 
 
-def test_further_attempts_take_tokens_in_overload() -> None:
-    """Errors retried at once made a storm of 70 attempts a request in a recorded incident."""
-    bench = Bench()
-    bench.overload()
-    bench.balancer.throttle.refill_rate, bench.balancer.throttle.tokens = 0.0, 1.0
-    (send,) = sends(bench.ask(1))
-    assert not sends(bench.end(send, i.Outcome.ERROR))
+def test_retries_take_tokens_in_overload() -> None:
+    """In a recorded incident immediate retries after errors led to 70 attempts per request."""
+    harness = BalancerHarness()
+    harness.overload()
+    harness.balancer.throttle.refill_rate = 0.0
+    harness.balancer.throttle.tokens = 1.0
+    (send,) = sends(harness.send_request(1))
+    assert not sends(harness.end_attempt(send, interface.Outcome.ERROR))
 
 
 def test_failing_backend_is_skipped_and_tried_again_later() -> None:
-    bench = Bench()
-    (send,) = sends(bench.ask(1))
-    (again,) = sends(bench.end(send, i.Outcome.CONNECT_FAILED))
+    harness = BalancerHarness()
+    (send,) = sends(harness.send_request(1))
+    (again,) = sends(harness.end_attempt(send, interface.Outcome.CONNECT_FAILED))
     assert again.backend != send.backend
-    assert send.backend not in {place(bench, n, f"g{n}") for n in range(10, 60)}
-    bench.run(bench.now + 20000.0)
-    assert send.backend in {place(bench, n, f"g{n}") for n in range(100, 150)}
+    assert send.backend not in {placement(harness, n, f"g{n}") for n in range(10, 60)}
+    harness.run_until(harness.now + 20000.0)
+    assert send.backend in {placement(harness, n, f"g{n}") for n in range(100, 150)}
 
 
-def test_backends_that_are_skipped_throttle_nothing() -> None:
-    """Two of five backends dropped all they held: clients were refused though the other three had room."""
-    bench = Bench(backends=5)
+def test_skipped_backends_do_not_turn_the_throttle_on() -> None:
+    """Two of five backends dropped all connections, and clients were refused although three had room."""
+    harness = BalancerHarness(backends=5)
     for n in range(60):
-        for action in bench.ask(n, f"k{n}"):
-            if isinstance(action, i.Send):
-                bench.stand(action)
-    sends = {a.request: a for a in bench.all(i.Send)}
-    lost = [a for a in sends.values() if a.backend in (1, 2)]
+        for action in harness.send_request(n, f"k{n}"):
+            if isinstance(action, interface.Send):
+                harness.establish(action)
+    sends = {action.request: action for action in harness.actions_of_type(interface.Send)}
+    lost = [action for action in sends.values() if action.backend in (1, 2)]
     for action in lost:
-        bench.end(action, i.Outcome.RESET, closed=True)
-    bench.run(bench.now + 800.0)
-    assert lost and not bench.balancer.throttle.active
+        harness.end_attempt(action, interface.Outcome.RESET, client_answered=True)
+    harness.run_until(harness.now + 800.0)
+    assert lost and not harness.balancer.throttle.active
 
 
 def test_clients_of_a_leaving_backend_are_moved_over_two_seconds() -> None:
-    """Not all servers send their clients away as they drain: some cut them off seconds later."""
-    bench = Bench(backends=3)
+    """Not every draining server asks its clients to reconnect: some cut them off seconds later."""
+    harness = BalancerHarness(backends=3)
     for n in range(60):
-        for action in bench.ask(n, f"k{n}"):
-            if isinstance(action, i.Send):
-                bench.stand(action)
-    sends = bench.all(i.Send)
-    leaves = sends[0].backend
-    held = {a.request for a in sends if a.backend == leaves}
-    bench.put(i.ListUpdate(i.ListKind.CHANGES, [i.BackendEntry(leaves, i.State.DRAINING)]))
-    bench.run(bench.now + 999.0)
-    first = {a.request for a in bench.all(i.Move)}
-    bench.run(bench.now + 1001.0)
-    assert first < held == {a.request for a in bench.all(i.Move)}
-    for request in held:  # what it cuts off on its way out is no trouble of the others
-        bench.put(i.Ended(request, 0, leaves, i.Outcome.RESET, 5.0, True))
-    assert bench.balancer.backends[leaves].failure_count == 0
-
-
-def test_backend_that_answers_some_errors_goes_on_serving_others() -> None:
-    """Skipped for ever longer, one that refused every other request left all its load to the rest."""
-    bench = Bench(backends=5, max_attempts=3, tenants=(i.Tenant("t", 100.0),))
+        for action in harness.send_request(n, f"k{n}"):
+            if isinstance(action, interface.Send):
+                harness.establish(action)
+    sends = harness.actions_of_type(interface.Send)
+    leaving = sends[0].backend
+    held = {action.request for action in sends if action.backend == leaving}
+    harness.handle_event(
+        interface.ListUpdate(
+            interface.ListKind.CHANGES, [interface.BackendEntry(leaving, interface.State.DRAINING)]
+        )
+    )
+    harness.run_until(harness.now + 999.0)
+    first = {action.request for action in harness.actions_of_type(interface.Move)}
+    harness.run_until(harness.now + 1001.0)
+    assert first < held == {action.request for action in harness.actions_of_type(interface.Move)}
+    for request in held:  # connections that a leaving backend cuts off do not count as failures
+        harness.handle_event(interface.Ended(request, 0, leaving, interface.Outcome.RESET, 5.0, True))
+    assert harness.balancer.backends[leaving].failure_count == 0
+
+
+def test_backend_that_answers_some_requests_with_errors_stays_in_use() -> None:
+    """A backend that refused every other request was skipped ever longer, so the others took all its load."""
+    harness = BalancerHarness(backends=5, max_attempts=3, tenants=(interface.Tenant("t", 100.0),))
     served = 0
     for n in range(200):
-        actions = bench.ask(n, "k")
-        while sends := [a for a in actions if isinstance(a, i.Send)]:
+        actions = harness.send_request(n, "k")
+        while sends := [action for action in actions if isinstance(action, interface.Send)]:
             if sends[0].backend <= 2 and n % 2:
-                actions = bench.end(sends[0], i.Outcome.ERROR)
+                actions = harness.end_attempt(sends[0], interface.Outcome.ERROR)
             else:
-                actions = bench.stand(sends[0])
+                actions = harness.establish(sends[0])
                 served += sends[0].backend <= 2
-        bench.run(bench.now + 50.0)
-        assert not bench.balancer.throttle.active
-    assert served >= 30 and not bench.all(i.Refuse)
+        harness.run_until(harness.now + 50.0)
+        assert not harness.balancer.throttle.active
+    assert served >= 30 and not harness.actions_of_type(interface.Refuse)
 
 
-def test_all_leave_a_silent_backend_and_nothing_new_goes_there() -> None:
-    bench = Bench(backends=4)
+def test_silent_backend_loses_all_connections_and_gets_no_new_ones() -> None:
+    harness = BalancerHarness(backends=4)
     for n in range(40):
-        for action in bench.ask(n, f"k{n}"):
-            if isinstance(action, i.Send):
-                bench.stand(action)
-    held = {a.request for a in bench.all(i.Send) if a.backend == 1}
-    bench.run(bench.now + 3000.0)
-    bench.actions.clear()
-    bench.put(i.BackendSilent(1))
-    assert held and {a.request for a in bench.all(i.Move)} == held
+        for action in harness.send_request(n, f"k{n}"):
+            if isinstance(action, interface.Send):
+                harness.establish(action)
+    held = {action.request for action in harness.actions_of_type(interface.Send) if action.backend == 1}
+    harness.run_until(harness.now + 3000.0)
+    harness.actions.clear()
+    harness.handle_event(interface.BackendSilent(1))
+    assert held and {action.request for action in harness.actions_of_type(interface.Move)} == held
     for n in range(100, 140):
-        bench.ask(n, f"k{n}")
-    assert all(a.backend != 1 for a in bench.all(i.Send))
+        harness.send_request(n, f"k{n}")
+    assert all(action.backend != 1 for action in harness.actions_of_type(interface.Send))
 
 
-def test_two_quick_resets_throttle_nothing_and_calm_ends_the_throttle() -> None:
-    """Two connects that broke in a millisecond once had a balancer refuse clients for fifteen seconds."""
-    bench = Bench(backends=5)
-    for n, action in enumerate([a for m in range(10) for a in bench.ask(m, f"k{m}")]):
-        assert isinstance(action, i.Send)
+def test_two_quick_resets_do_not_turn_the_throttle_on_and_health_turns_it_off() -> None:
+    """Two connects that broke within a millisecond once made a balancer refuse clients for 15 s."""
+    harness = BalancerHarness(backends=5)
+    for n, action in enumerate([action for m in range(10) for action in harness.send_request(m, f"k{m}")]):
+        assert isinstance(action, interface.Send)
         if n in (3, 6):
-            bench.end(action, i.Outcome.RESET)
+            harness.end_attempt(action, interface.Outcome.RESET)
         else:
-            bench.stand(action)
-    bench.run(bench.now + 1000.0)
-    assert not bench.balancer.throttle.active
-    bench.overload()
-    for m in range(200, 400):  # all is well now, and clients keep coming faster than let out
-        for other in bench.ask(m, f"k{m}"):
-            if isinstance(other, i.Send):
-                bench.stand(other)
-        bench.run(bench.now + 50.0)
-    assert not bench.balancer.throttle.active
-
-
-def test_errors_alone_throttle_nothing() -> None:
-    """A malformed request, tried at three backends, made all of them look ill and throttled the rest."""
-    bench = Bench(max_attempts=3)
+            harness.establish(action)
+    harness.run_until(harness.now + 1000.0)
+    assert not harness.balancer.throttle.active
+    harness.overload()
+    for m in range(200, 400):  # healthy again, while clients arrive faster than the throttle admits them
+        for other in harness.send_request(m, f"k{m}"):
+            if isinstance(other, interface.Send):
+                harness.establish(other)
+        harness.run_until(harness.now + 50.0)
+    assert not harness.balancer.throttle.active
+
+
+def test_errors_alone_do_not_turn_the_throttle_on() -> None:
+    """A malformed request, tried at three backends, made them look faulty and throttled other requests."""
+    harness = BalancerHarness(max_attempts=3)
     for n in range(30):
-        actions = bench.ask(n, f"k{n}")
-        while sends := [a for a in actions if isinstance(a, i.Send)]:
-            actions = bench.end(sends[0], i.Outcome.ERROR)
-        bench.run(bench.now + 50.0)
-    assert not bench.balancer.throttle.active and all(
-        b.failure_count == 0 for b in bench.balancer.ready_backends
+        actions = harness.send_request(n, f"k{n}")
+        while sends := [action for action in actions if isinstance(action, interface.Send)]:
+            actions = harness.end_attempt(sends[0], interface.Outcome.ERROR)
+        harness.run_until(harness.now + 50.0)
+    assert not harness.balancer.throttle.active and all(
+        backend.failure_count == 0 for backend in harness.balancer.ready_backends
     )
 
 
-def test_mild_delay_moves_part_only() -> None:
-    """One move a note emptied a backend on which each of a hundred balancers held one connection."""
+def test_mild_delay_moves_only_some_connections() -> None:
+    """One move per delay report emptied a backend on which each of 100 balancers held one connection."""
     gone = 0
     for seed in range(200):
-        bench = Bench(seed=seed, backends=30)
-        (send,) = sends(bench.ask(1))
-        bench.stand(send)
-        bench.run(bench.now + 3000.0)
-        bench.balancer.backends[send.backend].down_until = bench.now + 1000.0
-        bench.put(i.DelayReport(1, send.backend, 100.0))
-        gone += len(bench.all(i.Move))
+        harness = BalancerHarness(seed=seed, backends=30)
+        (send,) = sends(harness.send_request(1))
+        harness.establish(send)
+        harness.run_until(harness.now + 3000.0)
+        harness.balancer.backends[send.backend].down_until = harness.now + 1000.0
+        harness.handle_event(interface.DelayReport(1, send.backend, 100.0))
+        gone += len(harness.actions_of_type(interface.Move))
     assert 20 < gone < 100
 
 
-def test_groups_are_poured_over_their_rankings_and_meet_nowhere() -> None:
-    """Hashing alone let large groups meet on one of nine backends while others stood empty."""
+def test_plan_spreads_large_groups_so_that_they_do_not_share_a_backend() -> None:
+    """Hashing alone put several large groups on one of nine backends while others were empty."""
     homes: dict[int, dict[str, set[int]]] = {}
     for seed in range(40):
-        bench = Bench(seed=seed, backends=9, balancers=40, index=seed, tenants=(i.Tenant("t", 450.0),))
+        harness = BalancerHarness(
+            seed=seed, backends=9, balancers=40, index=seed, tenants=(interface.Tenant("t", 450.0),)
+        )
         for n in range(20):  # a few clients of eight groups
             key = f"g{min(7, (n * 37 + seed * 11) % 128 * 8 // 128)}"
-            for send in sends(bench.ask(n, key)):
-                bench.stand(send)
+            for send in sends(harness.send_request(n, key)):
+                harness.establish(send)
                 homes.setdefault(send.backend, {}).setdefault(key, set()).add(seed)
-    loads = [sum(len(who) for who in groups.values()) for groups in homes.values()]
-    assert len(homes) >= 8 and max(loads) < 2.2 * sum(loads) / 9  # eight groups, and most of them whole
+    loads = [sum(len(seeds) for seeds in groups.values()) for groups in homes.values()]
+    assert len(homes) >= 8 and max(loads) < 2.2 * sum(loads) / 9  # eight groups, most of them undivided
 
 
-def test_hot_group_is_spread_over_several() -> None:
-    bench = Bench(backends=40, tenants=(i.Tenant("t", 400.0),))
-    homes = [place(bench, n, "hot" if n % 2 else f"g{n}") for n in range(400)]
+def test_hot_group_is_spread_over_several_backends() -> None:
+    harness = BalancerHarness(backends=40, tenants=(interface.Tenant("t", 400.0),))
+    homes = [placement(harness, n, "hot" if n % 2 else f"g{n}") for n in range(400)]
     assert len(set(homes[201::2])) >= 6
 
 
-def test_what_is_kept_of_keys_and_backends_is_bounded() -> None:
-    """Keys and ids come and go with clients and machines: a long day must not fill the memory."""
-    bench = Bench(backends=3)
+def test_remembered_keys_and_backends_are_bounded() -> None:
+    """Keys and ids come and go with clients and machines; memory must stay bounded over a long run."""
+    harness = BalancerHarness(backends=3)
     for n in range(3000):
-        bench.ask(n, f"k{n}")
-        bench.put(i.ClientLeft(n))
-    waiting = Bench(backends=0)
-    waiting.ask(1, "k1")
+        harness.send_request(n, f"k{n}")
+        harness.handle_event(interface.ClientLeft(n))
+    waiting = BalancerHarness(backends=0)
+    waiting.send_request(1, "k1")
     for n in range(500):
-        for one in (bench, waiting):
-            one.put(i.ListUpdate(i.ListKind.FULL, ready(*range(10 * n + 10, 10 * n + 13))))
-            for action in one.ask(5000 + n, "again"):
-                if isinstance(action, i.Send):
-                    one.end(action, i.Outcome.OK, closed=True)
-    assert len(bench.balancer.groups) <= 1000 and len(bench.balancer.backends) < 100
-
-
-def test_list_service_is_asked_late_and_after_failures_with_growing_waits() -> None:
-    asked = []
+        for one in (harness, waiting):
+            one.handle_event(
+                interface.ListUpdate(interface.ListKind.FULL, ready_entries(*range(10 * n + 10, 10 * n + 13)))
+            )
+            for action in one.send_request(5000 + n, "again"):
+                if isinstance(action, interface.Send):
+                    one.end_attempt(action, interface.Outcome.OK, client_answered=True)
+    assert len(harness.balancer.groups) <= 1000 and len(harness.balancer.backends) < 100
+
+
+def test_calls_to_the_list_service_are_spread_and_back_off_after_failures() -> None:
+    probed_backends = []
     for seed in range(20):
-        bench = Bench(seed=seed, must_subscribe=True, list_refresh_interval=10000.0)
-        bench.run(bench.now + 5000.0)
-        asked += [at for at, a in bench.actions if isinstance(a, i.Subscribe)]
-    # Spread as the service can take it: a few balancers need no long spread, and their old lists hurt.
-    assert len(asked) == 20 and 300.0 < max(asked) - min(asked) <= 400.0
+        harness = BalancerHarness(seed=seed, must_subscribe=True, list_refresh_interval=10000.0)
+        harness.run_until(harness.now + 5000.0)
+        probed_backends += [at for at, action in harness.actions if isinstance(action, interface.Subscribe)]
+    # The spread grows with the number of balancers: few balancers should not wait long with an old list.
+    assert len(probed_backends) == 20 and 300.0 < max(probed_backends) - min(probed_backends) <= 400.0
     waits: list[list[float]] = [[], [], []]
     for seed in range(20):
-        bench = Bench(seed=seed, must_subscribe=True)
+        harness = BalancerHarness(seed=seed, must_subscribe=True)
         for row in waits:
-            (timer,) = [a for a in bench.put(i.ListUpdate(i.ListKind.FAILED)) if isinstance(a, i.SetTimer)]
-            row.append(timer.at - bench.now)
-    # Not longer than that: what changed while the service was down is as old as the wait.
+            (timer,) = [
+                action
+                for action in harness.handle_event(interface.ListUpdate(interface.ListKind.FAILED))
+                if isinstance(action, interface.SetTimer)
+            ]
+            row.append(timer.at - harness.now)
+    # The backoff is bounded: changes made while the service was down are seen only after the wait.
     assert sum(waits[-1]) > 1.5 * sum(waits[0]) and max(waits[-1]) <= 3000.0
 
 
 @pytest.mark.parametrize("balancers", [1, 2, 10, 40])
-def test_fleet_leaves_a_fresh_backend_neither_empty_nor_overrun(balancers: int) -> None:
-    """Turns by balancer left it empty: whose turn it was often had nobody to send."""
+def test_new_backend_of_a_fleet_is_neither_left_empty_nor_overloaded(balancers: int) -> None:
+    """When balancers took turns, the backend stayed empty: the one in turn often had no client to send."""
     fleet = [
-        Bench(
+        BalancerHarness(
             seed=n,
             backends=9,
             balancers=balancers,
@@ -317,305 +332,362 @@
             warmup_start_capacity=0.3,
             collapse_multiple=3.0,
             overload_window=3000.0,
-            tenants=(i.Tenant("t", 450.0),),
+            tenants=(interface.Tenant("t", 450.0),),
         )
         for n in range(balancers)
     ]
     sent = {"old": 0, "early": 0, "late": 0}
     for n in range(1000):
-        bench = fleet[n % balancers]
+        harness = fleet[n % balancers]
         if n == 800:
-            for one in fleet:
-                one.run(1000.0 + 50.0 * n)
-                one.put(i.ListUpdate(i.ListKind.CHANGES, ready(10, started=one.now)))
-        bench.run(1000.0 + 50.0 * n)  # twenty setups a second over the fleet
-        for send in sends(bench.ask(n, f"g{n * 7 % 13}")):
-            bench.stand(send)
+            for member in fleet:
+                member.run_until(1000.0 + 50.0 * n)
+                member.handle_event(
+                    interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(10, started=member.now))
+                )
+        harness.run_until(1000.0 + 50.0 * n)  # 20 setups a second over the fleet
+        for send in sends(harness.send_request(n, f"g{n * 7 % 13}")):
+            harness.establish(send)
             if n >= 800:
                 sent["old" if send.backend != 10 else "early" if n < 860 else "late"] += 1
-    # Within the rule's window of 3 s it may take 0.9 of what it can hold; at the end its part is a tenth.
+    # Within the overload window of 3 s it may take 0.9 of its capacity; at the end its share is a tenth.
     assert sent["early"] <= 0.9 * 450.0 / QUOTA_FRACTION_OF_CAPACITY / 10 and 4 <= sent["late"] <= 30, sent
 
 
-def test_backend_that_started_since_gets_the_clients_that_the_hash_gives_it() -> None:
-    """New backends stood empty beside full ones for half a minute: nobody was moved to them."""
-    bench = Bench(
+def test_new_backend_gets_the_clients_that_the_ranking_places_there() -> None:
+    """New backends stayed empty beside full ones for half a minute, because no client was moved to them."""
+    harness = BalancerHarness(
         backends=9,
         warmup_time=8800.0,
         warmup_start_capacity=0.3,
         collapse_multiple=3.0,
-        tenants=(i.Tenant("t", 4500.0),),
-    )  # far from crowded: no other moves
+        tenants=(interface.Tenant("t", 4500.0),),
+    )  # far from full, so that there are no other moves
     for n in range(200):
-        bench.stand(sends(bench.ask(n, f"g{n * 7 % 13}"))[0])
-    bench.run(bench.now + 5000.0)
-    bench.put(i.ListUpdate(i.ListKind.CHANGES, ready(10, started=bench.now)))
-    moves, by = [], []
+        harness.establish(sends(harness.send_request(n, f"g{n * 7 % 13}"))[0])
+    harness.run_until(harness.now + 5000.0)
+    harness.handle_event(
+        interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(10, started=harness.now))
+    )
+    moves, seconds = [], []
     for second in range(20):
-        bench.run(bench.now + 1000.0)
-        for request in {move.request for move in bench.all(i.Move)} & set(bench.balancer.flows):
-            flow, key = bench.balancer.flows[request], f"g{request * 7 % 13}"
-            bench.put(i.Ended(request, 0, flow.backend, i.Outcome.CANCELLED, 5.0, True))
-            moves.append(sends(bench.put(i.Request(1000 + request, "feed", 1000.0, f"c{request}", key)))[0])
-            bench.stand(moves[-1])
-            by.append(second)
-    to = [send.backend for send in moves]
-    assert 10 <= len(moves) <= 50 and to.count(10) >= 0.8 * len(moves), to
-    assert max(by) >= 3, "as it warms up, not all at once"
-
-
-def test_even_fleet_of_forty_moves_next_to_nobody() -> None:
-    """Counting one connection as forty moved 734 clients of 290 in 30 s."""
+        harness.run_until(harness.now + 1000.0)
+        for request in {move.request for move in harness.actions_of_type(interface.Move)} & set(
+            harness.balancer.flows
+        ):
+            flow, key = harness.balancer.flows[request], f"g{request * 7 % 13}"
+            harness.handle_event(
+                interface.Ended(request, 0, flow.backend, interface.Outcome.CANCELLED, 5.0, True)
+            )
+            moves.append(
+                sends(
+                    harness.handle_event(
+                        interface.Request(1000 + request, "feed", 1000.0, f"c{request}", key)
+                    )
+                )[0]
+            )
+            harness.establish(moves[-1])
+            seconds.append(second)
+    targets = [send.backend for send in moves]
+    assert 10 <= len(moves) <= 50 and targets.count(10) >= 0.8 * len(moves), targets
+    assert max(seconds) >= 3, "as it warms up, not all at once"
+
+
+def test_evenly_loaded_fleet_of_forty_moves_almost_no_clients() -> None:
+    """When one connection was counted as forty, 290 clients were moved 734 times in 30 s."""
     moved = 0
     for index in range(40):
-        bench = Bench(seed=index, backends=9, balancers=40, index=index, tenants=(i.Tenant("t", 450.0),))
+        harness = BalancerHarness(
+            seed=index, backends=9, balancers=40, index=index, tenants=(interface.Tenant("t", 450.0),)
+        )
         for n in range(5):  # 200 connections in 40 groups
-            for send in sends(bench.ask(5 * index + n, f"g{(5 * index + n) * 7 % 40}")):
-                bench.stand(send)
-                bench.put(i.LoadReport(send.request, send.backend, 1000.0 + n))
-        bench.run(bench.now + 30000.0)
-        moved += len(bench.all(i.Move))
+            for send in sends(harness.send_request(5 * index + n, f"g{(5 * index + n) * 7 % 40}")):
+                harness.establish(send)
+                harness.handle_event(interface.LoadReport(send.request, send.backend, 1000.0 + n))
+        harness.run_until(harness.now + 30000.0)
+        moved += len(harness.actions_of_type(interface.Move))
     assert moved <= 20
 
 
-def test_what_cold_backends_cannot_take_yet_is_poured_evenly_over_the_others() -> None:
-    """It went to the next in each group's ranking, whoever else did: 1.21 of one's capacity beside 0.45."""
-    bench = Bench(
+def test_load_that_cold_backends_cannot_take_yet_is_spread_evenly_over_the_others() -> None:
+    """When it went to the next of each ranking, one backend had 1.21 of its capacity and another 0.45."""
+    harness = BalancerHarness(
         backends=4,
         balancers=40,
         warmup_time=8800.0,
         warmup_start_capacity=0.3,
         collapse_multiple=3.0,
-        tenants=(i.Tenant("t", 450.0),),
+        tenants=(interface.Tenant("t", 450.0),),
     )
-    bench.put(i.ListUpdate(i.ListKind.CHANGES, ready(*range(5, 10), started=bench.now)))
-    for n in range(130):  # seen before, so that the plan knows them
-        bench.balancer._create_flow(i.Request(9000 + n, "feed", 1000.0, "", f"g{n % 13}"), 0.0)
+    harness.handle_event(
+        interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(*range(5, 10), started=harness.now))
+    )
+    for n in range(130):  # arrivals from before, so that the plan contains the groups
+        harness.balancer._create_flow(interface.Request(9000 + n, "feed", 1000.0, "", f"g{n % 13}"), 0.0)
     for n in range(200):
-        bench.stand(sends(bench.ask(n, f"g{n * 7 % 13}"))[0])
-    held = [len(bench.balancer.backends[b].flows) for b in range(1, 10)]
+        harness.establish(sends(harness.send_request(n, f"g{n * 7 % 13}"))[0])
+    held = [len(harness.balancer.backends[backend].flows) for backend in range(1, 10)]
     assert max(held[:4]) <= 1.15 * sum(held[:4]) / 4 and max(held[4:]) < min(held[:4]), held
 
 
-def asked(bench: Bench, n: int, key: str = "g") -> list[int]:
-    """The backends that a new request has answer a probe before it goes anywhere."""
-    actions = bench.ask(n, key)
+def probed_backends(harness: BalancerHarness, n: int, key: str = "g") -> list[int]:
+    """Make a request and return the backends that are probed for it before its first attempt."""
+    actions = harness.send_request(n, key)
     assert not sends(actions)
-    return [action.backend for action in actions if isinstance(action, i.Probe)]
-
-
-def test_setup_passes_over_a_backend_that_answers_slower_than_the_next() -> None:
-    """A balancer with a connection or two on each backend cannot see what two hundred do there."""
-    bench = Bench(backends=9, balancers=200, probes_allowed=True, tenants=(i.Tenant("t", 450.0),))
-    first, second, third = asked(bench, 1)
-    assert not sends(bench.put(i.ProbeResult(first, 2.7)) + bench.put(i.ProbeResult(third, 2.0)))
-    (send,) = sends(bench.put(i.ProbeResult(second, 2.4)))
-    assert send.backend == second, "the first in order of those not much slower than the quickest"
-    (again,) = sends(bench.ask(2, "g"))
-    assert again.backend == second, "what was heard a moment ago is not asked again"
-    bench.run(bench.now + 2000.0)
-    own, *others = asked(bench, 3)
+    return [action.backend for action in actions if isinstance(action, interface.Probe)]
+
+
+def test_setup_skips_a_backend_that_answers_probes_slower_than_the_next() -> None:
+    """A balancer with one or two connections on each backend cannot see what 200 balancers do there."""
+    harness = BalancerHarness(
+        backends=9, balancers=200, probes_allowed=True, tenants=(interface.Tenant("t", 450.0),)
+    )
+    first, second, third = probed_backends(harness, 1)
+    assert not sends(
+        harness.handle_event(interface.ProbeResult(first, 2.7))
+        + harness.handle_event(interface.ProbeResult(third, 2.0))
+    )
+    (send,) = sends(harness.handle_event(interface.ProbeResult(second, 2.4)))
+    assert send.backend == second, "the first in the ranking that is not clearly slower than the quickest"
+    (again,) = sends(harness.send_request(2, "g"))
+    assert again.backend == second, "fresh probe results are used again"
+    harness.run_until(harness.now + 2000.0)
+    own, *others = probed_backends(harness, 3)
     for n in (*others, own):
-        actions = bench.put(i.ProbeResult(n, 2.0))
-    assert sends(actions)[0].backend == own, "the group's own, where it is no slower"
-
-
-def test_setup_does_not_wait_for_probes_that_are_not_answered() -> None:
-    bench = Bench(backends=9, probes_allowed=True)
-    _, second, third = asked(bench, 1)
-    bench.put(i.ProbeResult(second, 2.0))
-    bench.put(i.ProbeResult(third, 2.0))
-    bench.put(i.ProbeResult(99, 5.0))  # one that is not known any more
-    bench.run(bench.now + 0.15 * 300.0 + 1.0)
-    (send,) = bench.all(i.Send)
+        actions = harness.handle_event(interface.ProbeResult(n, 2.0))
+    assert sends(actions)[0].backend == own, "the first of the group's ranking, if it is no slower"
+
+
+def test_setup_does_not_wait_for_unanswered_probes() -> None:
+    harness = BalancerHarness(backends=9, probes_allowed=True)
+    _, second, third = probed_backends(harness, 1)
+    harness.handle_event(interface.ProbeResult(second, 2.0))
+    harness.handle_event(interface.ProbeResult(third, 2.0))
+    harness.handle_event(interface.ProbeResult(99, 5.0))  # a backend that is no longer known
+    harness.run_until(harness.now + 0.15 * 300.0 + 1.0)
+    (send,) = harness.actions_of_type(interface.Send)
     assert send.backend == second
-    (probe,) = [a for a in bench.end(send, i.Outcome.CONNECT_FAILED) if isinstance(a, i.Probe)]
-    (retry,) = sends(bench.put(i.ProbeResult(probe.backend, 2.0)))
-    assert retry.backend == third, "a further attempt asks too, but not those heard of just now"
-    gone = asked(bench, 2, "other")
-    bench.put(i.ClientLeft(2))
+    (probe,) = [
+        action
+        for action in harness.end_attempt(send, interface.Outcome.CONNECT_FAILED)
+        if isinstance(action, interface.Probe)
+    ]
+    (retry,) = sends(harness.handle_event(interface.ProbeResult(probe.backend, 2.0)))
+    assert retry.backend == third, "a retry sends probes too, but not to backends with a fresh result"
+    gone = probed_backends(harness, 2, "other")
+    harness.handle_event(interface.ClientLeft(2))
     assert (
-        not sends([a for n in gone for a in bench.put(i.ProbeResult(n, 2.0))])
-        and not bench.balancer.flows_awaiting_probes
+        not sends([action for n in gone for action in harness.handle_event(interface.ProbeResult(n, 2.0))])
+        and not harness.balancer.flows_awaiting_probes
     )
 
 
-def test_probes_are_sent_where_the_settings_allow_them_and_a_choice_is_left() -> None:
-    for bench in (Bench(backends=9), Bench(backends=1, probes_allowed=True)):
-        assert sends(bench.ask(1)) and not bench.all(i.Probe)
-    late = Bench(backends=9, probes_allowed=True)
-    assert sends(late.ask(1, patience=90.0)), "near its end a setup goes at once"
+def test_probes_are_sent_only_if_allowed_and_with_several_backends_and_enough_time() -> None:
+    for harness in (BalancerHarness(backends=9), BalancerHarness(backends=1, probes_allowed=True)):
+        assert sends(harness.send_request(1)) and not harness.actions_of_type(interface.Probe)
+    late = BalancerHarness(backends=9, probes_allowed=True)
+    assert sends(late.send_request(1, patience=90.0)), "a setup near its deadline starts at once"
 
 
 @pytest.mark.parametrize("balancers,most", [(1, 1), (10, 10), (40, 16), (200, 70)])
-def test_first_calls_of_a_fleet_that_restarts_together_are_spread(balancers: int, most: int) -> None:
-    """A new watch takes the list service 0.13 s: all at once would wait longer than a call may."""
+def test_first_list_calls_of_a_fleet_that_restarts_together_are_spread(balancers: int, most: int) -> None:
+    """The list service needs 0.13 s for a new watch, so simultaneous calls would exceed their timeout."""
     first = []
     for index in range(balancers):
-        bench = Bench(seed=index, backends=9, balancers=balancers, index=index, must_subscribe=True)
-        began = bench.now
-        bench.run(began + 4100.0)
-        first.append(min(at for at, action in bench.actions if isinstance(action, i.Subscribe)) - began)
+        harness = BalancerHarness(
+            seed=index, backends=9, balancers=balancers, index=index, must_subscribe=True
+        )
+        began = harness.now
+        harness.run_until(began + 4100.0)
+        first.append(
+            min(at for at, action in harness.actions if isinstance(action, interface.Subscribe)) - began
+        )
     assert max(sum(at <= call < at + 1000.0 for call in first) for at in first) <= most
-    assert max(first) <= 4000.0, "before what has changed counts as told"
+    assert max(first) <= 4000.0, "before changes of the list count as known to each balancer"
 
 
-def reported(bench: Bench, loads: dict[int, float]) -> None:
+def report_loads(harness: BalancerHarness, loads: dict[int, float]) -> None:
     for backend, load in loads.items():
-        bench.put(i.ProbeResult(backend, 2.0, load))
+        harness.handle_event(interface.ProbeResult(backend, 2.0, load))
 
 
-def test_reported_load_decides_and_a_group_stays_together_while_that_is_worth_it() -> None:
-    """Without quotas the hash alone placed: the busiest server stood at 4.5 times the mean."""
-    bench = Bench(load_reported=True, probes_allowed=True)
-    reported(bench, {b: 0.9 for b in range(1, 9)} | {4: 0.0})
-    (send,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
+def test_reported_load_decides_and_a_group_is_split_only_for_clearly_less_load() -> None:
+    """Without quotas the hash alone placed clients: the busiest server had 4.5 times the mean load."""
+    harness = BalancerHarness(load_reported=True, probes_allowed=True)
+    report_loads(harness, {backend: 0.9 for backend in range(1, 9)} | {4: 0.0})
+    (send,) = [action for action in harness.send_request(1) if isinstance(action, interface.Send)]
     assert send.backend == 4
-    bench.stand(send)
-    reported(bench, {b: 0.5 for b in range(1, 9)} | {4: 0.49 + GROUP_SPLIT_LOAD})
-    first = bench.balancer.flows[1].group.top_ranks[0][1]
-    (send,) = [a for a in bench.ask(2) if isinstance(a, i.Send)]
-    assert send.backend in (4, first), "one more place costs more; the ranking's first is the same for all"
-    reported(bench, {b: 1.5 for b in range(1, 9)} | {7: 0.0})
-    assert [a.backend for a in bench.ask(3) if isinstance(a, i.Send)] == [7]
+    harness.establish(send)
+    report_loads(harness, {backend: 0.5 for backend in range(1, 9)} | {4: 0.49 + GROUP_SPLIT_LOAD})
+    first = harness.balancer.flows[1].group.top_ranks[0][1]
+    (send,) = [action for action in harness.send_request(2) if isinstance(action, interface.Send)]
+    assert send.backend in (4, first), (
+        "another backend would cost more; all balancers share the first of the ranking"
+    )
+    report_loads(harness, {backend: 1.5 for backend in range(1, 9)} | {7: 0.0})
+    assert [action.backend for action in harness.send_request(3) if isinstance(action, interface.Send)] == [7]
 
 
-def test_balancers_that_know_nothing_of_each_other_fill_a_group_s_ranking_in_its_order() -> None:
-    """At 200 balancers each one's few clients said nothing of where the group stood: it stood everywhere."""
+def test_balancers_without_contact_place_a_group_on_the_same_backend() -> None:
+    """Each of 200 balancers has too few clients to see where a group is: the group was spread everywhere."""
     chosen = set()
     for seed in range(20):
-        bench = Bench(seed=seed, load_reported=True, probes_allowed=True)
-        reported(bench, {b: 0.3 + 0.01 * ((b * seed) % 8) for b in range(1, 9)})
-        chosen |= {a.backend for a in bench.ask(1) if isinstance(a, i.Send)}
+        harness = BalancerHarness(seed=seed, load_reported=True, probes_allowed=True)
+        report_loads(harness, {backend: 0.3 + 0.01 * ((backend * seed) % 8) for backend in range(1, 9)})
+        chosen |= {action.backend for action in harness.send_request(1) if isinstance(action, interface.Send)}
     assert len(chosen) == 1
 
 
-def test_a_setup_asks_once() -> None:
-    """The longest unasked were asked anew after each answer: 35 probes a request, 260 ms to an attempt."""
-    bench = Bench(load_reported=True, probes_allowed=True, backends=40)
-    actions = bench.ask(1)
-    asked = [a.backend for a in actions if isinstance(a, i.Probe)]
-    assert 3 <= len(asked) <= 5
-    for backend in asked:
-        actions = bench.put(i.ProbeResult(backend, 2.0, 0.3))
-    assert [type(a) for a in actions] == [i.Send]
-
-
-def test_another_zone_is_crossed_only_for_clearly_more_room() -> None:
-    bench = Bench(backends=0, load_reported=True, probes_allowed=True, zone="east")
-    bench.put(
-        i.ListUpdate(
-            i.ListKind.FULL,
-            [i.BackendEntry(1, i.State.READY, "east"), i.BackendEntry(2, i.State.READY, "west")],
+def test_a_setup_probes_once() -> None:
+    """Oldest results were probed again after each answer: 35 probes a request, 260 ms before an attempt."""
+    harness = BalancerHarness(load_reported=True, probes_allowed=True, backends=40)
+    actions = harness.send_request(1)
+    probed_backends = [action.backend for action in actions if isinstance(action, interface.Probe)]
+    assert 3 <= len(probed_backends) <= 5
+    for backend in probed_backends:
+        actions = harness.handle_event(interface.ProbeResult(backend, 2.0, 0.3))
+    assert [type(action) for action in actions] == [interface.Send]
+
+
+def test_a_group_goes_to_another_zone_only_for_clearly_less_load() -> None:
+    harness = BalancerHarness(backends=0, load_reported=True, probes_allowed=True, zone="east")
+    harness.handle_event(
+        interface.ListUpdate(
+            interface.ListKind.FULL,
+            [
+                interface.BackendEntry(1, interface.State.READY, "east"),
+                interface.BackendEntry(2, interface.State.READY, "west"),
+            ],
         )
     )
-    reported(bench, {1: 0.3, 2: 0.3 - GROUP_SPLIT_LOAD - CROSS_ZONE_LOAD / 2 + 0.1})
+    report_loads(harness, {1: 0.3, 2: 0.3 - GROUP_SPLIT_LOAD - CROSS_ZONE_LOAD / 2 + 0.1})
     keys = [f"g{n}" for n in range(40)]
 
     def placed(first: int) -> list[int]:
-        """Each alone: none of the others stands there."""
+        """Place each key alone, without connections of the others."""
         sends = []
         for n, key in enumerate(keys):
-            sends += [a for a in bench.ask(first + n, key) if isinstance(a, i.Send)]
-            bench.end(sends[-1], i.Outcome.CANCELLED, closed=True)
+            sends += [
+                action
+                for action in harness.send_request(first + n, key)
+                if isinstance(action, interface.Send)
+            ]
+            harness.end_attempt(sends[-1], interface.Outcome.CANCELLED, client_answered=True)
         return [send.backend for send in sends]
 
     near = placed(0)
-    reported(bench, {1: 0.8, 2: 0.7 - GROUP_SPLIT_LOAD - CROSS_ZONE_LOAD})
+    report_loads(harness, {1: 0.8, 2: 0.7 - GROUP_SPLIT_LOAD - CROSS_ZONE_LOAD})
     far = placed(50)
     assert 0 < near.count(2) < len(keys) and far.count(2) == len(keys)
 
 
-def test_every_backend_that_reports_is_asked_in_turn() -> None:
-    """Those far down all rankings were never asked and stood empty all day beside full ones."""
-    bench = Bench(load_reported=True, probes_allowed=True, backends=20)
+def test_every_backend_that_reports_its_load_is_probed_in_turn() -> None:
+    """Backends far down all rankings were never probed and stayed empty all day beside full ones."""
+    harness = BalancerHarness(load_reported=True, probes_allowed=True, backends=20)
     for n in range(30):
-        for probe in [a for a in bench.ask(n, "g1") if isinstance(a, i.Probe)]:
-            bench.put(i.ProbeResult(probe.backend, 2.0, 0.3))
-        bench.run(bench.now + 1500.0)
-    assert {probe.backend for probe in bench.all(i.Probe)} == set(range(1, 21))
+        for probe in [
+            action for action in harness.send_request(n, "g1") if isinstance(action, interface.Probe)
+        ]:
+            harness.handle_event(interface.ProbeResult(probe.backend, 2.0, 0.3))
+        harness.run_until(harness.now + 1500.0)
+    assert {probe.backend for probe in harness.actions_of_type(interface.Probe)} == set(range(1, 21))
 
 
-def test_overfull_backend_gives_its_excess_by_load_to_where_there_is_room() -> None:
-    bench = Bench(load_reported=True, probes_allowed=True)
-    reported(bench, {b: 0.9 for b in range(1, 9)} | {1: 0.0})
+def test_excess_load_of_an_overloaded_backend_moves_to_backends_with_room() -> None:
+    harness = BalancerHarness(load_reported=True, probes_allowed=True)
+    report_loads(harness, {backend: 0.9 for backend in range(1, 9)} | {1: 0.0})
     for n in range(10):
-        for send in [a for a in bench.ask(n, "g1") if isinstance(a, i.Send)]:
+        for send in [
+            action for action in harness.send_request(n, "g1") if isinstance(action, interface.Send)
+        ]:
             assert send.backend == 1
-            bench.stand(send)
-            bench.put(i.LoadReport(n, 1, 10.0 if n == 3 else 1.0))
-    bench.run(bench.now + 4000.0)
-    reported(bench, {1: 1.3} | {b: 1.25 for b in range(2, 9)})
-    bench.run(bench.now + 900.0)
-    assert not bench.all(i.Move), "nobody has clearly more room"
-    bench.run(bench.now + 4000.0)
-    reported(bench, {1: 1.3} | {b: 0.2 for b in range(2, 9)})
-    bench.run(bench.now + 900.0)
-    moved = [10.0 if move.request == 3 else 1.0 for move in bench.all(i.Move)]
+            harness.establish(send)
+            harness.handle_event(interface.LoadReport(n, 1, 10.0 if n == 3 else 1.0))
+    harness.run_until(harness.now + 4000.0)
+    report_loads(harness, {1: 1.3} | {backend: 1.25 for backend in range(2, 9)})
+    harness.run_until(harness.now + 900.0)
+    assert not harness.actions_of_type(interface.Move), "no backend has clearly more room"
+    harness.run_until(harness.now + 4000.0)
+    report_loads(harness, {1: 1.3} | {backend: 0.2 for backend in range(2, 9)})
+    harness.run_until(harness.now + 900.0)
+    moved = [10.0 if move.request == 3 else 1.0 for move in harness.actions_of_type(interface.Move)]
     assert 9.5 <= sum(moved) <= 19.0 and len(moved) < 10  # half of 19, as 1.3 is twice 0.65
 
 
-def test_throttle_stays_off_while_a_quarter_reports_room() -> None:
-    bench = Bench(load_reported=True, probes_allowed=True, max_attempts=1)
+def test_throttle_stays_off_while_a_quarter_of_the_backends_report_room() -> None:
+    harness = BalancerHarness(load_reported=True, probes_allowed=True, max_attempts=1)
     for _ in range(12):
-        reported(bench, {b: 2.0 for b in range(1, 6)} | {b: 0.2 for b in range(6, 9)})
-        bench.run(bench.now + 500.0)
-    assert not bench.balancer.throttle.active
-    reported(bench, {b: 2.0 for b in range(1, 9)})
-    bench.run(bench.now + 600.0)
-    assert bench.balancer.throttle.active
-
-
-def test_clients_that_come_at_once_are_not_all_put_where_one_late_report_showed_room() -> None:
-    """All clients of a balancer that restarted came to the other at once: 19 of 40 on one of eleven."""
-    bench = Bench(load_reported=True, probes_allowed=True, balancers=2)
-    reported(bench, {b: 0.4 for b in range(1, 9)})
+        report_loads(
+            harness, {backend: 2.0 for backend in range(1, 6)} | {backend: 0.2 for backend in range(6, 9)}
+        )
+        harness.run_until(harness.now + 500.0)
+    assert not harness.balancer.throttle.active
+    report_loads(harness, {backend: 2.0 for backend in range(1, 9)})
+    harness.run_until(harness.now + 600.0)
+    assert harness.balancer.throttle.active
+
+
+def test_simultaneous_clients_are_not_all_sent_to_the_backend_with_an_old_low_report() -> None:
+    """After a restart all clients came to the other balancer at once: one of 11 backends got 19 of 40."""
+    harness = BalancerHarness(load_reported=True, probes_allowed=True, balancers=2)
+    report_loads(harness, {backend: 0.4 for backend in range(1, 9)})
     for n in range(40):
-        for send in [a for a in bench.ask(n, f"g{n % 3}") if isinstance(a, i.Send)]:
-            bench.stand(send)
-        bench.now += 10.0
-    held = [len(b.flows) for b in bench.balancer.backends.values()]
+        for send in [
+            action for action in harness.send_request(n, f"g{n % 3}") if isinstance(action, interface.Send)
+        ]:
+            harness.establish(send)
+        harness.now += 10.0
+    held = [len(backend.flows) for backend in harness.balancer.backends.values()]
     assert sum(held) == 40 and max(held) <= 12
 
 
-def test_where_too_few_of_those_asked_have_room_the_next_of_the_ranking_are_asked() -> None:
-    bench = Bench(load_reported=True, probes_allowed=True, backends=40)
-    asked = [a.backend for a in bench.ask(1) if isinstance(a, i.Probe)]
+def test_next_backends_of_the_ranking_are_probed_if_too_few_have_room() -> None:
+    harness = BalancerHarness(load_reported=True, probes_allowed=True, backends=40)
+    probed_backends = [
+        action.backend for action in harness.send_request(1) if isinstance(action, interface.Probe)
+    ]
     rounds = 1
-    while not bench.all(i.Send):
+    while not harness.actions_of_type(interface.Send):
         probes = [
-            a.backend
-            for n in asked
-            for a in bench.put(i.ProbeResult(n, 2.0, 0.9 if rounds < 3 else 0.2))
-            if isinstance(a, i.Probe)
+            action.backend
+            for n in probed_backends
+            for action in harness.handle_event(interface.ProbeResult(n, 2.0, 0.9 if rounds < 3 else 0.2))
+            if isinstance(action, interface.Probe)
         ]
-        assert not set(probes) & set(asked)
-        asked, rounds = probes, rounds + 1
-    assert rounds == 4 and bench.balancer.backends[bench.all(i.Send)[0].backend].load == 0.2
-
-
-def test_a_fleet_that_is_full_everywhere_is_not_asked_without_end() -> None:
-    bench = Bench(load_reported=True, probes_allowed=True, backends=40)
-    asked = [a for a in bench.ask(1) if isinstance(a, i.Probe)]
-    while not bench.all(i.Send):
-        asked = [
-            a
-            for one in asked
-            for a in bench.put(i.ProbeResult(one.backend, 2.0, 0.9))
-            if isinstance(a, i.Probe)
+        assert not set(probes) & set(probed_backends)
+        probed_backends, rounds = probes, rounds + 1
+    assert (
+        rounds == 4
+        and harness.balancer.backends[harness.actions_of_type(interface.Send)[0].backend].load == 0.2
+    )
+
+
+def test_probe_rounds_are_bounded_if_all_backends_are_full() -> None:
+    harness = BalancerHarness(load_reported=True, probes_allowed=True, backends=40)
+    probed_backends = [action for action in harness.send_request(1) if isinstance(action, interface.Probe)]
+    while not harness.actions_of_type(interface.Send):
+        probed_backends = [
+            action
+            for probe in probed_backends
+            for action in harness.handle_event(interface.ProbeResult(probe.backend, 2.0, 0.9))
+            if isinstance(action, interface.Probe)
         ]
-    assert len(bench.all(i.Probe)) <= 17
+    assert len(harness.actions_of_type(interface.Probe)) <= 17
 
 
-@pytest.mark.parametrize("worths", [(1.0, 3.0), (3.0, 1.0)])
-def test_what_is_refused_in_overload_is_what_is_worth_least(worths: tuple[float, float]) -> None:
+@pytest.mark.parametrize("priorities", [(1.0, 3.0), (3.0, 1.0)])
+def test_overload_refuses_the_lowest_priority(priorities: tuple[float, float]) -> None:
     classes = tuple(
-        replace(SAFE, name=name, priority=worth) for name, worth in zip("ab", worths, strict=True)
+        replace(SAFE_CLASS, name=name, priority=priority)
+        for name, priority in zip("ab", priorities, strict=True)
     )
-    bench = Bench(classes=classes)
-    bench.balancer.throttle.active, bench.balancer.throttle.turned_on_at = True, bench.now
+    harness = BalancerHarness(classes=classes)
+    harness.balancer.throttle.active = True
+    harness.balancer.throttle.turned_on_at = harness.now
     for request in range(40):
-        bench.put(i.Request(request, "ab"[request % 2], 1000.0, f"c{request}", f"g{request}"))
-    refused = ["ab"[a.request % 2] for a in bench.all(i.Refuse)]
-    dear = "ab"[worths.index(3.0)]
-    assert refused.count(dear) <= 12 and len(refused) - refused.count(dear) >= 18
+        harness.handle_event(
+            interface.Request(request, "ab"[request % 2], 1000.0, f"c{request}", f"g{request}")
+        )
+    refused = ["ab"[action.request % 2] for action in harness.actions_of_type(interface.Refuse)]
+    preferred = "ab"[priorities.index(3.0)]
+    assert refused.count(preferred) <= 12 and len(refused) - refused.count(preferred) >= 18
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,5 @@
-"""The four rules, each kept by one instance alone, and what odd input must not do."""
+"""Rules that each balancer keeps by itself: one answer in time, no second effect, no overload of cold or
+leaving backends; and events that are late or unknown."""
 
 from __future__ import annotations
 
@@ -6,190 +7,235 @@
 from itertools import cycle
 
 import pytest
-from harness import FINAL, SAFE, Bench, ready
+from harness import FINAL_ACTIONS, SAFE_CLASS, BalancerHarness, ready_entries
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crowgap import interface as i
+from crowgap import interface
 
-HARD = [i.Outcome.ERROR, i.Outcome.FULL, i.Outcome.TIMEOUT, i.Outcome.CONNECT_FAILED, i.Outcome.RESET]
+FAILURES = [
+    interface.Outcome.ERROR,
+    interface.Outcome.FULL,
+    interface.Outcome.TIMEOUT,
+    interface.Outcome.CONNECT_FAILED,
+    interface.Outcome.RESET,
+]
 
 
-def finals(bench: Bench, request: int) -> list[i.Action]:
-    return [a for a in bench.all(i.Refuse, request) + bench.all(i.Fail, request)]
+def final_actions(harness: BalancerHarness, request: int) -> list[interface.Action]:
+    return [
+        action
+        for action in harness.actions_of_type(interface.Refuse, request)
+        + harness.actions_of_type(interface.Fail, request)
+    ]
 
 
-def out(bench: Bench) -> list[i.Send]:
-    """The attempts that have not ended."""
-    last = {a.request: a for a in bench.all(i.Send)}
-    return [a for n, a in last.items() if n in bench.balancer.flows and bench.balancer.flows[n].is_pending]
+def pending_attempts(harness: BalancerHarness) -> list[interface.Send]:
+    """Return the attempts that have not ended."""
+    last = {action.request: action for action in harness.actions_of_type(interface.Send)}
+    return [
+        action
+        for n, action in last.items()
+        if n in harness.balancer.flows and harness.balancer.flows[n].is_pending
+    ]
 
 
 @given(
-    st.lists(st.tuples(st.sampled_from(HARD), st.floats(0, 400)), min_size=1, max_size=40),
+    st.lists(st.tuples(st.sampled_from(FAILURES), st.floats(0, 400)), min_size=1, max_size=40),
     st.integers(1, 30),
     st.booleans(),
 )
-def test_one_answer_in_time_whatever_backends_do(
-    script: list[tuple[i.Outcome, float]], count: int, loaded: bool
+def test_each_request_gets_one_answer_in_time_whatever_backends_do(
+    script: list[tuple[interface.Outcome, float]], count: int, loaded: bool
 ) -> None:
-    bench = Bench(backends=4)
+    harness = BalancerHarness(backends=4)
     if loaded:
-        bench.overload()
-    start, steps = bench.now, cycle(script)
+        harness.overload()
+    start, steps = harness.now, cycle(script)
     for n in range(count):
-        bench.ask(n, f"g{n % 5}")
-    while (pending := [a for a in out(bench) if a.request < count]) or bench.now < start + 1000.0:
-        if not pending:  # all are held: one may still go out later, and that attempt must end too
-            bench.run(min(bench.now + 50.0, start + 1000.0))
+        harness.send_request(n, f"g{n % 5}")
+    while (
+        pending := [action for action in pending_attempts(harness) if action.request < count]
+    ) or harness.now < start + 1000.0:
+        if not pending:  # all are waiting: one may still start an attempt, which must end too
+            harness.run_until(min(harness.now + 50.0, start + 1000.0))
             continue
         outcome, wait = next(steps)
-        bench.run(min(bench.now + min(wait, pending[0].timeout), start + 1000.0))
-        for send in pending if bench.now >= start + 1000.0 else pending[:1]:
-            bench.end(send, i.Outcome.TIMEOUT if bench.now >= start + 1000.0 else outcome)
-    bench.run(start + 1000.0)
+        harness.run_until(min(harness.now + min(wait, pending[0].timeout), start + 1000.0))
+        for send in pending if harness.now >= start + 1000.0 else pending[:1]:
+            harness.end_attempt(send, interface.Outcome.TIMEOUT if harness.now >= start + 1000.0 else outcome)
+    harness.run_until(start + 1000.0)
     for n in range(count):
-        assert len(finals(bench, n)) == 1, n
-    answered = [at for at, a in bench.actions if isinstance(a, FINAL) and a.request < count]
+        assert len(final_actions(harness, n)) == 1, n
+    answered = [
+        at for at, action in harness.actions if isinstance(action, FINAL_ACTIONS) and action.request < count
+    ]
     assert max(answered) <= start + 1000.0
 
 
-def test_empty_fleet_holds_then_refuses_in_time() -> None:
-    bench = Bench(backends=0)
-    bench.put(i.ListUpdate(i.ListKind.RESTORED, []))
-    bench.ask(1, patience=800.0)
-    assert not bench.all(i.Refuse) and not bench.all(i.Send)
-    bench.run(1000.0 + 800.0)
-    (at,) = [at for at, a in bench.actions if isinstance(a, i.Refuse)]
+def test_request_without_any_backend_waits_and_is_refused_in_time() -> None:
+    harness = BalancerHarness(backends=0)
+    harness.handle_event(interface.ListUpdate(interface.ListKind.RESTORED, []))
+    harness.send_request(1, patience=800.0)
+    assert not harness.actions_of_type(interface.Refuse) and not harness.actions_of_type(interface.Send)
+    harness.run_until(1000.0 + 800.0)
+    (at,) = [at for at, action in harness.actions if isinstance(action, interface.Refuse)]
     assert 1500.0 < at < 1800.0
 
 
-def test_fleet_that_returns_serves_those_held() -> None:
-    bench = Bench(backends=3)
-    bench.put(i.ListUpdate(i.ListKind.FULL, []))
-    bench.ask(1)
-    bench.run(bench.now + 200.0)
-    bench.put(i.ListUpdate(i.ListKind.CHANGES, ready(2)))
-    assert [a.backend for a in bench.all(i.Send, 1)] == [2]
+def test_waiting_request_is_served_when_a_backend_returns() -> None:
+    harness = BalancerHarness(backends=3)
+    harness.handle_event(interface.ListUpdate(interface.ListKind.FULL, []))
+    harness.send_request(1)
+    harness.run_until(harness.now + 200.0)
+    harness.handle_event(interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(2)))
+    assert [action.backend for action in harness.actions_of_type(interface.Send, 1)] == [2]
 
 
-def test_timer_early_by_rounding_is_not_lost() -> None:
-    """The wire rounds times to microseconds: a wake-up a hair early once left a waiting setup unanswered."""
-    bench = Bench(backends=0)
-    bench.ask(1, patience=500.0)
-    armed = [a for a in bench.all(i.SetTimer) if a.token == 0]
-    bench.now = armed[-1].at - 0.0004
-    bench.put(i.TimerDue(0))
-    assert [a for a in bench.all(i.SetTimer) if a.token == 0] != armed
+def test_timer_that_fires_early_by_rounding_is_not_lost() -> None:
+    """Times are rounded to microseconds: a timer that fired early by less left a waiting setup unanswered."""
+    harness = BalancerHarness(backends=0)
+    harness.send_request(1, patience=500.0)
+    armed = [action for action in harness.actions_of_type(interface.SetTimer) if action.token == 0]
+    harness.now = armed[-1].at - 0.0004
+    harness.handle_event(interface.TimerDue(0))
+    assert [action for action in harness.actions_of_type(interface.SetTimer) if action.token == 0] != armed
 
 
 @pytest.mark.parametrize(
-    "effect,scope,outcome,again",
+    "effect,scope,outcome,repeated",
     [
-        (i.Effect.SAFE, i.DeduplicationScope.ALL, i.Outcome.ERROR, True),
-        (i.Effect.KEYED, i.DeduplicationScope.ALL, i.Outcome.ERROR, True),
-        (i.Effect.KEYED, i.DeduplicationScope.ZONE, i.Outcome.ERROR, True),
-        (i.Effect.UNSAFE, i.DeduplicationScope.ALL, i.Outcome.ERROR, False),
-        (i.Effect.UNSAFE, i.DeduplicationScope.ALL, i.Outcome.FULL, True),
-        (i.Effect.UNSAFE, i.DeduplicationScope.ALL, i.Outcome.RESET, False),
+        (interface.Effect.SAFE, interface.DeduplicationScope.ALL, interface.Outcome.ERROR, True),
+        (interface.Effect.KEYED, interface.DeduplicationScope.ALL, interface.Outcome.ERROR, True),
+        (interface.Effect.KEYED, interface.DeduplicationScope.ZONE, interface.Outcome.ERROR, True),
+        (interface.Effect.UNSAFE, interface.DeduplicationScope.ALL, interface.Outcome.ERROR, False),
+        (interface.Effect.UNSAFE, interface.DeduplicationScope.ALL, interface.Outcome.FULL, True),
+        (interface.Effect.UNSAFE, interface.DeduplicationScope.ALL, interface.Outcome.RESET, False),
     ],
 )
-def test_no_effect_twice(
-    effect: i.Effect, scope: i.DeduplicationScope, outcome: i.Outcome, again: bool
+def test_no_request_takes_effect_twice(
+    effect: interface.Effect, scope: interface.DeduplicationScope, outcome: interface.Outcome, repeated: bool
 ) -> None:
-    bench = Bench(
-        classes=(replace(SAFE, effect=effect, deduplication_scope=scope, deduplication_window=5000.0),)
+    harness = BalancerHarness(
+        classes=(replace(SAFE_CLASS, effect=effect, deduplication_scope=scope, deduplication_window=5000.0),)
     )
-    (first,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
-    more = [a for a in bench.end(first, outcome) if isinstance(a, i.Send)]
-    assert bool(more) is again
-    if not again:
-        bench.run(bench.now + 1000.0)
-        assert len(bench.all(i.Fail, 1)) == 1 and not bench.all(i.Refuse, 1)
+    (first,) = [action for action in harness.send_request(1) if isinstance(action, interface.Send)]
+    repeats = [action for action in harness.end_attempt(first, outcome) if isinstance(action, interface.Send)]
+    assert bool(repeats) is repeated
+    if not repeated:
+        harness.run_until(harness.now + 1000.0)
+        assert len(harness.actions_of_type(interface.Fail, 1)) == 1 and not harness.actions_of_type(
+            interface.Refuse, 1
+        )
 
 
-def test_keyed_repeat_stays_in_its_cell_and_within_memory() -> None:
+def test_keyed_repeat_stays_within_its_cell_and_the_deduplication_window() -> None:
     keyed = replace(
-        SAFE, effect=i.Effect.KEYED, deduplication_scope=i.DeduplicationScope.CELL, deduplication_window=400.0
+        SAFE_CLASS,
+        effect=interface.Effect.KEYED,
+        deduplication_scope=interface.DeduplicationScope.CELL,
+        deduplication_window=400.0,
     )
-    bench = Bench(classes=(keyed,))
-    (first,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
-    (second,) = [a for a in bench.end(first, i.Outcome.ERROR) if isinstance(a, i.Send)]
+    harness = BalancerHarness(classes=(keyed,))
+    (first,) = [action for action in harness.send_request(1) if isinstance(action, interface.Send)]
+    (second,) = [
+        action
+        for action in harness.end_attempt(first, interface.Outcome.ERROR)
+        if isinstance(action, interface.Send)
+    ]
     assert second.backend % 2 == first.backend % 2 and second.backend != first.backend
-    bench.run(bench.now + 450.0)
-    assert not [a for a in bench.end(second, i.Outcome.ERROR) if isinstance(a, i.Send)]
+    harness.run_until(harness.now + 450.0)
+    assert not [
+        action
+        for action in harness.end_attempt(second, interface.Outcome.ERROR)
+        if isinstance(action, interface.Send)
+    ]
 
 
-def test_never_two_attempts_out() -> None:
-    bench = Bench()
-    (send,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
-    bench.ask(1)
-    bench.put(i.Ended(1, 3, send.backend, i.Outcome.ERROR, 1.0))
-    bench.put(i.Ended(99, 0, send.backend, i.Outcome.ERROR, 1.0))
-    bench.run(bench.now + 300.0)
-    assert len(bench.all(i.Send, 1)) == 1
+def test_a_request_never_has_two_pending_attempts() -> None:
+    harness = BalancerHarness()
+    (send,) = [action for action in harness.send_request(1) if isinstance(action, interface.Send)]
+    harness.send_request(1)
+    harness.handle_event(interface.Ended(1, 3, send.backend, interface.Outcome.ERROR, 1.0))
+    harness.handle_event(interface.Ended(99, 0, send.backend, interface.Outcome.ERROR, 1.0))
+    harness.run_until(harness.now + 300.0)
+    assert len(harness.actions_of_type(interface.Send, 1)) == 1
 
 
 @pytest.mark.parametrize(
     "update",
     [
-        i.ListUpdate(i.ListKind.CHANGES, [i.BackendEntry(1, i.State.DRAINING)]),
-        i.ListUpdate(i.ListKind.CHANGES, [i.BackendEntry(1, i.State.GONE)]),
-        i.ListUpdate(i.ListKind.FULL, ready(2, 3, 4)),
+        interface.ListUpdate(
+            interface.ListKind.CHANGES, [interface.BackendEntry(1, interface.State.DRAINING)]
+        ),
+        interface.ListUpdate(interface.ListKind.CHANGES, [interface.BackendEntry(1, interface.State.GONE)]),
+        interface.ListUpdate(interface.ListKind.FULL, ready_entries(2, 3, 4)),
     ],
 )
-def test_nothing_goes_to_a_draining_or_gone_backend(update: i.ListUpdate) -> None:
-    bench = Bench(backends=4)
-    before = [a.backend for n in range(200) for a in bench.ask(n, f"g{n}") if isinstance(a, i.Send)]
+def test_no_request_goes_to_a_draining_or_removed_backend(update: interface.ListUpdate) -> None:
+    harness = BalancerHarness(backends=4)
+    before = [
+        action.backend
+        for n in range(200)
+        for action in harness.send_request(n, f"g{n}")
+        if isinstance(action, interface.Send)
+    ]
     assert 1 in before
-    bench.put(update)
-    after = [a.backend for n in range(200, 400) for a in bench.ask(n, f"g{n}") if isinstance(a, i.Send)]
+    harness.handle_event(update)
+    after = [
+        action.backend
+        for n in range(200, 400)
+        for action in harness.send_request(n, f"g{n}")
+        if isinstance(action, interface.Send)
+    ]
     assert after and 1 not in after
 
 
-def test_cold_backend_gets_this_balancers_share_only() -> None:
-    """Forty balancers that all know of a fresh backend together send it a part of what it can take."""
+def test_cold_backend_gets_only_its_budget_from_all_balancers_together() -> None:
+    """Forty balancers that all know a new backend together send it no more than a part of its capacity."""
     total = 0
     for index in range(40):
-        bench = Bench(seed=index, backends=10, balancers=40, index=index)
+        harness = BalancerHarness(seed=index, backends=10, balancers=40, index=index)
         for n in range(100):
-            for a in bench.ask(n, f"g{n}"):
-                if isinstance(a, i.Send):
-                    bench.stand(a)
-        bench.put(i.ListUpdate(i.ListKind.CHANGES, ready(11, started=bench.now)))
+            for action in harness.send_request(n, f"g{n}"):
+                if isinstance(action, interface.Send):
+                    harness.establish(action)
+        harness.handle_event(
+            interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(11, started=harness.now))
+        )
         sent = [
-            a
+            action
             for n in range(100, 400)
-            for a in bench.ask(n, f"g{n}")
-            if isinstance(a, i.Send) and a.backend == 11
+            for action in harness.send_request(n, f"g{n}")
+            if isinstance(action, interface.Send) and action.backend == 11
         ]
         total += len(sent)
-    usual = 40 * 100 / 10
-    assert 0 < total <= 0.2 * 2.5 * usual
-
-
-def test_open_connection_and_late_events_are_passed_over() -> None:
-    bench = Bench()
-    (send,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
-    bench.stand(send)
-    assert bench.stand(send) == []
-    assert bench.put(i.DelayReport(5, send.backend, 500.0)) == []
-    assert bench.put(i.TimerDue(99)) == []
-    assert bench.put(i.ClientLeft(77)) == []
-    assert bench.end(send, i.Outcome.OK, closed=True) == []
-    assert bench.end(send, i.Outcome.OK, closed=True) == []
-
-
-def test_gone_client_gets_nothing_more() -> None:
-    bench = Bench()
-    (send,) = [a for a in bench.ask(1) if isinstance(a, i.Send)]
-    bench.put(i.ClientLeft(1))
-    assert bench.end(send, i.Outcome.ERROR) == []
-    empty = Bench(backends=0)
-    empty.ask(2)
-    empty.put(i.ClientLeft(2))
-    empty.run(empty.now + 2000.0)
-    assert not finals(empty, 2)
+    mean_connections = 40 * 100 / 10
+    assert 0 < total <= 0.2 * 2.5 * mean_connections
+
+
+def test_late_and_unknown_events_are_ignored() -> None:
+    harness = BalancerHarness()
+    (send,) = [action for action in harness.send_request(1) if isinstance(action, interface.Send)]
+    harness.establish(send)
+    assert harness.establish(send) == []
+    assert harness.handle_event(interface.DelayReport(5, send.backend, 500.0)) == []
+    assert harness.handle_event(interface.TimerDue(99)) == []
+    assert harness.handle_event(interface.ClientLeft(77)) == []
+    assert harness.end_attempt(send, interface.Outcome.OK, client_answered=True) == []
+    assert harness.end_attempt(send, interface.Outcome.OK, client_answered=True) == []
+
+
+def test_no_attempt_starts_for_a_client_that_has_left() -> None:
+    harness = BalancerHarness()
+    (send,) = [action for action in harness.send_request(1) if isinstance(action, interface.Send)]
+    harness.handle_event(interface.ClientLeft(1))
+    assert harness.end_attempt(send, interface.Outcome.ERROR) == []
+    empty = BalancerHarness(backends=0)
+    empty.send_request(2)
+    empty.handle_event(interface.ClientLeft(2))
+    empty.run_until(empty.now + 2000.0)
+    assert not final_actions(empty, 2)
 
 
 @pytest.mark.parametrize(
@@ -201,9 +247,9 @@
         ({"warmup_time": -5.0}, "warmup_time"),
         ({"connect_timeout": -1.0}, "connect_timeout"),
         ({"max_attempts": 0}, "max_attempts"),
-        ({"classes": (replace(SAFE, deadline=0.0),)}, "classes"),
+        ({"classes": (replace(SAFE_CLASS, deadline=0.0),)}, "classes"),
     ],
 )
-def test_senseless_settings_are_named(changes: dict[str, object], field: str) -> None:
+def test_invalid_settings_are_named_in_the_error(changes: dict[str, object], field: str) -> None:
     with pytest.raises(ValueError, match=field):
-        Bench(**changes)  # type: ignore[arg-type]
+        BalancerHarness(**changes)  # type: ignore[arg-type]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any
 
-from harness import BASE, Bench, ready
+from harness import BASE_SETTINGS, BalancerHarness, ready_entries
 from test_contracts_net import POOLS
 from wire import SETTINGS, World
 
@@ -85,12 +85,12 @@
 
 def test_balancers_share_no_mutable_state() -> None:
     """Defaults and class attributes: what one learns must not show in the next."""
-    one = Bench()
+    one = BalancerHarness()
     for n in range(20):
-        for send in one.ask(n, f"g{n}"):
+        for send in one.send_request(n, f"g{n}"):
             if isinstance(send, i.Send):
-                one.stand(send)
-    two = Bench()
+                one.establish(send)
+    two = BalancerHarness()
     assert not two.balancer.flows and not two.balancer.groups and two.balancer.open_connections == 0
     assert all(not b.flows for b in two.balancer.backends.values())
-    assert BASE.tenants == () and [b.backend for b in ready(1)] == [1]
+    assert BASE_SETTINGS.tenants == () and [b.backend for b in ready_entries(1)] == [1]
