--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -1,4 +1,4 @@
-"""The running balancer: its actors, the listening socket, and the way it ends."""
+"""The balancer service: starts its actors, accepts connections, reloads its configuration and shuts down."""
 
 from __future__ import annotations
 
@@ -34,22 +34,24 @@
     from snowwick.net.contracts import ContractStage
     from snowwick.net.fleet import FleetLink
 
-BACKLOG = 1024
-OWN_SOCKETS = 12  # kept for the program itself: standard streams, epoll, signals, listening, discovery
-ANSWERING = 8  # kept for giving a busy reply to those for whom there is no route step
-ACCEPTS = 16  # connections taken a turn: the others' turn must come between
-WAITING_PART = 0.5  # of the sockets that are free of requests, how much those without one may hold
-PAUSE = 0.05  # s without accepting after accept has failed or sockets have run out
-TURN = 0.005  # s without accepting until one that was ended for room has left
-STILL_COMING = 0.4  # s after SIGTERM in which new connections come: who is moved then comes back here
-MOVING = 0.6  # s after that over which the clients are moved: not all at once to the others
-LONGEST, AFTER = 3.0, 0.4  # s: patience counts up to that much at the end, and what is allowed beyond
-LAST = 0.25  # s before the end at which whatever is still owed is answered, and who rests is ended
-SURE = 0.05  # s that each time limit of the protocol may be off
+LISTEN_BACKLOG = 1024  # connections
+OWN_SOCKETS = 12  # reserved for the process itself: standard streams, epoll, signals, listening, discovery
+ANSWER_SOCKETS = 8  # reserved for sending busy replies when no socket is left for a route step
+ACCEPTS_PER_TURN = 16  # bounded, so that the other actors get their turn in between
+MAX_IDLE_FRACTION = 0.5  # of the sockets not in use by requests, the part that idle clients may hold
+ACCEPT_PAUSE_S = 0.05  # after accept has failed or sockets have run out
+EVICTION_PAUSE_S = 0.005  # until an evicted idle client has closed
+# After SIGTERM new connections still arrive for this time; a client moved earlier would reconnect here.
+ARRIVAL_PERIOD_S = 0.4
+MOVE_PERIOD_S = 0.6  # after that, over which clients are moved, so that they do not reconnect all at once
+MAX_DRAIN_DEADLINE_S = 3.0  # the longest request deadline that the shutdown waits for
+DRAIN_GRACE_S = 0.4  # that the shutdown may take beyond this deadline
+FINAL_ANSWER_S = 0.25  # before the end, when pending requests are answered and idle clients closed
+PROTOCOL_TOLERANCE_S = 0.05  # by which each time limit of the protocol may be off
 
 
 class Acceptor(Actor):
-    """Takes connections off the listening socket."""
+    """Accepts connections on the listening socket."""
 
     restart_after_fault = True
 
@@ -60,9 +62,9 @@
     def run(self) -> Coroutine:
         while True:
             yield Wait(self.sock, read=True)
-            for _ in range(ACCEPTS):
+            for _ in range(ACCEPTS_PER_TURN):
                 if not self.service.make_room():
-                    yield from self._pause(TURN)
+                    yield from self._pause(EVICTION_PAUSE_S)
                     break
                 try:
                     self.service.accept_client(self.sock.accept()[0])
@@ -70,16 +72,16 @@
                     break
                 except OSError as error:
                     self.loop.log.event("accept-failed", "accept: {error}", error=str(error))
-                    yield from self._pause(PAUSE)
+                    yield from self._pause(ACCEPT_PAUSE_S)
                     break
 
-    def _pause(self, wait: float) -> Coroutine:
-        """Guards against spinning: where accept fails or must wait, the listening socket stays readable."""
-        yield from self.sleep_until(self.loop.clock() + wait)
+    def _pause(self, seconds: float) -> Coroutine:
+        """Avoid a busy loop: while accept fails or has to wait, the listening socket stays readable."""
+        yield from self.sleep_until(self.loop.clock() + seconds)
 
 
 class Signals(Actor):
-    """Turns SIGTERM and SIGINT into the orderly end, SIGHUP into a new reading of the configuration."""
+    """Shuts the service down on SIGTERM and SIGINT, reloads the configuration on SIGHUP."""
 
     def __init__(self, service: Service, sock: socket.socket) -> None:
         super().__init__(service.loop)
@@ -91,9 +93,9 @@
             numbers = self.sock.recv(READ_SIZE_BYTES)
             if set(numbers) & {signal.SIGTERM, signal.SIGINT}:
                 break
-            if signal.SIGHUP in numbers:  # several at once are one: the file is read as it is now
+            if signal.SIGHUP in numbers:  # several at once need only one reload
                 self.service.reload()
-        # Nothing is reread from here on; a SIGHUP that still comes has its handler and ends nothing.
+        # No reload from here on. A later SIGHUP still has a handler and so does not end the process.
         yield from self.service.drain()
         self.loop.stop()
 
@@ -109,16 +111,18 @@
         contracts: Callable[[], Contracts] | None = None,
         fleet: Callable[[], FleetFile] | None = None,
     ) -> None:
-        """``contracts`` and ``fleet`` read the operators' files, now and at each reload; they may raise
-        ValueError with the faults, and ``fleet`` OSError where its address cannot be listened on.
+        """Create the service without starting it.
+
+        ``contracts`` and ``fleet`` read the operators' files, now and at each reload. They may raise
+        ValueError with the faults. Raises OSError if the fleet link's address cannot be bound.
         """
         self.config, self.reload_config = config, reload_config
         self.loop = loop or Loop(Log())
         self.log = self.loop.log
         self.random = random.Random(config.seed)
         self.fronts: set[Front] = set()
-        self.idle: dict[Front, None] = {}  # without a request to answer, the longest-waiting first
-        self.limit = config.sockets - OWN_SOCKETS
+        self.idle: dict[Front, None] = {}  # clients without a pending request, the longest idle first
+        self.socket_limit = config.sockets - OWN_SOCKETS
         self.draining = False
         self.offset_ms = 1000.0 * (time.time() - self.loop.clock())
         self.pool_deciders = PoolDeciders(
@@ -146,12 +150,14 @@
         self.request_path = RequestPath([stage for stage in stages if stage is not None])
 
     def settings_for(self, tenants: frozenset[str]) -> Settings:
-        """The settings with no tenants but these."""
+        """Return the settings with only these tenants."""
         settings = self.config.settings
-        return replace(settings, tenants=tuple(one for one in settings.tenants if one.name in tenants))
+        return replace(
+            settings, tenants=tuple(tenant for tenant in settings.tenants if tenant.name in tenants)
+        )
 
     def make_decider(self, pool: str, tenants: frozenset[str] | None) -> Decider:
-        """One instance of the module, told of no tenants but those of its pool."""
+        """Create the decider of a pool, with only the tenants of that pool; with all tenants if None."""
         settings, seed = self.config.settings, self.config.seed
         if tenants is not None:
             settings = self.settings_for(tenants)
@@ -183,26 +189,26 @@
     def apply_pool_news(self, news: PoolUpdate) -> None:
         self.pool_deciders.apply_update(news)
 
-    # -- the parts ---------------------------------------------------------------------------------------
+    # -- creation of the parts -----------------------------------------------------------------------
 
     def make_fleet(self, file: FleetFile) -> FleetLink:
-        from snowwick.net.fleet import FleetLink, call_both  # only where there is a fleet
+        from snowwick.net.fleet import FleetLink, call_both  # loaded only if there is a fleet
 
         link = FleetLink(self, file, self.config.name, random.Random(f"{self.config.seed}{time.time_ns()}"))
         self.delay_monitor.report = call_both(self.delay_monitor.report, link.record_silent)
         return link
 
     def probe(self, destination: int, decider: Decider) -> None:
-        """Time a PING to a destination, where the pool config has it and a descriptor is to spare."""
+        """Probe a destination if the pool config contains it and a file descriptor is available."""
         address = self.destination_address(destination)
         if address is not None and not self.short_of_sockets():
-            with contextlib.suppress(OSError):  # no descriptor after all: one probe fewer
+            with contextlib.suppress(OSError):  # no file descriptor after all: skip the probe
                 Probe(
                     self.loop, destination, address, self.connect_timeout_s, decider, self.config.load_field
                 ).start()
 
     def make_contract_stage(self, contracts: Contracts) -> ContractStage:
-        from snowwick.net.contracts import ContractStage  # msgspec comes with it: only where it is wanted
+        from snowwick.net.contracts import ContractStage  # loads msgspec, only if needed
 
         settings = self.config.settings
         return ContractStage(
@@ -216,17 +222,17 @@
             self.retry_after_ms,
         )
 
-    def choose_decider(self, ask: Request) -> Decider:
-        """For an ask that no contract has given a pool."""
+    def choose_decider(self, request: Request) -> Decider:
+        """Return the decider of a request that the contract stage has not assigned to a pool."""
         return (
-            self.pool_deciders.for_destination(self.destination_number(ask.resumed_destination))
-            if ask.resumed_destination
+            self.pool_deciders.for_destination(self.destination_number(request.resumed_destination))
+            if request.resumed_destination
             else self.decider
         )
 
     @property
     def decider(self) -> Decider:
-        """The one decider, or the first of several."""
+        """The only decider, or the first of several."""
         return next(iter(self.pool_deciders.by_pool.values()))
 
     @property
@@ -244,7 +250,7 @@
         return self.pool.address(destination)
 
     def now_ms(self) -> float:
-        """Unix time in ms that never steps back: discovery's start times are on the same clock."""
+        """Unix time in ms, monotonic. The start times in discovery's list use the same clock."""
         return self.offset_ms + 1000.0 * self.loop.clock()
 
     def start(self) -> None:
@@ -252,7 +258,7 @@
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setblocking(False)
         self.listener.bind(self.config.listen)
-        self.listener.listen(BACKLOG)
+        self.listener.listen(LISTEN_BACKLOG)
         self.pool_deciders.start()
         for actor in (self.pool, self.delay_monitor):
             actor.start()
@@ -266,9 +272,9 @@
             self.log.event("bad-list", "known: {error}", error=str(error))
         Acceptor(self, self.listener).start()
 
-    def serve(self, caught: SignalSockets) -> None:
-        """Run until a signal ends it, also one that came while the program was starting."""
-        Signals(self, caught.read_end).start()
+    def serve(self, signal_sockets: SignalSockets) -> None:
+        """Run until a signal ends the service, including one that arrived during the start."""
+        Signals(self, signal_sockets.read_end).start()
         self.start()
         host, port = self.listener.getsockname()
         self.log.event(
@@ -281,32 +287,37 @@
             self.log.close()
 
     def reload(self) -> None:
-        """Read the configuration and the contracts again, and take both or neither.
+        """Read the configuration, the contracts and the fleet file again, and apply all of them or none.
 
-        Of the configuration only the address of discovery changes live; contracts change whole.
+        Of the configuration, only discovery's address is applied without a restart.
         """
         try:
-            new = self.reload_config()
+            new_config = self.reload_config()
             contracts = self.read_contracts() if self.read_contracts is not None else None
             fleet = self.read_fleet() if self.read_fleet is not None else None
         except (BadConfig, ValueError) as error:
             self.log.event("reload-refused", "reload: {error}; the old configuration stays", error=str(error))
             return
-        waiting = [
-            one.name
-            for one in fields(Config)
-            if one.name not in RELOADABLE_FIELDS and getattr(new, one.name) != getattr(self.config, one.name)
+        needing_restart = [
+            field.name
+            for field in fields(Config)
+            if field.name not in RELOADABLE_FIELDS
+            and getattr(new_config, field.name) != getattr(self.config, field.name)
         ]
-        if waiting:
+        if needing_restart:
             self.log.event(
-                "reload-waits", "reload: {keys} changed, but only at the next start", keys=", ".join(waiting)
+                "reload-waits",
+                "reload: {keys} changed, but only at the next start",
+                keys=", ".join(needing_restart),
             )
         self.log.event(
-            "reload", "reload: discovery at {discovery}", discovery=f"{new.discovery[0]}:{new.discovery[1]}"
+            "reload",
+            "reload: discovery at {discovery}",
+            discovery=f"{new_config.discovery[0]}:{new_config.discovery[1]}",
         )
-        if new.discovery != self.config.discovery:
-            self.config = replace(self.config, discovery=new.discovery)
-            self.pool.post(DiscoveryAddressChanged(new.discovery))
+        if new_config.discovery != self.config.discovery:
+            self.config = replace(self.config, discovery=new_config.discovery)
+            self.pool.post(DiscoveryAddressChanged(new_config.discovery))
         if contracts is not None and self.contract_stage is not None:
             self.contract_stage.apply(contracts)
             self.log.event("contracts", "reload: contracts of {teams} teams", teams=len(contracts.teams))
@@ -314,17 +325,19 @@
             self.fleet.apply_file(fleet)
 
     def drain(self) -> Coroutine:
-        """Answer whoever still comes, have every client move, leave once nothing is owed to anybody.
+        """Answer requests that still arrive, move every client away and return when nothing is pending.
 
-        Guards against sending clients away while new connections are still dealt out to this balancer: they
-        came straight back, were given busy replies and lost a second.  And against an end with something
-        owed: a connection that the system has accepted, a request without its answer, who is not moved yet.
-        Where the longest deadline is so short that the moves do not fit in, they are faster.
+        Clients are not moved while new connections are still routed to this balancer: they came straight
+        back, got busy replies and lost a second. The drain does not end while a connection accepted by the
+        kernel, an unanswered request or an unmoved client remains. If the longest deadline is too short for
+        the usual periods, clients are moved faster.
         """
-        began = self.loop.clock()
-        longest = max([one.deadline for one in self.config.settings.classes]) / 1000.0
-        last = began + min(longest, LONGEST) + AFTER
-        moving = min(MOVING, last - LAST - began - STILL_COMING)
+        started_at = self.loop.clock()
+        longest_deadline_s = (
+            max([request_class.deadline for request_class in self.config.settings.classes]) / 1000.0
+        )
+        end_at = started_at + min(longest_deadline_s, MAX_DRAIN_DEADLINE_S) + DRAIN_GRACE_S
+        move_period_s = min(MOVE_PERIOD_S, end_at - FINAL_ANSWER_S - started_at - ARRIVAL_PERIOD_S)
         self.draining = True
         if self.fleet is not None:
             self.fleet.leave()
@@ -334,22 +347,22 @@
             name=self.config.name,
             connections=len(self.fronts),
         )
-        while self.loop.clock() < last:
-            passed = self.loop.clock() - began - STILL_COMING
-            if passed > 0.0:
-                standing = [front for front in self.fronts if front.established and not front.closing]
-                turns = max(1.0, (moving - passed) / PAUSE)
-                for front in self.random.sample(standing, math.ceil(len(standing) / turns)):
+        while self.loop.clock() < end_at:
+            move_elapsed_s = self.loop.clock() - started_at - ARRIVAL_PERIOD_S
+            if move_elapsed_s > 0.0:
+                remaining = [front for front in self.fronts if front.established and not front.closing]
+                turns = max(1.0, (move_period_s - move_elapsed_s) / ACCEPT_PAUSE_S)
+                for front in self.random.sample(remaining, math.ceil(len(remaining) / turns)):
                     front.post(MoveAway("draining"))
-            if self.loop.clock() >= last - LAST:
+            if self.loop.clock() >= end_at - FINAL_ANSWER_S:
                 for front in self.fronts:
                     front.post(ShuttingDown())
-            if passed > SURE and not self.fronts and not self.accept_pending():
+            if move_elapsed_s > PROTOCOL_TOLERANCE_S and not self.fronts and not self.accept_pending():
                 break
-            yield Wait(until=min(last, self.loop.clock() + PAUSE))
+            yield Wait(until=min(end_at, self.loop.clock() + ACCEPT_PAUSE_S))
 
     def accept_pending(self) -> bool:
-        """Take what the system has accepted and this program has not yet; was there any?"""
+        """Accept the connections that are waiting in the listen queue; return whether there were any."""
         before = len(self.fronts)
         with contextlib.suppress(OSError):
             while True:
@@ -366,49 +379,52 @@
         self.idle.pop(front, None)
 
     def on_answered(self, front: Front) -> None:
-        """Last in the row of those who are ended where room is wanted: its answer is on its way."""
+        """Put the client last in the order of eviction, since its answer is still being sent."""
         self.idle.pop(front, None)
         self.idle[front] = None
 
     def on_front_closed(self, front: Front) -> None:
         self.fronts.discard(front)
         self.idle.pop(front, None)
-        ask = front.request
+        request = front.request
         self.log.event(
             "connection-ended",
             "{id} {reason} {seconds:.3f}s to={destination}"
-            + " team={team}" * bool(ask and ask.team)
+            + " team={team}" * bool(request and request.team)
             + " {detail}",
-            id=ask.opening.id if ask else "-",
+            id=request.opening.id if request else "-",
             reason=front.reason,
             destination=front.destination_number,
             seconds=round(self.loop.clock() - front.started_at, 3),
-            team=ask.team if ask else "",
+            team=request.team if request else "",
             detail=front.detail,
         )
 
     def full(self) -> str:
-        """The reason code if nothing more may be begun."""
+        """Return the reason code if no new request may be accepted, else an empty string."""
         return "draining" if self.draining else "no-sockets" if self.short_of_sockets() else ""
 
     def short_of_sockets(self) -> bool:
-        """Is there no room for a route step?"""
-        return self.loop.open_sockets >= self.limit - ANSWERING
+        """Return whether no socket is available for a route step."""
+        return self.loop.open_sockets >= self.socket_limit - ANSWER_SOCKETS
 
     def make_room(self) -> bool:
-        """May one more be accepted?  Else the fronts that wait longest without a request have to go.
+        """Return whether one more connection may be accepted; if not, evict the longest idle clients.
 
-        Guards against floods of clients that connect and say nothing: usual clients, who ask at once, must
-        find both a front socket and one for the route step.
+        This protects against floods of clients that connect and send nothing. Normal clients, which send
+        their request at once, need a front socket and a socket for the route step.
         """
-        free = self.limit - (self.loop.open_sockets - len(self.idle))
-        if len(self.idle) < max(ANSWERING, WAITING_PART * free) and self.loop.open_sockets < self.limit:
+        free_sockets = self.socket_limit - (self.loop.open_sockets - len(self.idle))
+        if (
+            len(self.idle) < max(ANSWER_SOCKETS, MAX_IDLE_FRACTION * free_sockets)
+            and self.loop.open_sockets < self.socket_limit
+        ):
             return True
-        for front in islice(self.idle, ACCEPTS):
+        for front in islice(self.idle, ACCEPTS_PER_TURN):
             if self.loop.clock() - front.accepted_at >= MIN_IDLE_S:
                 front.post(EvictIdle())
         return False
 
     def retry_after_ms(self) -> float:
-        """When a client that gets a busy reply without a decision should return: spread, not in step."""
+        """Return the retry delay of a busy reply sent without a decision, random to spread the retries."""
         return self.config.settings.max_retry_after * (0.5 + 0.5 * self.random.random())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -163,7 +163,7 @@
     crowded.called("pool")
     crowded.answer_call("pool", listing(crowded, 2, "s-3"))
     assert told[-1].entries[0].backend == destination_number("s-3")
-    assert crowded.loop.open_sockets <= crowded.service.limit
+    assert crowded.loop.open_sockets <= crowded.service.socket_limit
     crowded.close()
 
 
