--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -1,4 +1,4 @@
-"""The pool config: discovery's list of destinations, watched over HTTP."""
+"""The pool config: discovery's list of destinations, fetched over HTTP by long polling."""
 
 from __future__ import annotations
 
@@ -18,65 +18,56 @@
 from snowwick.net.loop import READABLE, TIMED_OUT, WRITABLE, Actor, Coroutine, Loop, Wait
 from snowwick.net.peer import READ_SIZE_BYTES, configure_socket
 
-NEWS_DEADLINE_S = (
-    6.0  # s after which the protocol counts as told whatever discovery has, whether it arrived or not
-)
-# What may pass until it has arrived: a watch falls silent with the news and is given up, the call on a new
-# connection is refused by discovery, and after a pause the next one brings it.  The five together are TOLD.
-WATCH_HOLD_S = 1.0  # s that a call may be held for news; held calls cost discovery little
-WATCH_OVERDUE_S = (
-    0.25  # s beyond that until a watch counts as silent; its answers come some ms after their time
-)
-FIRST_CALL_EXTRA_S = (
-    2.125  # s more for the first call on a connection: connect and queue; longer than the 2 s after which
-)
-# discovery itself refuses what has waited, since what is given up sooner has cost it all the same
-RETRY_PAUSE_S = 0.5  # s at most from a call that failed to the next, half of it at least: not all in step
+# Time after which the protocol assumes that the balancer has a change of discovery's list, whether it arrived
+# or not. The five durations of the worst case add up to it: a held call stops responding as the change
+# occurs and times out, discovery refuses the first call on a new connection, and after a pause the next first
+# call succeeds.
+NEWS_DEADLINE_S = 6.0
+WATCH_HOLD_S = 1.0  # that discovery may hold a call until there is a change; held calls cost it little
+WATCH_OVERDUE_S = 0.25  # beyond that until a call counts as timed out; answers come some ms after their time
+# Additional time for the first call on a connection, to connect and wait in the queue. It is longer than the
+# 2 s after which discovery refuses a waiting call, since a call abandoned earlier costs discovery as much.
+FIRST_CALL_EXTRA_S = 2.125
+MAX_RETRY_PAUSE_S = 0.5  # after a failed call; randomized down to half of it, so that calls are spread
 STATES = {"in_service": i.State.READY, "terminating": i.State.DRAINING, "terminated": i.State.GONE}
-POLL_INTERVAL_S = (
-    0.1  # s from a call to the next where the answer has no news and does not wait for any; a watch goes
-)
-# on as long as the next call comes within 0.2 s of the answer
-MAX_BODY_BYTES = 1 << 20  # bytes: some thousands of entries; read as JSON it takes ten times that in memory
-READ_ERRORS = (
-    KeyError,
-    TypeError,
-    ValueError,
-    AttributeError,
-    OverflowError,
-)  # what reading a list may raise
+# Interval between calls if an answer has no changes and was not held. Discovery continues a watch if the next
+# call comes within 0.2 s of the answer.
+POLL_INTERVAL_S = 0.1
+MAX_BODY_BYTES = 1 << 20  # some thousands of entries; as parsed JSON they take ten times that in memory
+# Exceptions that reading a malformed list may raise
+READ_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 class CallFailed(Exception):
-    """The call brought no usable list; the text says why."""
+    """The call returned no usable list; the text says why."""
 
 
 class TimedOut(CallFailed):
-    """Nothing came, or not all of it, in the time that the call has."""
+    """The complete answer did not arrive in time."""
 
 
 class WatchPool:
-    """To the pool: watch for changes from now on."""
+    """Sent to the pool: watch discovery for changes from now on."""
 
 
 @dataclass(slots=True)
 class DiscoveryAddressChanged:
-    """To the pool: discovery is somewhere else from now on."""
+    """Sent to the pool: discovery has a new address."""
 
     discovery_address: tuple[str, int]
 
 
 class CallSuperseded(Exception):
-    """Discovery has moved while a call was out."""
+    """Discovery's address changed during a call."""
 
 
 def destination_number(name: str) -> int:
-    """The module takes numbers and hashes them: the same name must be the same number everywhere."""
+    """Return the number that the decision module hashes; it is the same for a name at every balancer."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Read HOST:PORT; raises ValueError."""
+    """Parse HOST:PORT. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= 65535:
         raise ValueError(f"{text!r} is not HOST:PORT")
@@ -84,7 +75,7 @@
 
 
 def finite_number(value: Any) -> float:
-    """A number that can be reckoned with: JSON as it is read here knows NaN and infinity too."""
+    """Convert to a finite float. Raises ValueError for NaN and infinity, which the JSON parser accepts."""
     number = float(value)
     if not math.isfinite(number):
         raise ValueError(f"{value!r} is not finite")
@@ -92,7 +83,7 @@
 
 
 def version_of(message: Any) -> int:
-    """The version of a list in discovery's form; raises CallFailed."""
+    """Return the version of a list in discovery's format. Raises CallFailed."""
     try:
         return int(message["version"])
     except READ_ERRORS as error:
@@ -100,49 +91,50 @@
 
 
 class PoolConfig:
-    """The list as it stands: its version, and where each destination is."""
+    """Discovery's list as last applied: its version and the entry of each destination."""
 
-    def __init__(self, left_out: Callable[[str], None]) -> None:
-        self.left_out, self.version = left_out, 0
-        self.spoilt: list[str] = []  # what could not be read of the list that was refused last
+    def __init__(self, on_entry_left_out: Callable[[str], None]) -> None:
+        self.on_entry_left_out, self.version = on_entry_left_out, 0
+        self.refused_errors: list[str] = []  # errors in the entries of the list that was refused last
+        # By destination number
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.labels: dict[int, Labels] = {}  # of the destinations in the list, for pools
-        self.entries: dict[int, i.BackendEntry] = {}  # what the list says of them
+        self.labels: dict[int, Labels] = {}  # by which destinations are assigned to pools
+        self.entries: dict[int, i.BackendEntry] = {}
 
     def apply(self, message: Any, kind: i.ListKind | None = None) -> i.ListUpdate:
-        """Apply a list in discovery's form; raises CallFailed, and then nothing has changed.
+        """Apply a list in discovery's format. Raises CallFailed and then changes nothing.
 
-        A list with an entry that cannot be read is refused once, since what is spoilt on the way comes whole
-        the next time.  What comes the same again is meant so: it must not hide the news of all the others,
-        nor what was known of that entry.
+        A list with an unreadable entry is refused once, since an entry damaged in transit is correct the next
+        time. If the same errors come again, the entry is left out, so that it does not block changes of other
+        destinations. The destination of a left-out entry keeps its last known entry.
         """
         version = version_of(message)
         try:
             full = kind is not None or bool(message.get("full", False))
             servers = message["servers"]
             if not isinstance(servers, list):
-                raise TypeError("servers is no list")
+                raise TypeError("servers must be a list")
         except READ_ERRORS as error:
             raise CallFailed(f"unusable list: {type(error).__name__} {error}") from error
-        rows, spoilt, kept = [], list[str](), list[int]()
-        for one in servers:
+        rows, errors, unreadable = [], list[str](), list[int]()
+        for server in servers:
             try:
-                rows.append((parse_address(one["addr"]), self._entry(one), self._labels(one)))
+                rows.append((parse_address(server["addr"]), self._entry(server), self._labels(server)))
             except READ_ERRORS as error:
-                spoilt.append(f"{type(error).__name__} {error}")
-                if isinstance(one, dict) and isinstance(one.get("id"), str):
-                    kept.append(destination_number(one["id"]))
-        if spoilt and spoilt != self.spoilt and kind is not i.ListKind.RESTORED:
-            self.spoilt = spoilt
-            raise CallFailed(f"{len(spoilt)} entries cannot be read: {spoilt[0]}")
-        for error_text in spoilt:
-            self.left_out(error_text)
+                errors.append(f"{type(error).__name__} {error}")
+                if isinstance(server, dict) and isinstance(server.get("id"), str):
+                    unreadable.append(destination_number(server["id"]))
+        if errors and errors != self.refused_errors and kind is not i.ListKind.RESTORED:
+            self.refused_errors = errors
+            raise CallFailed(f"{len(errors)} unreadable entries, the first: {errors[0]}")
+        for error_text in errors:
+            self.on_entry_left_out(error_text)
         rows += [
-            (self.addresses[one], self.entries[one], self.labels[one])
-            for one in kept
-            if full and one in self.entries
+            (self.addresses[number], self.entries[number], self.labels[number])
+            for number in unreadable
+            if full and number in self.entries
         ]
-        self.version, self.spoilt = version, []
+        self.version, self.refused_errors = version, []
         if full:
             self.addresses, self.labels, self.entries = {}, {}, {}
         for address, entry, labels in rows:
@@ -156,23 +148,23 @@
         return i.ListUpdate(kind, [entry for _, entry, _ in rows])
 
     @staticmethod
-    def _labels(one: dict[str, Any]) -> Labels:
-        return Labels(str(one.get("kind", "")), str(one.get("zone", "")), str(one.get("cell", "")))
+    def _labels(server: dict[str, Any]) -> Labels:
+        return Labels(str(server.get("kind", "")), str(server.get("zone", "")), str(server.get("cell", "")))
 
     @staticmethod
-    def _entry(one: dict[str, Any]) -> i.BackendEntry:
+    def _entry(server: dict[str, Any]) -> i.BackendEntry:
         return i.BackendEntry(
-            destination_number(one["id"]),
-            STATES[one["state"]],
-            str(one.get("zone", "")),
-            int(one.get("cell", 0)),
-            finite_number(one.get("weight", 1.0)),
-            finite_number(one.get("started_ms", 0.0)),
+            destination_number(server["id"]),
+            STATES[server["state"]],
+            str(server.get("zone", "")),
+            int(server.get("cell", 0)),
+            finite_number(server.get("weight", 1.0)),
+            finite_number(server.get("started_ms", 0.0)),
         )
 
 
 class Pool(Actor):
-    """Watches discovery while the decider wants it, and tells the decider in order what changed."""
+    """Watches discovery on request and passes on each change of its list, in order."""
 
     restart_after_fault = True
 
@@ -181,138 +173,157 @@
         loop: Loop,
         address: tuple[str, int],
         on_update: Callable[[i.ListUpdate], None],
-        chance: Callable[[], float],
-        grace: float | None = None,
+        random_fraction: Callable[[], float],
+        drain_grace_s: float | None = None,
     ) -> None:
-        """``grace`` is given where lists are pushed, to an agent that answers at once with what it holds.
+        """Create the watcher of discovery at ``address``.
 
-        What the agent holds counts as told, and nothing is sent to a destination later than ``grace``
-        seconds after it was told to leave: calls come so often that half of that is left, none waits, and
-        one that is not answered is soon made again, since the agent says nothing while discovery is down.
+        ``drain_grace_s`` is given if lists are pushed to an agent that answers calls at once with its current
+        list. The protocol assumes that the balancer has what the agent has, and nothing may be sent to a
+        destination more than ``drain_grace_s`` after the agent's list says that it is leaving. Calls are
+        therefore frequent enough to leave half of that time, and none is held. An unanswered call is soon
+        repeated, since the agent does not answer while discovery is down.
+
+        ``random_fraction`` returns values from 0 to 1. It spreads the retries of balancers that lose
+        discovery at the same time.
         """
         super().__init__(loop)
-        self.discovery_address, self.on_update, self.config = address, on_update, PoolConfig(self._left_out)
-        self.pushed = grace is not None
-        self.chance = chance  # from 0 to 1: balancers that lose discovery together must not call in step
-        self.watch, self.first, self.pace = WATCH_HOLD_S, FIRST_CALL_EXTRA_S, POLL_INTERVAL_S
-        if grace is not None:
-            self.watch, self.first, self.pace = (
+        self.discovery_address, self.on_update, self.config = (
+            address,
+            on_update,
+            PoolConfig(self._log_left_out),
+        )
+        self.pushed = drain_grace_s is not None
+        self.random_fraction = random_fraction
+        self.hold_s, self.first_call_extra_s, self.poll_interval_s = (
+            WATCH_HOLD_S,
+            FIRST_CALL_EXTRA_S,
+            POLL_INTERVAL_S,
+        )
+        if drain_grace_s is not None:
+            self.hold_s, self.first_call_extra_s, self.poll_interval_s = (
                 0.0,
-                max(POLL_INTERVAL_S, 0.5 * grace),
-                min(POLL_INTERVAL_S, 0.25 * grace),
+                max(POLL_INTERVAL_S, 0.5 * drain_grace_s),
+                min(POLL_INTERVAL_S, 0.25 * drain_grace_s),
             )
         self.sock: socket.socket | None = None
         self.http: h11.Connection | None = None
-        self.full = False  # the next call asks for the whole list
-        self.moved = self.failing = False
+        self.full_list_needed = False  # the next call requests the whole list
+        self.address_changed = self.failing = False
 
-    def _left_out(self, error: str) -> None:
+    def _log_left_out(self, error: str) -> None:
         self.loop.log.event("entry-left-out", "pool config: entry left out: {error}", error=error)
 
-    def number(self, name: str) -> int:
+    def destination_number(self, name: str) -> int:
         return destination_number(name)
 
-    def address(self, destination: int) -> tuple[str, int] | None:
+    def destination_address(self, destination: int) -> tuple[str, int] | None:
         return self.config.addresses.get(destination)
 
     def run(self) -> Coroutine:
-        due = self.loop.clock() if self.pushed else None  # else the decider says when to begin
+        due = self.loop.clock() if self.pushed else None  # else wait until a decider subscribes
         try:
             while True:
                 while not self.mailbox and (due is None or self.loop.clock() < due):
                     yield Wait(until=due)
                 for message in self.take_messages():
-                    self._heed(message)
-                due = yield from self._watch()
+                    self._handle_message(message)
+                due = yield from self._watch_list()
         finally:
-            self._hang_up()
+            self._disconnect()
 
-    def _heed(self, message: object) -> None:
-        """Act on one message; all that come here want discovery to be called."""
+    def _handle_message(self, message: object) -> None:
+        """Handle one message; each kind makes the pool call discovery."""
         if isinstance(message, DiscoveryAddressChanged):
-            self._hang_up()
-            self.discovery_address, self.full, self.moved = message.discovery_address, True, True
+            self._disconnect()
+            self.discovery_address, self.full_list_needed, self.address_changed = (
+                message.discovery_address,
+                True,
+                True,
+            )
 
-    def _watch(self) -> Generator[Wait, int, float]:
-        """Call after call, each right after the last answer, until one fails; returns when to call again.
+    def _watch_list(self) -> Generator[Wait, int, float]:
+        """Call discovery, again after each answer, until a call fails. Returns the time of the next call.
 
-        That does not wait for the decider to ask: its waits know nothing of the protocol's bound.  A watch
-        that has fallen silent is opened anew at once, any other failure has its pause.
-        A version means nothing to another discovery: after a move the first call asks for the whole list.
-        Nor do changes since a version that discovery has gone back behind, as after a restore: they are not
-        applied, the whole list is asked for, and that holds whatever its version.
+        The retry time does not depend on the decider, whose waits do not take the protocol's deadline into
+        account. A watch that timed out is opened again at once; other failures are followed by a pause.
+        Versions of different discovery services cannot be compared, so after a change of address the first
+        call requests the whole list. The same applies if the version has gone back, as after a restore:
+        changes are then not applied, and the whole list is requested and applied whatever its version.
         """
         while True:
-            asked, held = self.loop.clock(), self.sock is not None
+            called_at, reused_connection = self.loop.clock(), self.sock is not None
             try:
                 answer = yield from self._call()
-                self._read_mail()
+                self._check_mailbox()
                 before = self.config.version
-                if not self.full and version_of(answer) < before:
+                if not self.full_list_needed and version_of(answer) < before:
                     self.loop.log.event(
                         "list-older",
-                        "pool config: version {version} after {before}, asking for the whole list",
+                        "pool config: version {version} is older than {before}, requesting the whole list",
                         version=version_of(answer),
                         before=before,
                     )
-                    self.full = True
-                    self._hang_up()  # else a late second answer of changes might be taken for all
+                    self.full_list_needed = True
+                    self._disconnect()  # else a late second answer might be taken for the whole list
                     continue
-                news = self.config.apply(answer, i.ListKind.FULL if self.full else None)
-                self.full = self.failing = False
+                update = self.config.apply(answer, i.ListKind.FULL if self.full_list_needed else None)
+                self.full_list_needed = self.failing = False
             except CallSuperseded:
-                continue  # nothing of the old discovery is applied, its failure is no news either
+                continue  # neither the answer nor a failure of the old discovery counts
             except (CallFailed, OSError, ValueError, RecursionError, h11.ProtocolError) as error:
-                if not self.failing:  # a pushed list is called for several times a second
+                if not self.failing:  # pushed lists are requested several times per second
                     self.loop.log.event(
                         "discovery-failed",
                         "pool config: call failed: {error}",
                         error=f"{type(error).__name__} {error}",
                     )
                 self.failing = self.pushed
-                self._hang_up()
-                if self.pushed:  # nobody has asked
-                    return self.loop.clock() + self.pace
+                self._disconnect()
+                if self.pushed:  # no decider has subscribed
+                    return self.loop.clock() + self.poll_interval_s
                 self.on_update(i.ListUpdate(i.ListKind.FAILED))
-                silent = held and isinstance(error, TimedOut)
-                return self.loop.clock() + (0.0 if silent else RETRY_PAUSE_S * (0.5 + 0.5 * self.chance()))
-            self.on_update(news)
+                watch_timed_out = reused_connection and isinstance(error, TimedOut)
+                return self.loop.clock() + (
+                    0.0 if watch_timed_out else MAX_RETRY_PAUSE_S * (0.5 + 0.5 * self.random_fraction())
+                )
+            self.on_update(update)
             if self.config.version == before:
-                # Guards against calls without end where the answer does not wait for news.
-                if self.loop.clock() < asked + 0.5 * self.watch:
-                    self._hang_up()  # no answer to this call: one that came twice
-                yield from self.sleep_until(asked + self.pace)
+                # Limits the rate of calls if discovery does not hold them until there is a change.
+                if self.loop.clock() < called_at + 0.5 * self.hold_s:
+                    self._disconnect()  # a repeated answer to an earlier call
+                yield from self.sleep_until(called_at + self.poll_interval_s)
 
     def _call(self) -> Generator[Wait, int, Any]:
-        # Held from the first on: asked for at once and then again, all new watches cost discovery twice.
-        late = self.first if self.sock is None or self.pushed else WATCH_OVERDUE_S
-        until = self.loop.clock() + self.watch + late
+        # The first call is held too. If it were answered at once, each new watch would cost two calls.
+        overdue_s = self.first_call_extra_s if self.sock is None or self.pushed else WATCH_OVERDUE_S
+        deadline = self.loop.clock() + self.hold_s + overdue_s
         if self.sock is None or self.http is None:
-            yield from self._connect(until)
+            yield from self._connect(deadline)
         assert self.sock is not None and self.http is not None
         target = "/v1/endpoints"
-        if not self.full:
-            target += f"?after={self.config.version}&wait_ms={int(1000 * self.watch)}"
+        if not self.full_list_needed:
+            target += f"?after={self.config.version}&wait_ms={int(1000 * self.hold_s)}"
         host = f"{self.discovery_address[0]}:{self.discovery_address[1]}"
-        head = h11.Request(method="GET", target=target, headers=[("Host", host)])
-        out = (self.http.send(head) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
-        self.sock.sendall(out)
+        request_head = h11.Request(method="GET", target=target, headers=[("Host", host)])
+        request = (self.http.send(request_head) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
+        self.sock.sendall(request)
         body, status = bytearray(), 0
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
-                data = yield from self._receive(until)
+                data = yield from self._receive(deadline)
                 self.http.receive_data(data)
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_BODY_BYTES:
-                    raise CallFailed("answer too long")
+                    raise CallFailed("answer exceeds 1 MiB")
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
-                raise CallFailed("closed without an answer")
+                raise CallFailed("connection closed before the end of the answer")
         if (
             self.http.our_state is h11.DONE
             and self.http.their_state is h11.DONE
@@ -320,48 +331,49 @@
         ):
             self.http.start_next_cycle()
         else:
-            self._hang_up()  # more than one answer came: the rest must not be taken for the next call's
+            self._disconnect()  # a second answer came, not to be taken for the next call's
         if status != 200:
-            raise CallFailed(f"status {status}")
+            raise CallFailed(f"HTTP status {status}")
         return json.loads(body)
 
-    def _connect(self, until: float) -> Coroutine:
-        self._hang_up()
+    def _connect(self, deadline: float) -> Coroutine:
+        self._disconnect()
         self.sock = configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
         sock = self.sock
         with contextlib.suppress(BlockingIOError):
             sock.connect(self.discovery_address)
-        while not (woke := (yield Wait(sock, write=True, until=until))) & WRITABLE:
-            if woke & TIMED_OUT:
-                raise TimedOut("no connection in time")
-            self._read_mail()
+        while not (wake_flags := (yield Wait(sock, write=True, until=deadline))) & WRITABLE:
+            if wake_flags & TIMED_OUT:
+                raise TimedOut("connect timed out")
+            self._check_mailbox()
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise OSError(error, "connect")
 
-    def _receive(self, until: float) -> Generator[Wait, int, bytes]:
+    def _receive(self, deadline: float) -> Generator[Wait, int, bytes]:
         assert self.sock is not None
         while True:
-            woke = yield Wait(self.sock, read=True, until=until)
-            self._read_mail()  # first: nothing that the old discovery still says counts after a move
-            if woke & READABLE:
+            wake_flags = yield Wait(self.sock, read=True, until=deadline)
+            # First, since nothing from the old discovery counts after a change of address
+            self._check_mailbox()
+            if wake_flags & READABLE:
                 try:
                     return self.sock.recv(READ_SIZE_BYTES)
                 except BlockingIOError:
                     continue
-            if woke & TIMED_OUT:
+            if wake_flags & TIMED_OUT:
                 raise TimedOut("timed out")
 
-    def _read_mail(self) -> None:
-        """During a call: who asks to watch is served already; a new address ends the call that is out."""
-        self.moved = False
+    def _check_mailbox(self) -> None:
+        """Handle messages during a call, which a change of address ends by raising CallSuperseded."""
+        self.address_changed = False
         for message in self.take_messages():
-            self._heed(message)
-        if self.moved:
+            self._handle_message(message)
+        if self.address_changed:
             raise CallSuperseded
 
-    def _hang_up(self) -> None:
+    def _disconnect(self) -> None:
         if self.sock is not None:
             self.loop.unregister(self)
             self.sock.close()
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -244,10 +244,10 @@
         return self.config.settings.connect_timeout / 1000.0
 
     def destination_number(self, name: str) -> int:
-        return self.pool.number(name)
+        return self.pool.destination_number(name)
 
     def destination_address(self, destination: int) -> tuple[str, int] | None:
-        return self.pool.address(destination)
+        return self.pool.destination_address(destination)
 
     def now_ms(self) -> float:
         """Unix time in ms, monotonic. The start times in discovery's list use the same clock."""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -55,7 +55,7 @@
         pool.WATCH_HOLD_S
         + pool.WATCH_OVERDUE_S
         + pool.FIRST_CALL_EXTRA_S
-        + pool.RETRY_PAUSE_S
+        + pool.MAX_RETRY_PAUSE_S
         + pool.FIRST_CALL_EXTRA_S
         <= pool.NEWS_DEADLINE_S
         == 6.0
@@ -71,7 +71,7 @@
     assert until_called(world, 3) <= pool.WATCH_HOLD_S + pool.WATCH_OVERDUE_S + slack
     world.clock.now += 2.0  # that one is refused, as late as discovery does
     world.answer_call("pool", "fail")
-    assert until_called(world, 4) <= pool.RETRY_PAUSE_S + slack
+    assert until_called(world, 4) <= pool.MAX_RETRY_PAUSE_S + slack
     world.answer_call("pool", listing(world, 3, "s-3"))
     assert told[-1].entries[0].backend == destination_number("s-3") and len(world.calls) == 4
 
@@ -97,7 +97,8 @@
         world.called_now("pool")
         world.clock.now += STEP / 1000.0
         assert (
-            world.clock.now < began + pool.WATCH_HOLD_S + pool.FIRST_CALL_EXTRA_S + pool.RETRY_PAUSE_S + 0.1
+            world.clock.now
+            < began + pool.WATCH_HOLD_S + pool.FIRST_CALL_EXTRA_S + pool.MAX_RETRY_PAUSE_S + 0.1
         ), "not in time"
     assert world.service.pool.config.version == 1, "something of it was applied"
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -545,7 +545,7 @@
     """Changes since a version that was never reached would be put upon a list that they do not belong to."""
     told = news(world)
     world.play("pool " + listing(world, 7, "s-1", "s-2") + "\npool " + listing(world, 3, "s-9", full=False))
-    assert [one.kind.value for one in told] == ["full"] and "version 3 after 7" in said(world)
+    assert [one.kind.value for one in told] == ["full"] and "version 3 is older than 7" in said(world)
     world.play("pool " + listing(world, 3, "s-2", "s-3"))
     world.called("pool")
     assert world.calls[-2:] == ["pool /v1/endpoints", "pool /v1/endpoints?after=3&wait_ms=1000"]
