--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -36,7 +36,7 @@
 
 # Time between two runs of the overload monitor: several runs within any client's patience.
 MONITOR_INTERVAL_MS = 500.0
-# From this fraction of troubled backends or failed attempts the token rate r is lowered.
+# From this fraction of troubled backends or failed attempts on the throttle turns on and lowers its rate r.
 OVERLOADED_FRACTION = 0.35
 # Up to this fraction the fleet counts as healthy.
 HEALTHY_FRACTION = 0.15
@@ -81,11 +81,12 @@
 # A backend that is slower, or more loaded, than another by this factor is clearly worse.
 CLEARLY_WORSE_FACTOR = 1.25
 
-# Load by which another backend must be better before a group is split over it,
+# Loads here are fractions of a backend's capacity.
+# Load by which another backend must be lower before a group is split over it.
 GROUP_SPLIT_LOAD = 0.2
-# for each rank that it is further down the group's ranking,
+# Load by which a backend must be lower for each further rank in the group's ranking.
 RANK_STEP_LOAD = 0.02
-# and before a connection goes to another zone.
+# Load by which a backend in another zone must be lower.
 CROSS_ZONE_LOAD = 0.1
 # From this reported load over capacity on messages are late.
 OVERLOADED_LOAD = 1.0
@@ -96,7 +97,8 @@
 
 # Fraction of its class's aim that a setup waits for probe results.
 PROBE_WAIT_AIM_FRACTION = 0.15
-# How long a probe result counts as fresh, so that the backend is not probed again.
+# How long a probe result counts as fresh, so that the backend is not probed again; a reported load may be as
+# old as this when it arrives.
 PROBE_FRESH_MS = 1000.0
 
 # Time over which the clients of a leaving backend are moved.
@@ -104,7 +106,7 @@
 
 
 def _hash(text: str) -> int:
-    """Returns a 64-bit hash that is the same in every process; it is odd, so never zero."""
+    """Return a 64-bit hash that is the same in every process; it is odd, so never zero."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") | 1
 
 
@@ -222,13 +224,13 @@
         self.waiting: list[Flow] = []  # highest priority first, oldest first within a priority
 
     def bank_capacity(self, now: float) -> float:
-        """Returns C_T: few tokens at turn-on (a false alarm only delays), C_J + C_T if the overload lasts."""
+        """Return C_T: few tokens at turn-on (a false alarm only delays), C_J + C_T if the overload lasts."""
         return BANK_AT_TURN_ON_TOKENS + (BANK_AND_BUFFER_SLOTS - BANK_AT_TURN_ON_TOKENS) * min(
             1.0, max(0.0, (now - self.turned_on_at - BUFFER_SHRINK_DELAY_MS) / BUFFER_SHRINK_MS)
         )
 
     def take_token(self, now: float) -> bool:
-        """Refills the bank and takes a token; returns whether a setup may go out."""
+        """Refill the bank and take a token; return whether a setup may go out."""
         if not self.active:
             return True
         self.tokens = min(self.bank_capacity(now), self.tokens + self.refill_rate * (now - self.refilled_at))
@@ -912,7 +914,10 @@
             self._admit(flow)  # each further attempt takes a token: retries would add to an overload
 
     def _record_outcome(self, backend: Backend, outcome: interface.Outcome, was_open: bool) -> None:
-        """Skip a backend that failed for a while; the monitor only counts how many backends have failed."""
+        """Record a failure, and skip the backend for a while where it is to blame.
+
+        One failed backend concerns itself only; the monitor reacts to how many there are.
+        """
         if (
             outcome in (interface.Outcome.OK, interface.Outcome.CANCELLED, interface.Outcome.UNSENT)
             or self.now >= backend.leaving_since
@@ -998,17 +1003,17 @@
         self._move_off_leaving_backends()
         self._relieve_overloaded_backends()
         self._move_to_new_backends()
-        slow = [
+        slow_backends = [
             backend for backend in self.recently_used.values() if self.now - backend.slow_at < SLOW_TTL_MS
         ]
-        usable = [
+        usable_backends = [
             backend
             for backend in self.recently_used.values()
             if backend.ready and backend.down_until <= self.now
         ]
-        troubled_fraction = sum(backend.slowness for backend in slow if backend in usable) / max(
-            1, len(usable)
-        )
+        troubled_fraction = sum(
+            backend.slowness for backend in slow_backends if backend in usable_backends
+        ) / max(1, len(usable_backends))
         if reported_loads := sorted(
             backend.load
             for backend in self.ready_backends
@@ -1028,7 +1033,9 @@
         )
         pressure = max(
             failed_fraction,
-            troubled_fraction if reported_loads or sum(backend.slowness for backend in slow) > 1.0 else 0.0,
+            troubled_fraction
+            if reported_loads or sum(backend.slowness for backend in slow_backends) > 1.0
+            else 0.0,
         )
         throttle, usual_rate = self.throttle, max(self.arrivals, 1.0) / ARRIVAL_DECAY_MS
         self.healthy_runs = self.healthy_runs + 1 if pressure <= HEALTHY_FRACTION else 0
