--- a/snowwick/net/__init__.py
+++ b/snowwick/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on sockets: event loop, line protocol, peers, pool config, and the decider's actor."""
+"""The network code: event loop, line protocol, both sides of connections, pool config, decider actors."""
--- a/snowwick/net/host.py
+++ b/snowwick/net/host.py
@@ -1,7 +1,7 @@
-"""What a fleet link needs of the balancer whose place in the fleet it holds, and nothing else of it.
+"""The interface that a fleet link needs from the balancer it belongs to.
 
-Declared apart, so that the link and the balancer do not import each other, and so that the link can be
-carried by something that is no balancer (snowwick/lab/hollow.py).
+A separate module, so that the link and the balancer do not import each other, and so that the link also runs
+in a host that is not a balancer (snowwick/lab/hollow.py).
 """
 
 from __future__ import annotations
@@ -17,30 +17,31 @@
 
 
 class FleetHost(Protocol):
-    """Carries one fleet link."""
+    """Owner of a fleet link."""
 
     @property
     def loop(self) -> Loop:
-        """On which the link runs."""
+        """The event loop that runs the link."""
 
     @property
     def pool_config(self) -> PoolConfig:
-        """Discovery's list as it was read last."""
+        """Discovery's list of destinations as last received."""
 
     @property
     def contract_stage(self) -> ContractStage | None:
-        """Holds requests to the contracts; None where there are none."""
+        """Enforces the contracts; None without contracts."""
 
     def last_answer_times(self) -> Iterable[tuple[int, float]]:
-        """The destinations that connections stand at, each with when it last answered a line, in s on the
-        loop's clock.
+        """The destinations with connections, each with the time of its last answered line.
+
+        Times are in seconds on the loop's clock.
         """
 
     def connection_counts(self) -> Iterable[Mapping[int, int]]:
-        """How many connections stand or are being set up at each destination, one mapping for each pool."""
+        """The number of connections, including those being set up, by destination; one mapping per pool."""
 
     def report_silent(self, message: DestinationSilent) -> None:
-        """A destination answers nobody, by what others say."""
+        """Called when, according to other members, a destination answers no requests."""
 
     def apply_pool_news(self, news: PoolUpdate) -> None:
-        """Destinations leave, or come back, by what others say."""
+        """Called when, according to other members, destinations are leaving or have returned."""
--- a/snowwick/net/lines.py
+++ b/snowwick/net/lines.py
@@ -1,4 +1,4 @@
-"""The line protocol as pure functions: cutting, reading and writing lines, no sockets."""
+"""The line protocol as pure functions: splitting, parsing and formatting lines, without I/O."""
 
 from __future__ import annotations
 
@@ -7,34 +7,39 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAX_LINE_BYTES = 4096  # bytes, the line's end included
+MAX_LINE_BYTES = 4096  # including the line end
 LINE_END = b"\r\n"
-PING, STATS, PONG, MOVE, ERR, NO = b"PING", b"STATS", b"PONG\r\n", b"MOVE\r\n", b"ERR\r\n", b"NO\r\n"
+# Commands without their line end
+PING = b"PING"
+STATS = b"STATS"
+# Replies with their line end
+PONG = b"PONG\r\n"
+MOVE = b"MOVE\r\n"
+ERR = b"ERR\r\n"
+NO = b"NO\r\n"
 _WAIT_VALUE = re.compile(rb"(?<=[ ,])d=\d+(?=,|\r\n$)")
 _UP_LINE = re.compile(rb"UP [ -~]*[!-~]\r\n")
 _WORD = re.compile(r"[!-~]+")
 _NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_.-]{0,31}")
-_VALUE_FORMATS = {  # of the values whose meaning is known; further ones may follow under other names
+_VALUE_FORMATS = {  # of the known values; an opening line may have others, which are not checked
     "d": re.compile(r"\d{1,10}"),
     "r": re.compile(r"[01]"),
     "again": re.compile(r"[01]"),
     "h": re.compile(r"\d{1,12}(\.\d{1,12})?([eE][-+]?\d{1,2})?"),
 }
-_REPORT_FIELD, _REPORT_NUMBER = (
-    re.compile(rb"[a-z][a-z0-9_]{0,31}"),
-    re.compile(rb"\d{1,12}(\.\d{1,12})?([eE]-?\d{1,2})?"),
-)
-MAX_REPORT_BYTES = 512  # bytes
-MAX_NAME_LENGTH = 128  # of an id, a key or a group: what is kept of a client must stay small
-MAX_WAIT_FACTOR = 2.0  # times its class's deadline that a client may say it waits
+_REPORT_FIELD = re.compile(rb"[a-z][a-z0-9_]{0,31}")
+_REPORT_NUMBER = re.compile(rb"\d{1,12}(\.\d{1,12})?([eE]-?\d{1,2})?")
+MAX_REPORT_BYTES = 512
+MAX_NAME_LENGTH = 128  # characters of an id, key or group; limits the memory per client
+MAX_WAIT_FACTOR = 2.0  # a client's wait may be at most this many times the deadline of its class
 
 
 class MalformedLine(Exception):
-    """The bytes are no line of this protocol; the text says why."""
+    """The input is not a valid line of this protocol; the message says why."""
 
 
 class Reply(Enum):
-    """What a destination's line says of the step."""
+    """The kind of a line from a destination, by its first word."""
 
     UP = "up"
     BYE = "bye"
@@ -47,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Opening:
-    """A client's first line."""
+    """A parsed opening line, the first line of a client's request."""
 
     line: bytes
     id: str
@@ -56,11 +61,12 @@
 
     @property
     def wait_ms(self) -> int | None:
+        """How long the client waits for the answer, if the line says so."""
         return int(self.values["d"]) if "d" in self.values else None
 
 
 def take_lines(buffer: bytearray) -> bytes:
-    """Take all whole lines off the front of the buffer; what is left must still fit into a line."""
+    """Remove all whole lines from the buffer; raises MalformedLine if a line is longer than the limit."""
     end = buffer.rfind(b"\n") + 1
     taken = bytes(buffer[:end])
     del buffer[:end]
@@ -72,7 +78,7 @@
 
 
 def take_line(buffer: bytearray) -> bytes | None:
-    """Take one whole line off the front of the buffer."""
+    """Remove one whole line from the buffer, or return None; raises MalformedLine if it is too long."""
     end = buffer.find(b"\n", 0, MAX_LINE_BYTES) + 1
     if not end:
         if len(buffer) >= MAX_LINE_BYTES:
@@ -84,65 +90,65 @@
 
 
 def parse_opening(line: bytes) -> Opening:
-    """Read ``OPEN ID KEY name=value,...``."""
+    """Parse ``OPEN ID KEY name=value,...``; raises MalformedLine."""
     if not line.endswith(LINE_END):
-        raise MalformedLine("line does not end in CRLF")
+        raise MalformedLine("opening line does not end in CRLF")
     try:
         words = line[:-2].decode("ascii").split(" ")
     except UnicodeDecodeError as error:
-        raise MalformedLine("not ASCII") from error
+        raise MalformedLine("opening line is not ASCII") from error
     if len(words) != 4 or words[0] != "OPEN" or not all(_WORD.fullmatch(word) for word in words):
-        raise MalformedLine("not OPEN ID KEY VALUES")
+        raise MalformedLine("opening line is not OPEN ID KEY VALUES")
     if max(len(words[1]), len(words[2])) > MAX_NAME_LENGTH:
-        raise MalformedLine("id or key too long")
+        raise MalformedLine("id or key is too long")
     values: dict[str, str] = {}
     for pair in words[3].split(","):
         name, equals, value = pair.partition("=")
         if not _NAME.fullmatch(name) or not equals or not value or name in values:
-            raise MalformedLine("values are not name=value, each once")
+            raise MalformedLine("opening line has a value that is not name=value, or has one twice")
         if name in _VALUE_FORMATS and not _VALUE_FORMATS[name].fullmatch(value):
-            raise MalformedLine(f"{name} is not in its form")
+            raise MalformedLine(f"value of {name} has an invalid format")
         values[name] = value
     if max(len(values.get("g", "")), len(values.get("at", ""))) > MAX_NAME_LENGTH:
-        raise MalformedLine("g or at too long")
+        raise MalformedLine("value of g or at is too long")
     return Opening(line, words[1], words[2], values)
 
 
 def check_opening(opening: Opening, deadlines: Mapping[str, float], tenants: Collection[str]) -> None:
-    """Raise Garbled for what no usual client sends.
+    """Raise MalformedLine for an opening line that no correct client sends.
 
-    Guards against destinations that turn it away and would then seem to be in trouble.  ``deadlines`` holds
-    the ms of each class.  A connection that is kept may wait as long as it likes.
+    Destinations would reject such a line, and their rejections would count as failures of the destinations.
+    ``deadlines`` holds the deadline of each class in ms.  A resumed connection (``at``) may wait any time.
     """
     values = opening.values
     deadline = deadlines.get(values.get("c", ""))
     if deadline is None:
-        raise MalformedLine("no class of the settings")
+        raise MalformedLine("c does not name a class of the settings")
     if tenants and values.get("t") not in tenants:
-        raise MalformedLine("no tenant of the settings")
+        raise MalformedLine("t does not name a tenant of the settings")
     if opening.wait_ms is None:
-        raise MalformedLine("d is missing")
+        raise MalformedLine("value d is missing")
     if "at" not in values and opening.wait_ms > MAX_WAIT_FACTOR * deadline:
-        raise MalformedLine("d is longer than any client waits")
+        raise MalformedLine("value of d is too long for the deadline of the class")
 
 
 def with_wait(line: bytes, wait_ms: float) -> bytes:
-    """The same line but for the value of ``d``: destinations accept no other change."""
+    """Replace the value of ``d`` in an opening line; destinations accept no other change."""
     return _WAIT_VALUE.sub(b"d=%d" % max(1, int(wait_ms)), line, count=1)
 
 
 def busy_line(retry_after_ms: float = 0.0) -> bytes:
-    """The busy reply, with when to come back."""
+    """Format a busy reply with its retry delay, which is left out below 1 ms."""
     return b"BUSY %d\r\n" % round(retry_after_ms) if retry_after_ms >= 1.0 else b"BUSY\r\n"
 
 
 def is_up_line(line: bytes) -> bool:
-    """Is it ``UP RECEIPT`` as a destination writes it?  A spoilt one must not count as served."""
+    """Whether the line is a well-formed ``UP RECEIPT``; a damaged one must not count as an answer."""
     return _UP_LINE.fullmatch(line) is not None
 
 
 def parse_load(line: bytes) -> float | None:
-    """The figure of a ``LOAD X`` line."""
+    """Parse the number of a ``LOAD X`` line; returns None if it is invalid."""
     try:
         figure = float(line[5:]) if line.startswith(b"LOAD ") else -1.0
     except ValueError:
@@ -151,10 +157,10 @@
 
 
 def parse_report(text: bytes) -> dict[str, float] | None:
-    """The figures of a load report, ``queue=2,x0=0.61``; None where it is not in its form.
+    """Parse a load report such as ``queue=2,x0=0.61``; returns None if it is invalid.
 
-    Strict: a figure that is negative, no number or comes twice spoils the report, since a server that tells
-    nonsense once may have meant anything by the rest.
+    A negative, non-numeric or duplicate value invalidates the whole report, because the other values of such
+    a server cannot be trusted either.
     """
     figures: dict[str, float] = {}
     if len(text) > MAX_REPORT_BYTES:
@@ -171,7 +177,7 @@
 
 
 def reply_kind(line: bytes) -> Reply:
-    """What a destination's line says."""
+    """Classify a line from a destination."""
     word = line.rstrip(b"\r\n").split(b" ", 1)[0]
     try:
         return Reply(word.decode("ascii").lower()) if word.isupper() else Reply.OTHER
--- a/snowwick/net/loop.py
+++ b/snowwick/net/loop.py
@@ -1,8 +1,8 @@
-"""One thread: epoll for sockets, timers on the library's scheduler, generators as coroutines.
+"""A single-threaded event loop: epoll for sockets, timers, and actors as generator-based coroutines.
 
-An actor is a generator with a mailbox.  It yields a ``Wait`` and is resumed with flags that say what came:
-its socket is readable or writable, there is mail, or the time is up.  Each wait has a timer of its own
-(net/timers.py), cancelled when the wait ends.
+An actor is a generator with a mailbox.  It yields a ``Wait`` and is resumed with flags that say what
+happened: its socket is readable or writable, a message arrived, or the deadline passed.  Each wait has its
+own timer (net/timers.py), which is cancelled when the wait ends.
 """
 
 from __future__ import annotations
@@ -19,16 +19,21 @@
 from snowwick.log import Log
 from snowwick.net.timers import Timers
 
-READABLE, WRITABLE, MAIL, TIMED_OUT = 1, 2, 4, 8
-MAX_MAIL_ROUNDS = (
-    4  # of mail that a turn carries on before it looks at sockets again: a line passes in two, and what
-)
-# makes room for the next in one more; bounded, so that actors that write to each other hold up nobody
+# Flags with which an actor is resumed
+READABLE = 1
+WRITABLE = 2
+MAIL = 4
+TIMED_OUT = 8
+
+# Rounds in which a turn resumes actors before it polls the sockets again: a line is relayed in two, and the
+# notice that its buffer is drained takes one more.  Bounded, so that actors that post to each other without
+# end do not starve the sockets.
+MAX_MAIL_ROUNDS = 4
 
 
 @dataclass(slots=True)
 class Wait:
-    """What an actor waits for, besides its mail; ``until`` is on the loop's clock, in seconds."""
+    """What an actor waits for, besides messages; ``until`` is in seconds on the loop's clock."""
 
     sock: socket.socket | None = None
     read: bool = False
@@ -40,75 +45,90 @@
 
 
 class Actor:
-    """A coroutine with a mailbox.  It owns at most one socket at a time."""
+    """A coroutine with a mailbox; it waits for at most one socket at a time."""
 
-    restart_after_fault = False  # begins again after a fault: the program is of no use without it
+    restart_after_fault = False  # set for actors that the program cannot do without
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.mailbox: deque[Any] = deque()
         self.coroutine: Coroutine | None = None
         self.timer: int | None = None
-        self.not_started, self.waiting, self.wake_flags = True, False, 0
-        self.registered_fd, self.registered_events = -1, 0
+        self.not_started = True
+        self.waiting = False
+        self.wake_flags = 0
+        self.registered_fd = -1
+        self.registered_events = 0
 
     def run(self) -> Coroutine:
+        """The actor's coroutine."""
         raise NotImplementedError
 
     def start(self) -> None:
+        """Start the coroutine, or restart it."""
         self.coroutine, self.not_started = self.run(), True
         self.loop.actors.add(self)
         self.loop.ready.append(self)
 
     def post(self, message: object) -> None:
-        """Leave a message; an actor that has ended takes no more."""
+        """Put a message into the mailbox; dropped if the actor has ended."""
         if self.coroutine is not None:
             self.mailbox.append(message)
             self.loop.wake(self, MAIL)
 
     def sleep_until(self, until: float) -> Coroutine:
-        """Wait for a time, whatever mail comes meanwhile."""
+        """Wait until a time on the loop's clock; messages that arrive stay in the mailbox."""
         while self.loop.clock() < until:
             yield Wait(until=until)
 
     def take_messages(self) -> Generator[Any, None, None]:
-        """The messages in the mailbox, oldest first."""
+        """Remove and yield the messages in the mailbox, oldest first."""
         while self.mailbox:
             yield self.mailbox.popleft()
 
 
 class Loop:
-    """Runs actors until there are none left or ``stop`` is called."""
+    """Runs actors until ``stop`` is called."""
 
     def __init__(self, log: Log | None = None, clock: Callable[[], float] = time.monotonic) -> None:
-        self.clock, self.log = clock, log or Log()
+        self.clock = clock
+        self.log = log or Log()
         self.timers: Timers[Actor] = Timers(clock, self._on_timeout)
         self.epoll = select.epoll()
         self.actors_by_fd: dict[int, Actor] = {}
         self.actors: set[Actor] = set()
         self.ready: deque[Actor] = deque()
-        self.open_sockets = 0  # held by peers, whatever they do with them: what descriptors are counted by
+        self.open_sockets = 0  # of peers, waiting or not; compared with the limit on descriptors
         self.stopped = False
 
     def run(self) -> None:
+        """Run turns until ``stop`` is called."""
         while not self.stopped:
             self.run_once()
 
     def stop(self) -> None:
+        """End ``run`` after the present turn."""
         self.stopped = True
 
-    def run_once(self, longest: float | None = None) -> None:
-        """Wait for what comes first, ``longest`` seconds at most, and resume the actors that it concerns."""
-        delay = self.timers.run()
-        waits = [w for w in (0.0 if self.ready else None, delay, longest) if w is not None]
-        for fd, events in self.epoll.poll(min(waits) if waits else None):
+    def run_once(self, max_wait_s: float | None = None) -> None:
+        """Run one turn: wait for the first event and resume the actors that it concerns.
+
+        ``max_wait_s`` limits the wait, in seconds.
+        """
+        timer_delay_s = self.timers.run()
+        waits_s = [
+            wait_s
+            for wait_s in (0.0 if self.ready else None, timer_delay_s, max_wait_s)
+            if wait_s is not None
+        ]
+        for fd, events in self.epoll.poll(min(waits_s) if waits_s else None):
             actor = self.actors_by_fd.get(fd)
             if actor is not None:
-                broken = events & (select.EPOLLHUP | select.EPOLLERR)
+                hung_up = events & (select.EPOLLHUP | select.EPOLLERR)
                 self.wake(
                     actor,
-                    (READABLE if events & select.EPOLLIN or broken else 0)
-                    | (WRITABLE if events & select.EPOLLOUT or broken else 0),
+                    (READABLE if events & select.EPOLLIN or hung_up else 0)
+                    | (WRITABLE if events & select.EPOLLOUT or hung_up else 0),
                 )
         self.timers.run()
         for _ in range(MAX_MAIL_ROUNDS):
@@ -117,8 +137,9 @@
             if not self.ready:
                 break
 
-    def wake(self, actor: Actor, why: int) -> None:
-        actor.wake_flags |= why
+    def wake(self, actor: Actor, flags: int) -> None:
+        """Schedule an actor to be resumed with these flags, and cancel its timer."""
+        actor.wake_flags |= flags
         if actor.waiting:
             actor.waiting = False
             if actor.timer is not None:
@@ -133,15 +154,15 @@
     def _resume(self, actor: Actor) -> None:
         if actor.coroutine is None:
             return
-        why, actor.wake_flags = actor.wake_flags, 0
+        flags, actor.wake_flags = actor.wake_flags, 0
         try:
-            fresh, actor.not_started = actor.not_started, False
-            wait = next(actor.coroutine) if fresh else actor.coroutine.send(why)
+            not_started, actor.not_started = actor.not_started, False
+            wait = next(actor.coroutine) if not_started else actor.coroutine.send(flags)
         except StopIteration:
             self._remove(actor)
             return
         except Exception:
-            # One peer's fault must not end the connections of all the others.
+            # A fault in one actor must not end the connections of all others.
             self.log.event(
                 "fault",
                 "fault: {where}: {error}",
@@ -156,42 +177,43 @@
 
     def _suspend(self, actor: Actor, wait: Wait) -> None:
         fd = wait.sock.fileno() if wait.sock is not None else -1
-        mask = (select.EPOLLIN if wait.read else 0) | (select.EPOLLOUT if wait.write else 0)
-        self._update_registration(actor, fd, mask if fd >= 0 else 0)
+        events = (select.EPOLLIN if wait.read else 0) | (select.EPOLLOUT if wait.write else 0)
+        self._update_registration(actor, fd, events if fd >= 0 else 0)
         actor.waiting = True
         if actor.mailbox:
             self.wake(actor, MAIL)
         elif wait.until is not None:
             actor.timer = self.timers.set(wait.until, actor)
 
-    def _update_registration(self, actor: Actor, fd: int, mask: int) -> None:
-        """Tell epoll what the actor waits for.
+    def _update_registration(self, actor: Actor, fd: int, events: int) -> None:
+        """Register the events that the actor waits for with epoll.
 
-        Without interest the socket is taken out: epoll reports a hang-up even where nothing is asked for,
-        and a paused peer that resets would then keep the loop spinning.
+        A socket without events is unregistered: epoll always reports hang-ups, so a reset on a paused
+        connection would keep the loop spinning.
         """
-        if actor.registered_fd != fd or not mask:
+        if actor.registered_fd != fd or not events:
             self.unregister(actor)
-        if not mask:
+        if not events:
             return
         if actor.registered_fd < 0:
-            self.epoll.register(fd, mask)
+            self.epoll.register(fd, events)
             self.actors_by_fd[fd] = actor
             actor.registered_fd = fd
-        elif actor.registered_events != mask:
-            self.epoll.modify(fd, mask)
-        actor.registered_events = mask
+        elif actor.registered_events != events:
+            self.epoll.modify(fd, events)
+        actor.registered_events = events
 
     def unregister(self, actor: Actor) -> None:
-        """Take the actor's socket out of epoll; needed before the socket is closed."""
+        """Remove the actor's socket from epoll; required before the socket is closed."""
         if actor.registered_fd >= 0:
             self.epoll.unregister(actor.registered_fd)
             del self.actors_by_fd[actor.registered_fd]
-            actor.registered_fd, actor.registered_events = -1, 0
+            actor.registered_fd = -1
+            actor.registered_events = 0
 
     def _remove(self, actor: Actor) -> None:
         self.unregister(actor)
-        if actor.timer is not None:  # closed while it waited
+        if actor.timer is not None:  # the loop is closed while the actor waits
             self.timers.cancel(actor.timer, actor)
             actor.timer = None
         actor.coroutine = None
@@ -199,7 +221,7 @@
         self.actors.discard(actor)
 
     def close(self) -> None:
-        """End what still runs, each actor by way of its own clean-up."""
+        """Close the coroutine of each remaining actor, which runs its clean-up, and close epoll."""
         for actor in list(self.actors):
             if actor.coroutine is not None:
                 actor.coroutine.close()
--- a/snowwick/net/peer.py
+++ b/snowwick/net/peer.py
@@ -1,4 +1,4 @@
-"""What both ends of a connection share: reading and writing lines, and passing them on until the end."""
+"""Base class of both sides of a relayed connection: buffered line input and output, relay, close."""
 
 from __future__ import annotations
 
@@ -11,38 +11,37 @@
 from snowwick.net import lines
 from snowwick.net.loop import MAIL, READABLE, TIMED_OUT, WRITABLE, Actor, Coroutine, Loop, Wait
 
-READ_SIZE_BYTES = 16384  # bytes read at a time
-HIGH_WATER_BYTES = 16384  # bytes waiting to be written at which the other side is no longer read
-CLOSE_GRACE_S = 0.5  # s that one side may stay open once the other has ended: the protocol allows one second
-UNSENT_GRACE_S = 0.4  # s beyond that while its last lines are not written yet: still within that second
-MAX_DRAIN_READS = (
-    4  # times that a socket is read out before its close: bounded, since a peer may never stop sending
-)
+READ_SIZE_BYTES = 16384
+HIGH_WATER_BYTES = 16384  # of unsent output, from which on the other side is no longer read
+CLOSE_GRACE_S = 0.5  # one side may stay open this long after the other has ended; the protocol allows 1 s
+# Extra time while the last lines are unsent; together with CLOSE_GRACE_S still within that second
+UNSENT_GRACE_S = 0.4
+MAX_DRAIN_READS = 4  # before closing a socket; bounded, since a peer may never stop sending
 
 
 @dataclass(slots=True)
 class RelayedLines:
-    """Whole lines for the other side."""
+    """To the other side: whole lines to send."""
 
     data: bytes
 
 
 @dataclass(slots=True)
 class PeerEnded:
-    """The other side has ended, by a reset or in an orderly way."""
+    """To the other side: this side has ended, by a reset or in an orderly way."""
 
     reset: bool = False
 
 
 class OutputDrained:
-    """The other side has written what was waiting."""
+    """To the other side: the output buffer is below the high-water mark again, so reading may resume."""
 
 
-DISCARD_BUFFER = bytearray(65536)  # what is read only to be passed over
+DISCARD_BUFFER = bytearray(65536)  # receives input that is discarded
 
 
 class LinePeer(Actor):
-    """One end of a connection that lines pass through."""
+    """One side of a connection whose lines are relayed to the other side."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         super().__init__(loop)
@@ -52,10 +51,10 @@
         self.other_side: LinePeer | None = None
         self.closing = self.read_done = self.write_done = self.write_failed = False
         self.close_deadline: float | None = None
-        self.close_deadline_extended = False  # the grace, for what is still to be written
+        self.close_deadline_extended = False  # for output that is still unsent
 
     def receive(self) -> bool:
-        """Read what is there; False at the end."""
+        """Read available bytes into the input buffer; returns False at the end of the stream."""
         try:
             data = self.sock.recv(READ_SIZE_BYTES)
         except BlockingIOError:
@@ -64,12 +63,12 @@
         return bool(data)
 
     def flush(self) -> None:
-        """Write what the socket takes.
+        """Write what the socket accepts, and shut down its sending direction once everything is written.
 
-        A socket that can be written no more may still hold what its other end said last, as a server's BYE
-        before a reset: only reading tells how it ended.
+        A write error does not end the connection: the socket may still hold the last lines from the remote
+        end, such as a server's BYE before a reset, so only reading shows how the connection ended.
         """
-        was_full = self.output_full()
+        was_output_full = self.output_full()
         try:
             if self.output_buffer:
                 with contextlib.suppress(BlockingIOError):
@@ -80,70 +79,74 @@
         except OSError:
             self.output_buffer.clear()
             self.write_failed = self.write_done = True
-        if was_full and not self.output_full() and self.other_side is not None:
+        if was_output_full and not self.output_full() and self.other_side is not None:
             self.other_side.post(OutputDrained())
 
     def output_full(self) -> bool:
+        """Whether the unsent output has reached the high-water mark."""
         return len(self.output_buffer) >= HIGH_WATER_BYTES
 
     def notify_other_side(self, message: object) -> None:
+        """Post a message to the other side, if there is one."""
         if self.other_side is not None:
             self.other_side.post(message)
 
     def relay(self) -> Coroutine:
-        """Pass lines on, both ways, until both directions of this socket have ended or the grace is over.
+        """Relay lines until both directions of this socket have ended or the close deadline has passed.
 
-        A side that has ended its sending may still be read from, so that an end passes through as it came,
-        and what a client sends on top of a MOVE does not turn the close into a reset that eats the MOVE.
+        A side that sends no more is still read: so a half-close is passed on as one, and input that a client
+        sends after a MOVE does not turn the close into a reset that discards the MOVE.
         """
         while not (self.read_done and self.write_done):
-            room = self.other_side is None or not self.other_side.output_full()
-            woke = yield Wait(
-                self.sock, not self.read_done and room, bool(self.output_buffer), self.next_deadline()
+            can_forward = self.other_side is None or not self.other_side.output_full()
+            wake_flags = yield Wait(
+                self.sock, not self.read_done and can_forward, bool(self.output_buffer), self.next_deadline()
             )
-            if woke & TIMED_OUT and not self.on_deadline() and not self._extend_close_deadline():
+            if wake_flags & TIMED_OUT and not self.on_deadline() and not self._extend_close_deadline():
                 return
-            if woke & READABLE and not self.read_done:
+            if wake_flags & READABLE and not self.read_done:
                 self.forward_input()
-            if woke & MAIL:
+            if wake_flags & MAIL:
                 for message in self.take_messages():
                     self.on_message(message)
             self.flush()
 
     def _extend_close_deadline(self) -> bool:
-        """Once, where the last lines are still to be written: a MOVE that is not sent is a cut-off."""
+        """Extend the close deadline once if output is unsent: without its MOVE a client is just cut off."""
         if self.close_deadline_extended or not self.output_buffer or self.close_deadline is None:
             return False
         self.close_deadline_extended, self.close_deadline = True, self.close_deadline + UNSENT_GRACE_S
         return True
 
     def next_deadline(self) -> float | None:
+        """Returns the time at which ``on_deadline`` is to be called, on the loop's clock."""
         return self.close_deadline
 
     def on_deadline(self) -> bool:
-        """The time of ``due`` has come; False ends the relay."""
+        """Called when ``next_deadline`` has passed; returning False ends the relay."""
         return False
 
     def forward_input(self) -> None:
+        """Read from the socket and send whole lines to the other side."""
         if self.closing:
-            going = self.discard_input()
+            still_open = self.discard_input()
         else:
-            going = self.receive()
-            data = lines.take_lines(self.input_buffer) if going else bytes(self.input_buffer)
+            still_open = self.receive()
+            data = lines.take_lines(self.input_buffer) if still_open else bytes(self.input_buffer)
             if data:
                 self.on_lines(data)
                 self.notify_other_side(RelayedLines(data))
-        if not going:
+        if not still_open:
             self.read_done = True
             self.on_input_ended()
             self.notify_other_side(PeerEnded(reset=self.write_failed))
             self.start_close_deadline()
 
     def discard_input(self) -> bool:
-        """Read what nobody wants any more; False at the end.
+        """Read and discard input while closing; returns False at the end of the stream.
 
-        Guards against a close that becomes a reset and eats the last line sent: a client may send far more
-        than it should before it reads.
+        Closing with unread input would send a reset, which discards the last line sent: a client may send
+        far more than it should before it reads.
         """
         with contextlib.suppress(BlockingIOError):
             if not self.sock.recv_into(DISCARD_BUFFER):
@@ -152,33 +155,35 @@
         return True
 
     def on_input_discarded(self) -> None:
-        """The other end goes on sending after this side has said its last."""
+        """Called when input has been discarded because this side is closing."""
 
     def on_lines(self, data: bytes) -> None:
-        """Lines came in on this side."""
+        """Called with whole lines that this side has received."""
 
     def on_input_ended(self) -> None:
-        """This side has ended before the other, perhaps."""
+        """Called when the input of this side has ended; the other side may have ended before."""
 
     def on_message(self, message: object) -> None:
+        """Handle one message from the mailbox during the relay."""
         if isinstance(message, RelayedLines):
             if not self.closing:
                 self.output_buffer += message.data
         elif isinstance(message, PeerEnded):
             if message.reset:
                 self.flush()
-                # Linger of zero: the close sends a reset, as the other side did.
+                # With a linger time of zero the close sends a reset, as the other side received.
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 self.read_done = self.write_done = True
             self.closing = True
             self.start_close_deadline()
 
     def start_close_deadline(self) -> None:
+        """Set the time by which this side must be closed, unless it is set already."""
         if self.close_deadline is None:
             self.close_deadline = self.loop.clock() + CLOSE_GRACE_S
 
     def has_unread_input(self) -> bool:
-        """Is there something to read on the socket, bytes, an end or a reset?  It stays there."""
+        """Whether the socket has bytes, an end of stream or a reset to read; nothing is consumed."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -188,7 +193,10 @@
         return True
 
     def close_socket(self) -> None:
-        """Close, read out first: a close over unread bytes is a reset, which may overtake the last line."""
+        """Read remaining input and close the socket.
+
+        Closing with unread input would send a reset, which may overtake the last line.
+        """
         if self.sock.fileno() >= 0:
             self.loop.unregister(self)
             with contextlib.suppress(OSError):
@@ -200,20 +208,23 @@
 
 
 def configure_socket(sock: socket.socket) -> socket.socket:
-    """Lines are short and wanted at once."""
+    """Make the socket non-blocking and send each line without delay (no Nagle algorithm)."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def connect(
-    actor: Actor, sock: socket.socket, address: tuple[str, int], until: float
+    actor: Actor, sock: socket.socket, address: tuple[str, int], deadline: float
 ) -> Generator[Wait, int, bool]:
-    """Connect without blocking; False where mail came or the time ran out first, OSError where it failed."""
+    """Connect without blocking.
+
+    Returns False if a message arrived or the deadline passed first; raises OSError if the connect failed.
+    """
     with contextlib.suppress(BlockingIOError):
         sock.connect(address)
-    woke = yield Wait(sock, write=True, until=until)
+    wake_flags = yield Wait(sock, write=True, until=deadline)
     error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if error:
         raise OSError(error, "connect")
-    return bool(woke & WRITABLE) and not actor.mailbox
+    return bool(wake_flags & WRITABLE) and not actor.mailbox
--- a/snowwick/net/signals.py
+++ b/snowwick/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals as bytes in a socket: none that comes early may end the program or be lost."""
+"""Receives signals as bytes on a socket, so that an early signal neither ends the program nor is lost."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 class SignalSockets:
-    """SIGTERM, SIGINT and SIGHUP are written to ``inner`` from now on; imports little, to be first."""
+    """Makes SIGTERM, SIGINT and SIGHUP readable from ``read_end``.
+
+    The module imports little, so that signals are caught before the rest of the program is loaded.
+    """
 
     def __init__(self) -> None:
         self.read_end, self.write_end = socket.socketpair()
--- a/snowwick/net/timers.py
+++ b/snowwick/net/timers.py
@@ -1,11 +1,11 @@
-"""One timer for each wait, whose setting, cancelling and firing cost the same however many waits stand.
-
-The library's scheduler searches and sorts its whole queue to cancel one event, and nearly every wait of a
-connection ends by a line, not by its time.  So the library holds one event for each slot of time in which
-anything is due, and the waits of that slot stand in a table: cancelling takes one of them out.  A slot is a
-millisecond, which is what epoll can wait for, so nothing becomes later than it was; for what is far off it is
-wider, as in the wheels of kernels: such waits are for silence, which the protocol bounds by seconds, they are
-rarely used up, and each slot that was emptied still wakes the loop once.
+"""Timers whose cost to set, cancel and fire does not depend on how many are set.
+
+``sched.scheduler`` searches and sorts its whole queue to cancel one event, and nearly every wait of a
+connection ends with a line rather than its timeout.  Therefore the scheduler holds one event per time slot,
+and a table holds the waiters of each slot, from which a cancelled one is removed.  A slot is a millisecond,
+the resolution of epoll, so no timer fires later than it otherwise would.  Slots far in the future are wider,
+as in the timer wheels of kernels: such waits detect silence, which the protocol limits in seconds, they
+rarely expire, and each slot that became empty still wakes the loop once.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-SLOTS_PER_S = 1000.0  # a second
-FAR_WAIT_S, FAR_WAIT_SLOTS = 2.0, 50  # s from which a wait may end late by a slot of so many
-EARLY_TOLERANCE_SLOTS = 0.001  # of a slot by which a wait may fire early: products of floats are not whole
+SLOTS_PER_S = 1000.0
+FAR_WAIT_S = 2.0  # longer waits use wide slots
+FAR_WAIT_SLOTS = 50  # slots that form a wide one
+EARLY_TOLERANCE_SLOTS = 0.001  # a wait may fire early by this fraction, because of float rounding
 
 T = TypeVar("T")
 
 
 class Timers(Generic[T]):
-    """Waits by the time at which they end, in seconds on the given clock."""
+    """Calls ``on_expired`` with each waiter whose deadline, in seconds on the given clock, has passed."""
 
     def __init__(self, clock: Callable[[], float], on_expired: Callable[[T], None]) -> None:
         self.clock, self.on_expired = clock, on_expired
@@ -31,7 +32,7 @@
         self.slots: dict[int, dict[T, None]] = {}
 
     def set(self, deadline: float, waiter: T) -> int:
-        """Returns the number by which ``cancel`` finds it; each ``who`` once at a time."""
+        """Set a waiter's timer, one at a time per waiter; returns the slot that ``cancel`` needs."""
         slot = math.ceil(deadline * SLOTS_PER_S - EARLY_TOLERANCE_SLOTS)
         if deadline - self.clock() > FAR_WAIT_S:
             slot += -slot % FAR_WAIT_SLOTS
@@ -43,11 +44,11 @@
         return slot
 
     def cancel(self, slot: int, waiter: T) -> None:
-        """The slot's event stays until its time."""
+        """Cancel a waiter's timer; the event of its slot remains in the scheduler."""
         del self.slots[slot][waiter]
 
     def run(self) -> float | None:
-        """Fire what is due; returns the seconds until the next slot, if there is one."""
+        """Fire expired timers; returns the seconds until the next slot, or None if no slot is left."""
         return self.scheduler.run(blocking=False)
 
     def _fire_slot(self, slot: int) -> None:
