--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -1,7 +1,10 @@
-"""The actor that carries a fleet node: its socket, its clock, what this balancer tells and what it heeds.
+"""The fleet link: the actor that runs a fleet node on a UDP socket and connects it with the balancer.
 
-Loaded only where a fleet file is given.  Frames are datagrams, so that a slow or stopped member holds up
-nobody: what the socket does not take at once is lost, and comparison brings it later."""
+It publishes the balancer's health verdicts, list, loads, lease requests and revisions as registers, and
+applies those of the other members.  Loaded only where a fleet file is given.  UDP keeps a slow or stopped
+member from delaying others: a datagram that the socket does not accept at once is lost, and anti-entropy
+repairs the loss.
+"""
 
 from __future__ import annotations
 
@@ -29,18 +32,19 @@
     from snowwick.net.contracts import ContractStage
     from snowwick.net.host import FleetHost
 
-# Datagrams taken a turn; after as many the socket rests, so that a flood of frames that prove to be
+# After this many datagrams in one turn of the loop the socket is not read for a pause, which limits what a
+# flood of invalid datagrams costs
 DATAGRAMS_PER_TURN = 16
-READ_PAUSE_S = 0.005  # nothing costs little: s of rest
-MAX_READ_BYTES = 2048  # bytes read of a datagram; what is longer than a frame is dropped anyway
-RECEIVE_BUFFER_BYTES = 1 << 20  # bytes of the socket's buffer: a snapshot's pieces come in bursts
-SHARE_INTERVAL_S = 0.25  # s between looks at what there is to tell and to heed
-DROP_LOG_INTERVAL_S = 10.0  # s between lines on what was dropped
+READ_PAUSE_S = 0.005
+MAX_READ_BYTES = 2048  # of one datagram; frames are shorter, and longer datagrams are dropped in any case
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket; the replies of a full transfer come in bursts
+SHARE_INTERVAL_S = 0.25  # between updates of the own registers, which also apply those of other members
+DROP_LOG_INTERVAL_S = 10.0  # between log lines about dropped frames
 FAILED_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
 
 
 class FleetLink(Actor):
-    """This balancer's place in the fleet."""
+    """Connects this balancer with the fleet."""
 
     restart_after_fault = True
 
@@ -52,10 +56,10 @@
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.sock.bind(parse_address(file.links.listen))
-        host, port = self.sock.getsockname()
+        bound_host, bound_port = self.sock.getsockname()
         self.node = Node(
             name,
-            file.links.address or f"{host}:{port}",
+            file.links.address or f"{bound_host}:{bound_port}",
             file.keys,
             file.links.seeds,
             rng,
@@ -67,27 +71,28 @@
             RegisterView(self.node.store, self.node.members),
             HealthTracker(name),
         )
-        self.published_verdicts: dict[
-            int, tuple[int, float]
-        ] = {}  # own words on destinations, and when they were written
-        self.leaving: frozenset[int] = frozenset()  # told by others to be leaving, and heeded
+        # The verdicts in the own health registers, and when they were made
+        self.published_verdicts: dict[int, tuple[int, float]] = {}
+        self.leaving: frozenset[int] = frozenset()  # destinations drained here by other members' newer lists
         self.next_share = self.next_drop_log = 0.0
-        self.logged_drops = 0
-        self.has_left = False  # left the fleet; this balancer serves alone
-        self.differing_members: frozenset[str] = frozenset()
+        self.logged_drops = 0  # frames dropped up to the last log line
+        self.has_left = False  # has left the fleet; the balancer serves on its own
+        self.differing_members: frozenset[str] = frozenset()  # members with another revision
         self.leases: Leases | None = None
-        self.contracts: Contracts | None = None  # whose revision is told
+        self.contracts: Contracts | None = None  # the contracts that ``revision`` describes
         self.revision, self.revision_parts = Revision(file.digest), 0
         self.next_rights = 0.0
         self.budget_usage: dict[str, float] = {}
 
     @staticmethod
     def wall_ms() -> float:
+        """Unix time in ms."""
         return 1000.0 * time.time()
 
     # -- the loop ----------------------------------------------------------------------------------------
 
     def run(self) -> Coroutine:
+        """Run the node until the balancer leaves the fleet."""
         self.log.event(
             "fleet",
             "fleet: {name} at {address}, epoch {epoch}",
@@ -95,7 +100,7 @@
             address=self.node.members.local.address,
             epoch=self.node.members.local.incarnation,
         )
-        rest = 0.0
+        read_paused_until = 0.0
         try:
             while not self.has_left:
                 now = self.loop.clock()
@@ -106,58 +111,62 @@
                 self.send_datagrams()
                 self.handle_events()
                 until = max(now, min(self.node.next_due(), self.next_share))
-                resting = now < rest
-                yield Wait(self.sock, read=not resting, until=min(until, rest) if resting else until)
+                paused = now < read_paused_until
+                yield Wait(
+                    self.sock, read=not paused, until=min(until, read_paused_until) if paused else until
+                )
                 self.mailbox.clear()
-                if self.loop.clock() >= rest and self.read_datagrams():
-                    rest = self.loop.clock() + READ_PAUSE_S
+                if self.loop.clock() >= read_paused_until and self.read_datagrams():
+                    read_paused_until = self.loop.clock() + READ_PAUSE_S
         finally:
             self.loop.unregister(self)
-            if self.has_left:  # after a fault it begins again, on the same socket
+            if self.has_left:  # after a fault the actor restarts on the same socket
                 self.sock.close()
 
     def read_datagrams(self) -> bool:
-        """Take what has come; True where there may be more."""
+        """Process the datagrams that have arrived; True where there may be more."""
         now = self.loop.clock()
         for _ in range(DATAGRAMS_PER_TURN):
             try:
                 datagram, source = self.sock.recvfrom(MAX_READ_BYTES)
-            except OSError:  # nothing there, or word of a datagram that found nobody
+            except OSError:  # no datagram, or the error report of one that was not delivered
                 return False
             self.node.receive(datagram, now, f"{source[0]}:{source[1]}")
         return True
 
     def send_datagrams(self) -> None:
+        """Send what the node has queued."""
         routes = self.file.links.routes
         for address, datagram in self.node.take_datagrams():
-            # Lost is what the socket does not take; an address that a member made up must end nothing.
+            # A datagram that the socket does not accept is lost; invalid addresses of members are ignored
             with contextlib.suppress(OSError, ValueError):
                 host, port = parse_address(routes.get(address, address))
-                socket.inet_aton(host)  # a name would be looked up, and the loop would wait for it
+                socket.inet_aton(host)  # rejects host names, as a look-up would block the loop
                 self.sock.sendto(datagram, (host, port))
 
     def handle_events(self) -> None:
-        for news in self.node.take_events():
-            if isinstance(news, MemberChange):
-                one = news.member
+        """Log the node's events and the dropped frames; leave the fleet where the name is in use."""
+        for event in self.node.take_events():
+            if isinstance(event, MemberChange):
+                member = event.member
                 self.log.event(
                     "fleet-member",
                     "fleet: {member} is {state} (incarnation {incarnation})",
-                    member=one.name,
-                    state=STATE_NAMES[one.state],
-                    incarnation=one.incarnation,
+                    member=member.name,
+                    state=STATE_NAMES[member.state],
+                    incarnation=member.incarnation,
                 )
-            elif isinstance(news, CaughtUp):
+            elif isinstance(event, CaughtUp):
                 self.log.event(
-                    "fleet-caught-up", "fleet: caught up after {seconds} s", seconds=round(news.after_s, 2)
+                    "fleet-caught-up", "fleet: caught up after {seconds} s", seconds=round(event.after_s, 2)
                 )
-            elif isinstance(news, DuplicateName):
+            elif isinstance(event, DuplicateName):
                 self.log.event(
                     "fleet-twin",
-                    "fleet: {name} is at {address} already and started before; "
+                    "fleet: a process at {address} has the name {name} and started before; "
                     "leaving the fleet, serving alone",
                     name=self.node.name,
-                    address=news.address,
+                    address=event.address,
                 )
                 self.leave_without_notice()
         dropped = sum(self.node.counts.dropped.values())
@@ -173,28 +182,29 @@
             self.logged_drops = dropped
 
     def leave(self) -> None:
-        """The balancer ends: the others need not find out."""
+        """Announce to the other members that this balancer ends."""
         if not self.has_left:
             self.node.leave(self.loop.clock())
             self.send_datagrams()
 
     def leave_without_notice(self) -> None:
-        """Alone from here on: nothing more is heard, told or heeded."""
+        """Leave the fleet at once; from here on nothing is received, published or applied."""
         self.has_left = True
         self.node.store.owners = {self.node.name: self.node.store.owners[self.node.name]}
         self.node.members.records.clear()
 
     def apply_file(self, file: FleetFile) -> None:
-        """Another file: keys and what is shared change at once, the links at the next start."""
+        """Apply a reloaded fleet file; keys and ``share`` change at once, ``links`` at the next start."""
         if file.links != self.file.links:
             self.log.event(
                 "reload-waits", "reload: {keys} changed, but only at the next start", keys="fleet links"
             )
         self.file, self.node.keys = file, list(file.keys)
 
-    # -- what is told ------------------------------------------------------------------------------------
+    # -- publishing --------------------------------------------------------------------------------------
 
     def share_state(self, now: float) -> None:
+        """Publish what the fleet file says and apply what other members published."""
         share, pool = self.file.share, self.host.pool_config
         if share.health:
             self._share_health(now, len(pool.addresses))
@@ -206,74 +216,97 @@
         if share.rights and self.host.contract_stage is not None:
             self._share_rights(now, self.host.contract_stage)
 
-    def _write_register(self, kind: int, key: str, value: object, now: float, left: float = 0.0) -> None:
+    def _write_register(
+        self, kind: int, key: str, value: object, now: float, remaining_s: float = 0.0
+    ) -> None:
+        """Set an own register, or remove it where ``value`` is None."""
         data = None if value is None else registers.pack(value)
-        with contextlib.suppress(ValueError):  # a value that no frame holds is not told
-            self.node.write(kind, key, data, now, left)
+        with contextlib.suppress(ValueError):  # a value that is too long for a frame is not published
+            self.node.write(kind, key, data, now, remaining_s)
 
-    def _share_health(self, now: float, known: int) -> None:
+    def _share_health(self, now: float, destination_count: int) -> None:
+        """Publish own verdicts and tell the balancer which destinations to avoid."""
         health = self.health
-        for destination, heard in self.host.last_answer_times():
-            watched = health.destinations.setdefault(destination, registers.DestinationHealth())
-            watched.last_served = max(watched.last_served, heard)
+        for destination, answered_at in self.host.last_answer_times():
+            destination_health = health.destinations.setdefault(destination, registers.DestinationHealth())
+            destination_health.last_served = max(destination_health.last_served, answered_at)
         health.forget(self.host.pool_config.addresses.__contains__)
-        verdicts = self.register_view.verdicts(known, now)
-        words = health.verdicts_to_publish(verdicts, now)
-        for destination, word in words.items():
-            at = health.own_verdicts[destination][1] if destination in health.own_verdicts else now
-            old = self.published_verdicts.get(destination)
-            # Said anew where it is another word, or seen anew; a word that stands is not repeated each look.
-            if old is None or old[0] != word or at - old[1] >= 0.5 * registers.VERDICT_LIFETIME_S:
-                self.published_verdicts[destination] = word, at
+        verdicts = self.register_view.verdicts(destination_count, now)
+        to_publish = health.verdicts_to_publish(verdicts, now)
+        for destination, verdict in to_publish.items():
+            made_at = health.own_verdicts[destination][1] if destination in health.own_verdicts else now
+            published = self.published_verdicts.get(destination)
+            # Written again only where the verdict is another one or was made anew, not at every update
+            if (
+                published is None
+                or published[0] != verdict
+                or made_at - published[1] >= 0.5 * registers.VERDICT_LIFETIME_S
+            ):
+                self.published_verdicts[destination] = verdict, made_at
                 self._write_register(
-                    registers.HEALTH, str(destination), word, now, registers.VERDICT_LIFETIME_S
+                    registers.HEALTH, str(destination), verdict, now, registers.VERDICT_LIFETIME_S
                 )
-        for destination in [one for one in self.published_verdicts if one not in words]:
+        for destination in [known for known in self.published_verdicts if known not in to_publish]:
             del self.published_verdicts[destination]
             self._write_register(registers.HEALTH, str(destination), None, now)
         for destination in health.update_avoided(verdicts, now):
             self.host.report_silent(DestinationSilent(destination))
 
     def _share_list(self, now: float) -> None:
-        pool, source = self.host.pool_config, self.file.share.discovery
-        leaving = [one for one, entry in pool.entries.items() if entry.state is not i.State.READY]
+        """Publish discovery's list, and drain destinations that a newer list of another member drains."""
+        pool = self.host.pool_config
+        source = self.file.share.discovery
+        leaving = [
+            destination for destination, entry in pool.entries.items() if entry.state is not i.State.READY
+        ]
         self._write_register(
             registers.LIST, "", DiscoveryState(source, pool.version, leaving[-registers.MAX_LEAVING :]), now
         )
-        told = self.register_view.leaving(source, pool.version, now)
-        # Only what this balancer's own list has named is of interest, and nothing is sent on others' word.
-        heed = {one for one in told if one in pool.entries and pool.entries[one].state is i.State.READY}
-        fresh = heed - self.leaving
-        if fresh:
+        reported = self.register_view.leaving(source, pool.version, now)
+        # Only destinations in this balancer's own list matter; another member's list adds no destination
+        drained = {
+            destination
+            for destination in reported
+            if destination in pool.entries and pool.entries[destination].state is i.State.READY
+        }
+        added = drained - self.leaving
+        if added:
             self.log.event(
                 "fleet-leaving",
-                "fleet: {count} destinations leave by a newer list than ours, {version}",
-                count=len(fresh),
+                "fleet: {count} destinations have to be left: another balancer has a newer list than "
+                "version {version}",
+                count=len(added),
                 version=pool.version,
             )
             self.host.apply_pool_news(
-                PoolUpdate(i.ListKind.CHANGES, [_as_draining(pool.entries[one]) for one in sorted(fresh)])
+                PoolUpdate(
+                    i.ListKind.CHANGES,
+                    [_as_draining(pool.entries[destination]) for destination in sorted(added)],
+                )
             )
-        back = [
-            one
-            for one in sorted(self.leaving - heed)
-            if one in pool.entries and pool.entries[one].state is i.State.READY
+        restored = [
+            destination
+            for destination in sorted(self.leaving - drained)
+            if destination in pool.entries and pool.entries[destination].state is i.State.READY
         ]
-        if back:  # the newer list was taken back, as after a restore
-            self.host.apply_pool_news(PoolUpdate(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
-        self.leaving = frozenset(heed)
+        if restored:  # the newer list was withdrawn, for example when discovery was restored from a backup
+            self.host.apply_pool_news(
+                PoolUpdate(i.ListKind.CHANGES, [pool.entries[destination] for destination in restored])
+            )
+        self.leaving = frozenset(drained)
 
     def _share_load(self, now: float) -> None:
+        """Publish this balancer's connections at each destination."""
         chunks: dict[int, dict[int, int]] = defaultdict(dict)
-        for pool in self.host.connection_counts():
-            for destination, held in pool.items():
+        for pool_counts in self.host.connection_counts():
+            for destination, count in pool_counts.items():
                 counts = chunks[registers.load_chunk(destination)]
-                counts[destination] = counts.get(destination, 0) + held
+                counts[destination] = counts.get(destination, 0) + count
         for chunk in range(registers.LOAD_CHUNKS):
             self._write_register(registers.LOAD, str(chunk), chunks.get(chunk), now)
 
     def _share_rights(self, now: float, stage: ContractStage) -> None:
-        """Move the contracts' budgets to where they are asked for; without a fleet each keeps its part."""
+        """Request and grant leases, so that rights move to the balancers that need them."""
         if self.leases is None:
             self.leases = Leases(self.node.name, stage.budgets(), now)
         leases, epoch = self.leases, self.node.store.owners[self.node.name].epoch
@@ -286,26 +319,31 @@
             for key, amount in wanted.items():
                 leases.budgets[key].record_demand(amount, now)
         boots = {
-            one.name: self.node.store.owners[one.name].epoch
-            for one in self.node.members.alive()
-            if one.name in self.node.store.owners
+            member.name: self.node.store.owners[member.name].epoch
+            for member in self.node.members.alive()
+            if member.name in self.node.store.owners
         }
-        asks, grants = self.register_view.requests_and_grants(now)
-        for lender, start, key, grant in grants:
+        requests, grants = self.register_view.requests_and_grants(now)
+        for lender, lender_epoch, key, grant in grants:
             if key in leases.budgets:
-                leases.budgets[key].receive_grant(lender, start, grant, epoch, now)
-        for key, ask in leases.requests_due(self.budget_usage, boots, now).items():
-            self._write_register(registers.RIGHTS, f"ask:{key}", ask, now)
-        for key, one in leases.budgets.items():
-            told = asks.get(key, {})
-            one.confirm_start(
-                {name: ask.holdings for name, (_, ask) in told.items()}, epoch, stage.balancers - 1
+                leases.budgets[key].receive_grant(lender, lender_epoch, grant, epoch, now)
+        for key, request in leases.requests_due(self.budget_usage, boots, now).items():
+            self._write_register(registers.RIGHTS, f"ask:{key}", request, now)
+        for key, budget in leases.budgets.items():
+            budget_requests = requests.get(key, {})
+            budget.confirm_start(
+                {name: request.holdings for name, (_, request) in budget_requests.items()},
+                epoch,
+                stage.balancers - 1,
             )
-            for to, grant in one.grant_requests(told, self.budget_usage.get(key, 0.0), now).items():
-                self._write_register(registers.RIGHTS, f"grant:{to}:{key}", grant, now)
+            for borrower, grant in budget.grant_requests(
+                budget_requests, self.budget_usage.get(key, 0.0), now
+            ).items():
+                self._write_register(registers.RIGHTS, f"grant:{borrower}:{key}", grant, now)
         stage.set_rights(leases.targets(now))
 
     def _share_revision(self, now: float) -> None:
+        """Publish the own revision, and apply the stricter limits of members with other contracts."""
         stage = self.host.contract_stage
         if stage is not None and stage.contracts is not self.contracts:
             from snowwick.broker.contract import contracts_digest, fleet_limits
@@ -314,50 +352,50 @@
             self.revision = Revision(
                 self.file.digest, contracts_digest(stage.contracts), fleet_limits(stage.contracts)
             )
-        mine = self.revision = Revision(
-            self.file.digest, self.revision.contracts_digest, self.revision.limits
-        )
-        rows = sorted(mine.limits.items())
+        own = self.revision = Revision(self.file.digest, self.revision.contracts_digest, self.revision.limits)
+        limits = sorted(own.limits.items())
         parts = [
-            dict(rows[at : at + registers.LIMITS_PER_REGISTER])
-            for at in range(0, len(rows), registers.LIMITS_PER_REGISTER)
+            dict(limits[start : start + registers.LIMITS_PER_REGISTER])
+            for start in range(0, len(limits), registers.LIMITS_PER_REGISTER)
         ] or [{}]
-        for n in range(max(len(parts), self.revision_parts)):
+        for number in range(max(len(parts), self.revision_parts)):
             self._write_register(
                 registers.REVISION,
-                f"{n:04}",
-                Revision(mine.fleet_digest, mine.contracts_digest, parts[n]) if n < len(parts) else None,
+                f"{number:04}",
+                Revision(own.fleet_digest, own.contracts_digest, parts[number])
+                if number < len(parts)
+                else None,
                 now,
             )
         self.revision_parts = len(parts)
         others = self.register_view.revisions(now)
-        differ = frozenset(
+        differing = frozenset(
             name
-            for name, one in others.items()
-            if (one.fleet_digest, one.contracts_digest) != (mine.fleet_digest, mine.contracts_digest)
+            for name, revision in others.items()
+            if (revision.fleet_digest, revision.contracts_digest) != (own.fleet_digest, own.contracts_digest)
         )
-        if differ - self.differing_members:
+        if differing - self.differing_members:
             self.log.event(
                 "fleet-revisions",
-                "fleet: {names} go by another fleet file or other contracts "
-                "than ours, {digest} {contracts}; of two limits the stricter holds",
-                names=", ".join(sorted(differ)),
-                digest=mine.fleet_digest,
-                contracts=mine.contracts_digest or "-",
+                "fleet: {names} use another fleet file or other contracts than this balancer, "
+                "{digest} {contracts}; the stricter limits apply",
+                names=", ".join(sorted(differing)),
+                digest=own.fleet_digest,
+                contracts=own.contracts_digest or "-",
             )
-        self.differing_members = differ
+        self.differing_members = differing
         if stage is not None:
-            least = registers.stricter_limits(mine, others)
+            lowest = registers.stricter_limits(own, others)
             stage.stricter_shares = {
-                key: limit / mine.limits[key] for key, limit in least.items() if mine.limits[key] > 0.0
+                key: limit / own.limits[key] for key, limit in lowest.items() if own.limits[key] > 0.0
             }
             if not self.file.share.rights:
-                stage.set_rights({key: part for key, (part, _) in stage.budgets().items()})
+                stage.set_rights({key: share for key, (share, _) in stage.budgets().items()})
 
-    # -- what is seen ------------------------------------------------------------------------------------
+    # -- observing ---------------------------------------------------------------------------------------
 
     def record_step(self, message: object) -> None:
-        """What a decider hears: how route steps end tells which destinations are bad."""
+        """Record from a decider's message whether a destination served a client or failed."""
         now = self.loop.clock()
         if isinstance(message, RouteStepEstablished):
             self.health.record_served(message.destination, now)
@@ -365,11 +403,12 @@
             self.health.record_failure(message.destination, message.outcome is Outcome.TIMEOUT, now)
 
     def record_silent(self, message: object) -> None:
-        """What the gauge has to tell."""
+        """Record a destination that the gauge reports as silent."""
         if isinstance(message, DestinationSilent):
             self.health.record_hanging(message.destination, self.loop.clock())
 
     def link_status(self) -> dict[str, Any]:
+        """The balancer's part of the status that ``snowwick fleet status`` prints."""
         now = self.loop.clock()
         return {
             "revision": self.file.digest,
@@ -379,10 +418,10 @@
             },
             "contracts": self.revision.contracts_digest,
             "revisions": {
-                name: " ".join(filter(None, (one.fleet_digest, one.contracts_digest)))
-                for name, one in self.register_view.revisions(now).items()
+                name: " ".join(filter(None, (revision.fleet_digest, revision.contracts_digest)))
+                for name, revision in self.register_view.revisions(now).items()
             },
-            "kept_away_from": [str(one) for one in self.health.avoided_until],
+            "kept_away_from": [str(destination) for destination in self.health.avoided_until],
             "rights": {
                 key: round(amount, 2)
                 for key, amount in (self.leases.targets(now) if self.leases is not None else {}).items()
@@ -393,16 +432,17 @@
 
 
 def _as_draining(entry: i.BackendEntry) -> i.BackendEntry:
+    """The entry of discovery's list with its state changed to draining."""
     return i.BackendEntry(
         entry.backend, i.State.DRAINING, entry.zone, entry.cell, entry.weight, entry.started
     )
 
 
-def call_both(tell: Callable[[Any], None], also: Callable[[Any], None]) -> Callable[[Any], None]:
-    """One that tells both."""
+def call_both(first: Callable[[Any], None], second: Callable[[Any], None]) -> Callable[[Any], None]:
+    """A function that passes a message to both functions in turn."""
 
     def both(message: Any) -> None:
-        tell(message)
-        also(message)
+        first(message)
+        second(message)
 
     return both
--- a/tests/test_fleet_net.py
+++ b/tests/test_fleet_net.py
@@ -73,7 +73,11 @@
         gone = fleet.nodes[0]
         fleet.discovery.put(gone.id, gone.address, "terminating")
         fresh = fleet.node("s-new")
-        fleet.until(lambda: all("leave by a newer list" in fleet.balancers[n].log for n in (1, 2)))
+        fleet.until(
+            lambda: all(
+                "another balancer has a newer list than version" in fleet.balancers[n].log for n in (1, 2)
+            )
+        )
         before = len(gone.opened)
         some = [fleet.ask(n, key=f"d{k}") for n in (1, 2) for k in range(6)]
         fleet.answered(*some)
