--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -25,9 +25,9 @@
 from snowwick.net import lines
 from snowwick.net.contracts import ContractStage
 from snowwick.net.decider import Decider
-from snowwick.net.desks import Desks
 from snowwick.net.loop import Loop
-from snowwick.net.path import Ask, ask_of
+from snowwick.net.path import Request, make_request
+from snowwick.net.pool_deciders import PoolDeciders
 
 BEFORE = "52cd155a84a0"  # the last commit without contracts, for the memory of a program without them
 WITHIN = 3.0  # s: the stated reclaim time
@@ -82,7 +82,7 @@
             crowd.tally = Tally(up=crowd.tally.up)
         end = loop.clock() + seconds
         while (now := loop.clock()) < end:
-            loop.turn(0.05)
+            loop.run_once(0.05)
             for crowd, _ in crowds:
                 crowd.tally.standing += crowd.tally.up * (loop.clock() - now) / seconds
         found[name] = {crowd.tenant: crowd.tally for crowd, _ in crowds}
@@ -153,23 +153,23 @@
             {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings(["t0"], 600.0)}
         )
         loop = Loop(Log(sink=io.StringIO()), lambda: self.now)
-        desks = Desks(
+        pool_deciders = PoolDeciders(
             lambda *_: Decider(loop, config.settings, 1, lambda: 0.0, lambda: None, lambda *_: None),
             lambda _: config.settings,
             dict,
         )
-        self.stage = ContractStage(loop, many_teams(count), desks, 1, 0, 1, 600.0, lambda: 300.0)
-        self.stage.desks.split = None  # every pool counts as having destinations
+        self.stage = ContractStage(loop, many_teams(count), pool_deciders, 1, 0, 1, 600.0, lambda: 300.0)
+        self.stage.pool_deciders.assignment = None  # every pool counts as having destinations
         self.openings = [
             lines.parse_opening(b"OPEN 1 k%d c=feed,t=t%d,d=1200,g=g\r\n" % (n, n * 7919 % count))
             for n in range(20000)
         ]
-        self.standing: deque[Ask] = deque()
+        self.standing: deque[Request] = deque()
 
     def run(self, requests: int) -> float:
         """us of CPU a request, its connection's end in it."""
         stage, client = self.stage, Nobody()
-        asks = [ask_of(client, self.openings[(self.asked + n) % 20000], True) for n in range(requests)]
+        asks = [make_request(client, self.openings[(self.asked + n) % 20000], True) for n in range(requests)]
         step = 1.0 / (4.5 * self.count)
         gc.collect()
         gc.freeze()  # the collector's walks over the benchmark's own lists are no cost of the stage
@@ -177,10 +177,10 @@
         for ask in asks:
             self.now += step
             if stage.enter(ask) is None:
-                stage.stands(ask)
+                stage.on_established(ask)
                 self.standing.append(ask)
                 if len(self.standing) > 12 * self.count:
-                    stage.over(self.standing.popleft())
+                    stage.on_ended(self.standing.popleft())
         took = time.process_time() - began
         self.asked += requests
         return 1e6 * took / requests
--- a/snowwick/config.py
+++ b/snowwick/config.py
@@ -11,13 +11,16 @@
 from pathlib import Path
 from typing import Any
 
-from crowgap.benchlink import load_at, settings_from
+from crowgap.benchlink import load_field_index, settings_from
 from crowgap.interface import Settings
 from snowwick.net.pool import parse_address
 
 SOCKETS = 1024
 MESSAGE_AIM_MS = 100.0
-LIVE = ("discovery", "known")  # reread on SIGHUP; `known` only matters at a start, so it is never "changed"
+RELOADABLE_FIELDS = (
+    "discovery",
+    "known",
+)  # reread on SIGHUP; `known` only matters at a start, so it is never "changed"
 
 
 class BadConfig(Exception):
@@ -141,7 +144,7 @@
 
 
 def _load_field(setup: dict[str, Any]) -> str:
-    at = load_at(setup)
+    at = load_field_index(setup)
     return "" if at is None else str(setup["report"]["fields"][at])
 
 
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/hollow.py
@@ -32,12 +32,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-from snowwick.fleet import facts
-from snowwick.fleet.clock import ms_of
-from snowwick.fleet.facts import Listed, Revision, View
+from snowwick.fleet import registers
+from snowwick.fleet.clock import timestamp_ms
 from snowwick.fleet.file import FleetFile, Links, Share
-from snowwick.fleet.members import DEAD, Change
+from snowwick.fleet.members import DEAD, MemberChange
 from snowwick.fleet.node import CaughtUp, DuplicateName
+from snowwick.fleet.registers import DiscoveryState, RegisterView, Revision
 from snowwick.fleet.store import Store
 from snowwick.fleet.wire import Entry
 from snowwick.lab.workload import (
@@ -52,9 +52,9 @@
     schedule,
 )
 from snowwick.log import Log
-from snowwick.net.decider import PoolNews, Silent
+from snowwick.net.decider import DestinationSilent, PoolUpdate
 from snowwick.net.fleet import FleetLink
-from snowwick.net.loop import Actor, Loop, Steps, Wait
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.pool import PoolConfig
 
 LONGEST_MS = 3_600_000  # that a histogram holds
@@ -69,16 +69,16 @@
     def __init__(self, loop: Loop) -> None:
         self.loop, self.pool_config = loop, PoolConfig(lambda _: None)
 
-    def served(self) -> Iterable[tuple[int, float]]:
+    def last_answer_times(self) -> Iterable[tuple[int, float]]:
         return ()
 
-    def held(self) -> Iterable[Mapping[int, int]]:
+    def connection_counts(self) -> Iterable[Mapping[int, int]]:
         return ()
 
-    def hear(self, message: Silent) -> None:
+    def report_silent(self, message: DestinationSilent) -> None:
         """Nobody to tell."""
 
-    def news(self, news: PoolNews) -> None:
+    def apply_pool_news(self, news: PoolUpdate) -> None:
         """Nobody to tell."""
 
 
@@ -98,8 +98,8 @@
         super().__init__(name, epoch)
         self.process = process
 
-    def take(self, entry: Entry, now: float) -> bool:
-        news = super().take(entry, now)
+    def merge_entry(self, entry: Entry, now: float) -> bool:
+        news = super().merge_entry(entry, now)
         if news:
             self.process.arrived(entry)
         return news
@@ -112,26 +112,26 @@
         super().__init__(Empty(process.loop), file, name, rng)
         self.process = process
         self.node.store = WatchedStore(name, self.node.store.owners[name].epoch, process)
-        self.view = View(self.node.store, self.node.members)
+        self.register_view = RegisterView(self.node.store, self.node.members)
         self.node.seeds = []
         self.begun = False
         self.caught: float | None = None  # s from its start until it had what the others have
 
-    def share(self, now: float) -> None:
+    def share_state(self, now: float) -> None:
         """What a balancer tells of its files, once; the rest comes by the workload."""
         if not self.begun:
             self.begun = True
-            self._write(facts.REVISION, "0000", Revision(self.file.digest), now)
-            self._write(facts.LIST, "", Listed("hollow", 1, []), now)
+            self._write_register(registers.REVISION, "0000", Revision(self.file.digest), now)
+            self._write_register(registers.LIST, "", DiscoveryState("hollow", 1, []), now)
 
-    def hear_news(self) -> None:
-        for news in self.node.take_news():
-            if isinstance(news, Change) and news.member.state == DEAD:
+    def handle_events(self) -> None:
+        for news in self.node.take_events():
+            if isinstance(news, MemberChange) and news.member.state == DEAD:
                 self.process.deaths.add((news.member.name, news.member.incarnation))
             elif isinstance(news, CaughtUp):
-                self.caught = news.after
+                self.caught = news.after_s
             elif isinstance(news, DuplicateName):
-                self.end()
+                self.leave_without_notice()
 
     def write(self, kind: int, key: str, value: bytes | None, left: float = 0.0) -> None:
         self.node.write(kind, key, value, self.loop.clock(), left)
@@ -144,9 +144,9 @@
         super().__init__(process.loop)
         self.process, self.workload, self.first, self.began = process, workload, first, began
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         for event in schedule(self.workload):
-            yield from self.sleep(self.began + event.at)
+            yield from self.sleep_until(self.began + event.at)
             self.play(event)
 
     def link(self, member: int) -> HollowLink | None:
@@ -158,25 +158,30 @@
             member = self.first + event.member % (w.members - self.first)
             link = self.link(member)
             if link is not None:
-                link.write(facts.REVISION, change_key(w, event.number), change_value(w, event.number))
+                link.write(registers.REVISION, change_key(w, event.number), change_value(w, event.number))
                 self.process.changes.append(
-                    (link.node.name, link.node.store.owners[link.node.name].complete, time.time())
+                    (link.node.name, link.node.store.owners[link.node.name].complete_seq, time.time())
                 )
         elif event.kind is Kind.RIGHTS:
             lender = self.link(event.other)
             if link is not None:
-                link.write(facts.RIGHTS, "ask:scale", ask_value(w, event, f"m{event.other}", 1))
+                link.write(registers.RIGHTS, "ask:scale", ask_value(w, event, f"m{event.other}", 1))
             if lender is not None:
-                lender.write(facts.RIGHTS, f"grant:m{event.member}:scale", grant_value(event, 1))
+                lender.write(registers.RIGHTS, f"grant:m{event.member}:scale", grant_value(event, 1))
         elif link is None:
             return
         elif event.kind is Kind.LOAD:
-            value = facts.pack(load_value(w, event.member, event.number, event.at))
-            link.write(facts.LOAD, str(event.number), value)
+            value = registers.pack(load_value(w, event.member, event.number, event.at))
+            link.write(registers.LOAD, str(event.number), value)
         elif event.kind is Kind.VERDICT:
-            link.write(facts.HEALTH, str(event.number), facts.pack(facts.HANGING), facts.SAID)
+            link.write(
+                registers.HEALTH,
+                str(event.number),
+                registers.pack(registers.HANGING),
+                registers.VERDICT_LIFETIME_S,
+            )
         elif event.kind is Kind.TAKEN_BACK:
-            link.write(facts.HEALTH, str(event.number), None)
+            link.write(registers.HEALTH, str(event.number), None)
 
 
 class Starter(Actor):
@@ -186,10 +191,10 @@
         super().__init__(process.loop)
         self.process, self.apart = process, apart
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         for link in self.process.links.values():
             link.start()
-            yield from self.sleep(self.loop.clock() + self.apart)
+            yield from self.sleep_until(self.loop.clock() + self.apart)
 
 
 class Looker(Actor):
@@ -199,13 +204,13 @@
         super().__init__(process.loop)
         self.process = process
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         while True:
-            yield from self.sleep(self.loop.clock() + LOOK)
+            yield from self.sleep_until(self.loop.clock() + LOOK)
             link, wall = next(iter(self.process.links.values())), 1000.0 * time.time()
-            for held in link.node.store.standing(facts.LOAD):
+            for held in link.node.store.live_entries(registers.LOAD):
                 if held.entry.owner != link.node.name:
-                    age = int(wall - ms_of(held.entry.stamp))
+                    age = int(wall - timestamp_ms(held.entry.timestamp))
                     self.process.ages.record_value(min(LONGEST_MS, max(1, age)))
 
 
@@ -224,7 +229,7 @@
         self.deaths: set[tuple[str, int]] = set()  # who was found dead by any, and under which incarnation
         self.ages = HdrHistogram(1, LONGEST_MS, 3)
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         self.sock.setblocking(False)
         try:
             while True:
@@ -246,11 +251,13 @@
 
     def arrived(self, entry: Entry) -> None:
         """A change of configuration of any member, or a load of a real one."""
-        if (entry.kind == facts.REVISION and entry.key != "0000") or (
-            entry.kind == facts.LOAD and entry.owner in self.real
+        if (entry.kind == registers.REVISION and entry.key != "0000") or (
+            entry.kind == registers.LOAD and entry.owner in self.real
         ):
             now = time.time()
-            one = self.arrivals.setdefault((entry.owner, entry.seq), Arrivals(ms_of(entry.stamp), now))
+            one = self.arrivals.setdefault(
+                (entry.owner, entry.seq), Arrivals(timestamp_ms(entry.timestamp), now)
+            )
             one.last, one.members = now, one.members + 1
 
     # -- orders ------------------------------------------------------------------------------------------
@@ -265,7 +272,7 @@
         for n in range(first, first + count):
             self.links[f"m{n}"] = HollowLink(self, file, f"m{n}", random.Random(f"hollow{n}{time.time_ns()}"))
         return {
-            "addresses": {name: link.node.members.me.address for name, link in self.links.items()},
+            "addresses": {name: link.node.members.local.address for name, link in self.links.items()},
             "memory": anonymous(os.getpid()),
         }
 
@@ -291,14 +298,14 @@
 
     def on_write(self, member: str, key: str, text: str) -> dict[str, Any]:
         """A change of configuration, now."""
-        self.links[member].write(facts.REVISION, key, facts.pack(Revision(text)))
+        self.links[member].write(registers.REVISION, key, registers.pack(Revision(text)))
         return {"at": time.time()}
 
     def on_agree(self) -> dict[str, Any]:
         """How many members each sees alive, itself too, and what each holds, as a hash."""
         return {
             "alive": {name: 1 + len(link.node.members.alive()) for name, link in self.links.items()},
-            "roots": {name: link.node.store.root() for name, link in self.links.items()},
+            "roots": {name: link.node.store.root_hash() for name, link in self.links.items()},
             "caught": {name: link.caught for name, link in self.links.items()},
         }
 
@@ -308,9 +315,9 @@
         record, owner = node.members.records.get(of), node.store.owners.get(of)
         texts = {}
         for (kind, key), held in owner.entries.items() if owner is not None else ():
-            if kind == facts.REVISION and held.entry.value is not None:
-                revision = facts.unpack(held.entry.value, Revision)
-                texts[key] = revision.fleet if revision is not None else ""
+            if kind == registers.REVISION and held.entry.value is not None:
+                revision = registers.unpack(held.entry.value, Revision)
+                texts[key] = revision.fleet_digest if revision is not None else ""
         return {
             "state": record.state if record is not None else None,
             "texts": texts,
--- /dev/null
+++ b/snowwick/net/delay_monitor.py
@@ -0,0 +1,179 @@
+"""Measures the message delay of each destination.
+
+The wire protocol reports no delays, so this module times the lines of connections to detect slow and
+unresponsive destinations.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from itertools import takewhile
+
+from snowwick.net.decider import Client, DestinationSilent, MessageDelay
+from snowwick.net.loop import Actor, Coroutine, Loop, Wait
+
+REPORT_INTERVAL_S = 1.0  # between reports on one destination; also how long an answered line counts
+SILENCE_CHECK_INTERVAL_S = 0.25  # short, so that a hang is reported well before the next delay report
+# Time without an answer after which a destination counts as silent
+SILENCE_S = 0.5  # if several connections are waiting for it
+SILENCE_SINGLE_S = 1.5  # if only one connection is waiting for it
+MAX_PENDING_LINES = 1024  # unanswered lines of one connection that are timed
+
+
+class DestinationTiming:
+    """The timing of all connections to one destination.
+
+    It is updated with every line, so that a check costs time in proportion to the lines since the last check
+    and not to the number of open connections.
+    """
+
+    def __init__(self) -> None:
+        self.connections = 0
+        self.last_reply = 0.0  # s, on the loop's clock
+        # Connections that have sent since the last line came back, in the order of sending
+        self.awaiting_reply: dict[ConnectionTiming, None] = {}
+        # Connections that were answered within the report interval, the latest last
+        self.recently_answered: dict[ConnectionTiming, None] = {}
+
+
+@dataclass(slots=True, eq=False)
+class ConnectionTiming:
+    """The timing of the lines of one connection, in s on the loop's clock."""
+
+    client: Client
+    destination: int
+    destination_timing: DestinationTiming
+    pending: deque[float] = field(default_factory=deque)  # when each unanswered line was sent, oldest first
+    last_reply: float = 0.0
+    last_delay: float = 0.0
+
+    def record_sent(self, now: float, count: int) -> None:
+        # Bounded, since a client may send at full speed to a destination that answers nothing.
+        self.pending.extend([now] * min(count, MAX_PENDING_LINES - len(self.pending)))
+        self.destination_timing.awaiting_reply[self] = None
+
+    def record_reply(self, now: float) -> None:
+        self.last_reply = self.destination_timing.last_reply = now
+        self.destination_timing.awaiting_reply.clear()
+        if self.pending:
+            self.last_delay = now - self.pending.popleft()
+            self.destination_timing.recently_answered.pop(self, None)
+            self.destination_timing.recently_answered[self] = None
+
+
+def message_delay(timing: DestinationTiming, now: float) -> tuple[float, Client] | None:
+    """Return a destination's message delay in s and a client that observes it, or None if unknown.
+
+    This is the median delay of recently answered lines, unless a line has waited for longer and none was
+    answered since it was sent. Counted among the others, a hang would show only once half of them were old.
+    """
+    for connection in list(
+        takewhile(
+            lambda connection: now - connection.last_reply >= REPORT_INTERVAL_S, timing.recently_answered
+        )
+    ):
+        del timing.recently_answered[connection]
+    answered = sorted(
+        (connection.last_delay, n, connection) for n, connection in enumerate(timing.recently_answered)
+    )
+    unanswered = [
+        (now - connection.pending[0], -n, connection)
+        for n, connection in enumerate(timing.awaiting_reply)
+        if connection.pending and connection.pending[0] >= timing.last_reply
+    ]
+    candidates = [*answered[len(answered) // 2 :][:1], *unanswered]
+    if not candidates:
+        return None
+    delay, _, connection = max(candidates, key=lambda row: row[0])
+    return delay, connection.client
+
+
+def is_silent(timing: DestinationTiming, now: float) -> bool:
+    """Return whether lines are waiting at the destination and no connection was answered for too long."""
+    waiting = [connection.pending[0] for connection in timing.awaiting_reply if connection.pending]
+    return bool(waiting) and now - max(timing.last_reply, min(waiting)) >= (
+        SILENCE_S if len(waiting) > 1 else SILENCE_SINGLE_S
+    )
+
+
+class Gauge(Actor):
+    """Reports destinations whose message delay is high or that do not answer, once per second.
+
+    A destination that recovers is reported once more.
+    """
+
+    restart_after_fault = True
+
+    def __init__(
+        self, loop: Loop, report: Callable[[MessageDelay | DestinationSilent], None], shortest_aim_ms: float
+    ) -> None:
+        super().__init__(loop)
+        # Delays above a third of the shortest target delay are reported.
+        self.report, self.report_threshold_s = report, shortest_aim_ms / 3000.0
+        self.timings: dict[int, DestinationTiming] = {}
+        self.slow: set[int] = set()
+        self.silence_reported: dict[int, float] = {}  # silent destinations and when each was last reported
+
+    def add(self, client: Client, destination: int) -> ConnectionTiming:
+        timing = self.timings.setdefault(destination, DestinationTiming())
+        timing.connections += 1
+        timing.last_reply = self.loop.clock()
+        return ConnectionTiming(client, destination, timing, last_reply=timing.last_reply)
+
+    def remove(self, connection: ConnectionTiming) -> None:
+        """Remove a closed connection; does nothing for one that was never added."""
+        timing = connection.destination_timing
+        if timing is not self.timings.get(connection.destination):
+            return
+        timing.awaiting_reply.pop(connection, None)
+        timing.recently_answered.pop(connection, None)
+        timing.connections -= 1
+        if not timing.connections:
+            del self.timings[connection.destination]
+            self.slow.discard(connection.destination)
+            self.silence_reported.pop(connection.destination, None)
+
+    def run(self) -> Coroutine:
+        next_report = self.loop.clock() + REPORT_INTERVAL_S
+        while True:
+            next_check = self.loop.clock() + SILENCE_CHECK_INTERVAL_S
+            yield Wait(until=min(next_report, next_check))
+            self.report_silent()
+            if self.loop.clock() >= next_report:
+                next_report = max(next_report + REPORT_INTERVAL_S, self.loop.clock())
+                self.report_delays()
+
+    def report_silent(self) -> None:
+        """Report silent destinations.
+
+        If most destinations are silent, none is reported: probably this process was held up itself.
+        """
+        now = self.loop.clock()
+        silent = [number for number, timing in self.timings.items() if is_silent(timing, now)]
+        self.silence_reported = {
+            number: self.silence_reported.get(number, -REPORT_INTERVAL_S) for number in silent
+        }
+        for destination in silent:
+            if (
+                2 * len(silent) <= len(self.timings)
+                and now - self.silence_reported[destination] >= REPORT_INTERVAL_S
+            ):
+                self.silence_reported[destination] = now
+                self.report(DestinationSilent(destination))
+
+    def report_delays(self) -> None:
+        """Report the delay of each slow destination, and once that of one that is no longer slow."""
+        now = self.loop.clock()
+        for destination, timing in self.timings.items():
+            found = message_delay(timing, now)
+            if found is None:
+                continue
+            delay, client = found
+            if delay > self.report_threshold_s or destination in self.slow:
+                self.report(MessageDelay(client, destination, 1000.0 * delay))
+            if delay > self.report_threshold_s:
+                self.slow.add(destination)
+            else:
+                self.slow.discard(destination)
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -1,4 +1,4 @@
-"""One connection to a destination: the route step that sets it up, then its side of the relay."""
+"""The destination's side of a connection: the route step that sets it up, then the relay of its lines."""
 
 from __future__ import annotations
 
@@ -8,32 +8,34 @@
 from dataclasses import dataclass
 
 from snowwick.net import lines
-from snowwick.net.decider import Load, MoveAway, Outcome
-from snowwick.net.gauge import Answers, Gauge, Meter
+from snowwick.net.decider import LoadReport, MoveAway, Outcome
+from snowwick.net.delay_monitor import ConnectionTiming, DestinationTiming, Gauge
 from snowwick.net.lines import Reply
-from snowwick.net.loop import READ, TIME, Loop, Steps, Wait
-from snowwick.net.peer import End, LinePeer, Lines, connect, prepare
+from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
+from snowwick.net.peer import LinePeer, PeerEnded, RelayedLines, configure_socket, connect
 
-SILENT = 5.5  # s without a line back after which a client is moved: the protocol allows seven
-UNANSWERED = 3.0  # s that a line must have waited before silence counts
-ENDINGS = {Reply.BYE: Outcome.OK, Reply.MOVE: Outcome.CANCELLED}  # of what stands, by its last line
-ANSWERS = {**ENDINGS, Reply.BUSY: Outcome.FULL}
+SILENCE_TIMEOUT_S = 5.5  # without a line back, the client is moved after this time; the protocol allows 7 s
+MIN_UNANSWERED_S = 3.0  # silence counts only once a line has been unanswered for this long
+# Outcome of an established connection by the last line from the destination
+OUTCOME_BY_LAST_LINE = {Reply.BYE: Outcome.OK, Reply.MOVE: Outcome.CANCELLED}
+# Outcome of a route step by the destination's answer to the opening line
+OUTCOME_BY_ANSWER = {**OUTCOME_BY_LAST_LINE, Reply.BUSY: Outcome.FULL}
 
 
 @dataclass(slots=True)
-class Up:
-    """To the front: the connection stands; ``line`` is what the destination said."""
+class ConnectionEstablished:
+    """To the front: the connection is established; ``line`` is the destination's UP line."""
 
     line: bytes
-    elapsed: float
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
-class Over:
-    """To the front: the route step, or the connection it became, has ended at the destination."""
+class ConnectionEnded:
+    """To the front: the route step, or the connection established by it, has ended."""
 
     outcome: Outcome
-    elapsed: float
+    elapsed_ms: float
 
 
 class Destination(LinePeer):
@@ -43,139 +45,150 @@
         self,
         loop: Loop,
         front: LinePeer,
-        number: int,
+        destination_number: int,
         address: tuple[str, int],
         opening: bytes,
-        wait: float,
-        connect_wait: float,
-        gauge: Gauge,
+        wait_s: float,
+        connect_timeout_s: float,
+        delay_monitor: Gauge,
     ) -> None:
-        super().__init__(loop, prepare(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
-        self.front, self.number, self.address, self.opening = front, number, address, opening
-        self.gauge, self.meter = gauge, Meter(front, number, Answers())  # the gauge's own once it stands
-        self.began = loop.clock()
-        self.until = self.began + wait
-        self.connect_until = min(self.until, self.began + connect_wait)
-        self.last = Reply.OTHER  # what the last line from the destination was
-        self.told = self.unwanted = False  # told the front of its end; the client stirred before the opening
-
-    def run(self) -> Steps:
+        super().__init__(loop, configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM)))
+        self.front = front
+        self.destination_number = destination_number
+        self.address = address
+        self.opening = opening
+        self.delay_monitor = delay_monitor
+        # Replaced by one registered with the monitor once the connection is established
+        self.timing = ConnectionTiming(front, destination_number, DestinationTiming())
+        self.started_at = loop.clock()
+        self.answer_deadline = self.started_at + wait_s
+        self.connect_deadline = min(self.answer_deadline, self.started_at + connect_timeout_s)
+        self.last_reply = Reply.OTHER  # kind of the last line from the destination
+        # end_reported: the front has been sent the end of this connection
+        # cancelled_by_client: the client closed or sent input before the opening line was written
+        self.end_reported = self.cancelled_by_client = False
+
+    def run(self) -> Coroutine:
         outcome: Outcome | None = Outcome.RESET
         try:
             outcome = yield from self._set_up()
             if outcome is None:
                 outcome = Outcome.RESET
-                self.other = self.front
+                self.other_side = self.front
                 yield from self.relay()
         except OSError:
-            outcome = ENDINGS.get(self.last, Outcome.RESET)  # what it said last holds, however it closed
-            self.tell(End(reset=True))
-        except lines.Garbled:
-            # The destination still answers: its client is sent away politely, not cut off.
+            # The last line from the destination decides, however the connection was closed.
+            outcome = OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET)
+            self.notify_other_side(PeerEnded(reset=True))
+        except lines.MalformedLine:
+            # The destination still answers, so the client is sent a MOVE rather than disconnected.
             self.front.post(MoveAway("garbled-destination"))
         finally:
-            self.gauge.remove(self.meter)
-            # Closed before the front hears of it: the next route step must not find this one still out.
-            self.shut()
-            self._over(outcome or Outcome.RESET)
+            self.delay_monitor.remove(self.timing)
+            # Close before the front is notified: the next route step must not start while this one is open.
+            self.close_socket()
+            self._report_end(outcome or Outcome.RESET)
 
-    def _elapsed(self) -> float:
-        return 1000.0 * (self.loop.clock() - self.began)
+    def _elapsed_ms(self) -> float:
+        return 1000.0 * (self.loop.clock() - self.started_at)
 
-    def _over(self, outcome: Outcome) -> None:
-        if not self.told:
-            self.told = True
-            self.front.post(Over(outcome, self._elapsed()))
+    def _report_end(self, outcome: Outcome) -> None:
+        if not self.end_reported:
+            self.end_reported = True
+            self.front.post(ConnectionEnded(outcome, self._elapsed_ms()))
 
     def _set_up(self) -> Generator[Wait, int, Outcome | None]:
-        """Connect, send the opening line, take the answer; None once the connection stands."""
+        """Connect, send the opening line and read the answer; returns None once established."""
         try:
             yield from self._send_opening()
         except OSError:
-            return Outcome.CONNECT_FAILED  # its last byte was never written, so it never ran
-        if self.mail:
+            return Outcome.CONNECT_FAILED  # the opening line was not fully sent, so nothing was executed
+        if self.mailbox:
             return Outcome.CANCELLED
-        if self.out:
-            return Outcome.UNSENT if self.unwanted else Outcome.CONNECT_FAILED
+        if self.output_buffer:
+            return Outcome.UNSENT if self.cancelled_by_client else Outcome.CONNECT_FAILED
         while True:
-            woke = yield Wait(self.sock, read=True, until=self.until)
-            if self.mail:
+            wake_flags = yield Wait(self.sock, read=True, until=self.answer_deadline)
+            if self.mailbox:
                 return Outcome.CANCELLED
-            # Read once more as the time runs out: an answer that has come is no time-out.
-            if woke & (READ | TIME):
+            # On a timeout read once more, since the answer may have arrived at the same time.
+            if wake_flags & (READABLE | TIMED_OUT):
                 try:
-                    going = self.receive()
+                    still_open = self.receive()
                 except OSError:
                     return Outcome.RESET
-                while (line := lines.cut_one(self.inbox)) is not None:
-                    said = lines.reply(line)
-                    if said is Reply.UP and lines.is_receipt(line):
-                        self._stands(line)
+                while (line := lines.take_line(self.input_buffer)) is not None:
+                    reply = lines.reply_kind(line)
+                    if reply is Reply.UP and lines.is_up_line(line):
+                        self._establish(line)
                         return None
-                    if said is not Reply.LOAD:
-                        return ANSWERS.get(said, Outcome.ERROR)
-                if not going:
+                    if reply is not Reply.LOAD:
+                        return OUTCOME_BY_ANSWER.get(reply, Outcome.ERROR)
+                if not still_open:
                     return Outcome.RESET
-            if woke & TIME:
+            if wake_flags & TIMED_OUT:
                 return Outcome.TIMEOUT
 
-    def _send_opening(self) -> Steps:
-        """Returns with ``out`` not empty where the time ran out."""
-        self.out += self.opening
-        if not (yield from connect(self, self.sock, self.address, self.connect_until)):
+    def _send_opening(self) -> Coroutine:
+        """Connect and write the opening line; on a timeout part of it remains in the output buffer."""
+        self.output_buffer += self.opening
+        if not (yield from connect(self, self.sock, self.address, self.connect_deadline)):
             return
-        # The client may have gone while the connection came up, and its side may be resumed after this one.
-        self.unwanted = self.front.stirred()
-        if self.unwanted:
+        # The client may have left during the connect, and the front may run only after this actor.
+        self.cancelled_by_client = self.front.has_unread_input()
+        if self.cancelled_by_client:
             return
         self._write()
-        while self.out and not self.mail:
-            woke = yield Wait(self.sock, write=True, until=self.until)
-            if woke & TIME:
+        while self.output_buffer and not self.mailbox:
+            wake_flags = yield Wait(self.sock, write=True, until=self.answer_deadline)
+            if wake_flags & TIMED_OUT:
                 return
             self._write()
 
     def _write(self) -> None:
-        """Unlike later, a write that fails here says that the opening never got there: raises OSError."""
+        """Write what the socket accepts.
+
+        Raises OSError, unlike ``flush``: a write that fails here means that the opening line did not arrive.
+        """
         with contextlib.suppress(BlockingIOError):
-            del self.out[: self.sock.send(self.out)]
+            del self.output_buffer[: self.sock.send(self.output_buffer)]
 
-    def _stands(self, line: bytes) -> None:
-        self.front.post(Up(line, self._elapsed()))
-        self.meter = self.gauge.add(self.front, self.number)
-        rest = lines.cut(self.inbox)
-        if rest:
-            self.saw(rest)
-            self.front.post(Lines(rest))
+    def _establish(self, line: bytes) -> None:
+        self.front.post(ConnectionEstablished(line, self._elapsed_ms()))
+        self.timing = self.delay_monitor.add(self.front, self.destination_number)
+        remaining_lines = lines.take_lines(self.input_buffer)
+        if remaining_lines:
+            self.on_lines(remaining_lines)
+            self.front.post(RelayedLines(remaining_lines))
 
-    def saw(self, data: bytes) -> None:
+    def on_lines(self, data: bytes) -> None:
         now = self.loop.clock()
         for line in data.splitlines(keepends=True):
-            self.last = lines.reply(line)
-            if self.last is not Reply.LOAD:
-                self.meter.answered(now)
-            elif (load := lines.load_of(line)) is not None:
-                self.front.post(Load(self.front, self.number, load))
-
-    def on_mail(self, message: object) -> None:
-        if isinstance(message, Lines):
-            self.meter.sent(self.loop.clock(), message.data.count(b"\n"))
-        elif isinstance(message, End):
-            self._over(Outcome.CANCELLED)
-        super().on_mail(message)
-
-    def ended_first(self) -> None:
-        self._over(ENDINGS.get(self.last, Outcome.RESET))
-
-    def due(self) -> float | None:
-        if self.grace is not None or not self.meter.asked:
-            return self.grace
-        return max(self.meter.heard + SILENT, self.meter.asked[0] + UNANSWERED)
-
-    def timed_out(self) -> bool:
-        """Guards against a destination that hangs or vanished: its connection stays open and says nothing."""
-        if self.grace is not None:
+            self.last_reply = lines.reply_kind(line)
+            if self.last_reply is not Reply.LOAD:
+                self.timing.record_reply(now)
+            elif (load := lines.parse_load(line)) is not None:
+                self.front.post(LoadReport(self.front, self.destination_number, load))
+
+    def on_message(self, message: object) -> None:
+        if isinstance(message, RelayedLines):
+            self.timing.record_sent(self.loop.clock(), message.data.count(b"\n"))
+        elif isinstance(message, PeerEnded):
+            self._report_end(Outcome.CANCELLED)
+        super().on_message(message)
+
+    def on_input_ended(self) -> None:
+        self._report_end(OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET))
+
+    def next_deadline(self) -> float | None:
+        if self.close_deadline is not None or not self.timing.pending:
+            return self.close_deadline
+        return max(self.timing.last_reply + SILENCE_TIMEOUT_S, self.timing.pending[0] + MIN_UNANSWERED_S)
+
+    def on_deadline(self) -> bool:
+        """Move the client away from a destination that hangs or has vanished while the connection is open."""
+        if self.close_deadline is not None:
             return False
-        self.meter.asked.clear()  # asked once is enough; the front ends both sides
+        self.timing.pending.clear()  # one MoveAway is enough; the front ends both sides
         self.front.post(MoveAway("silent"))
         return True
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -1,7 +1,10 @@
-"""The actor that carries a fleet node: its socket, its clock, what this balancer tells and what it heeds.
+"""The fleet link: the actor that runs a fleet node on a UDP socket and connects it with the balancer.
 
-Loaded only where a fleet file is given.  Frames are datagrams, so that a slow or stopped member holds up
-nobody: what the socket does not take at once is lost, and comparison brings it later."""
+It publishes the balancer's health verdicts, list, loads, lease requests and revisions as registers, and
+applies those of the other members.  Loaded only where a fleet file is given.  UDP keeps a slow or stopped
+member from delaying others: a datagram that the socket does not accept at once is lost, and anti-entropy
+repairs the loss.
+"""
 
 from __future__ import annotations
 
@@ -14,372 +17,432 @@
 from typing import TYPE_CHECKING, Any
 
 from crowgap import interface as i
-from snowwick.fleet import facts
-from snowwick.fleet.facts import Health, Listed, Revision, View
+from snowwick.fleet import registers
 from snowwick.fleet.file import FleetFile
-from snowwick.fleet.members import STATES, Change
+from snowwick.fleet.members import STATE_NAMES, MemberChange
 from snowwick.fleet.node import CaughtUp, DuplicateName, Node
-from snowwick.fleet.rights import RENEW, Leases
-from snowwick.net.decider import Outcome, PoolNews, Silent, StepEnded, StepUp
-from snowwick.net.loop import Actor, Steps, Wait
+from snowwick.fleet.registers import DiscoveryState, HealthTracker, RegisterView, Revision
+from snowwick.fleet.rights import RENEW_S, Leases
+from snowwick.net.decider import DestinationSilent, Outcome, PoolUpdate, RouteStepEnded, RouteStepEstablished
+from snowwick.net.loop import Actor, Coroutine, Wait
 from snowwick.net.pool import parse_address
 
 if TYPE_CHECKING:
     from snowwick.broker.contract import Contracts
     from snowwick.net.contracts import ContractStage
-    from snowwick.net.host import Host
+    from snowwick.net.host import FleetHost
 
-# Datagrams taken a turn; after as many the socket rests, so that a flood of frames that prove to be
-READS = 16
-REST = 0.005  # nothing costs little: s of rest
-LARGEST = 2048  # bytes read of a datagram; what is longer than a frame is dropped anyway
-BUFFER = 1 << 20  # bytes of the socket's buffer: a snapshot's pieces come in bursts
-SHARE = 0.25  # s between looks at what there is to tell and to heed
-COUNTED = 10.0  # s between lines on what was dropped
-FAILED = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
+# After this many datagrams in one turn of the loop the socket is not read for a pause, which limits what a
+# flood of invalid datagrams costs
+DATAGRAMS_PER_TURN = 16
+READ_PAUSE_S = 0.005
+MAX_READ_BYTES = 2048  # of one datagram; frames are shorter, and longer datagrams are dropped in any case
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket; the replies of a full transfer come in bursts
+SHARE_INTERVAL_S = 0.25  # between updates of the own registers, which also apply those of other members
+DROP_LOG_INTERVAL_S = 10.0  # between log lines about dropped frames
+FAILED_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
 
 
 class FleetLink(Actor):
-    """This balancer's place in the fleet."""
+    """Connects this balancer with the fleet."""
 
-    lasting = True
+    restart_after_fault = True
 
-    def __init__(self, host: Host, file: FleetFile, name: str, rng: random.Random) -> None:
+    def __init__(self, host: FleetHost, file: FleetFile, name: str, rng: random.Random) -> None:
         super().__init__(host.loop)
         self.host, self.file, self.log = host, file, host.loop.log
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.sock.bind(parse_address(file.links.listen))
-        host, port = self.sock.getsockname()
+        bound_host, bound_port = self.sock.getsockname()
         self.node = Node(
             name,
-            file.links.address or f"{host}:{port}",
+            file.links.address or f"{bound_host}:{bound_port}",
             file.keys,
             file.links.seeds,
             rng,
             self.wall_ms,
             file.links.period_ms / 1000.0,
         )
-        self.node.status = self.status
-        self.view, self.health = View(self.node.store, self.node.members), Health(name)
-        self.said: dict[int, tuple[int, float]] = {}  # own words on destinations, and when they were written
-        self.left: frozenset[int] = frozenset()  # told by others to be leaving, and heeded
-        self.next_share = self.next_count = 0.0
-        self.counted = 0
-        self.gone = False  # left the fleet; this balancer serves alone
-        self.differ: frozenset[str] = frozenset()
+        self.node.extra_status = self.link_status
+        self.register_view, self.health = (
+            RegisterView(self.node.store, self.node.members),
+            HealthTracker(name),
+        )
+        # The verdicts in the own health registers, and when they were made
+        self.published_verdicts: dict[int, tuple[int, float]] = {}
+        self.leaving: frozenset[int] = frozenset()  # destinations drained here by other members' newer lists
+        self.next_share = self.next_drop_log = 0.0
+        self.logged_drops = 0  # frames dropped up to the last log line
+        self.has_left = False  # has left the fleet; the balancer serves on its own
+        self.differing_members: frozenset[str] = frozenset()  # members with another revision
         self.leases: Leases | None = None
-        self.contracts: Contracts | None = None  # whose revision is told
-        self.revision, self.parts = Revision(file.digest), 0
+        self.contracts: Contracts | None = None  # the contracts that ``revision`` describes
+        self.revision, self.revision_parts = Revision(file.digest), 0
         self.next_rights = 0.0
-        self.used: dict[str, float] = {}
+        self.budget_usage: dict[str, float] = {}
 
     @staticmethod
     def wall_ms() -> float:
+        """Unix time in ms."""
         return 1000.0 * time.time()
 
     # -- the loop ----------------------------------------------------------------------------------------
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
+        """Run the node until the balancer leaves the fleet."""
         self.log.event(
             "fleet",
             "fleet: {name} at {address}, epoch {epoch}",
             name=self.node.name,
-            address=self.node.members.me.address,
-            epoch=self.node.members.me.incarnation,
+            address=self.node.members.local.address,
+            epoch=self.node.members.local.incarnation,
         )
-        rest = 0.0
+        read_paused_until = 0.0
         try:
-            while not self.gone:
+            while not self.has_left:
                 now = self.loop.clock()
                 self.node.tick(now)
                 if now >= self.next_share:
-                    self.next_share = now + SHARE
-                    self.share(now)
-                self.send()
-                self.hear_news()
-                until = max(now, min(self.node.due(), self.next_share))
-                resting = now < rest
-                yield Wait(self.sock, read=not resting, until=min(until, rest) if resting else until)
-                self.mail.clear()
-                if self.loop.clock() >= rest and self.read():
-                    rest = self.loop.clock() + REST
+                    self.next_share = now + SHARE_INTERVAL_S
+                    self.share_state(now)
+                self.send_datagrams()
+                self.handle_events()
+                until = max(now, min(self.node.next_due(), self.next_share))
+                paused = now < read_paused_until
+                yield Wait(
+                    self.sock, read=not paused, until=min(until, read_paused_until) if paused else until
+                )
+                self.mailbox.clear()
+                if self.loop.clock() >= read_paused_until and self.read_datagrams():
+                    read_paused_until = self.loop.clock() + READ_PAUSE_S
         finally:
-            self.loop.release(self)
-            if self.gone:  # after a fault it begins again, on the same socket
+            self.loop.unregister(self)
+            if self.has_left:  # after a fault the actor restarts on the same socket
                 self.sock.close()
 
-    def read(self) -> bool:
-        """Take what has come; True where there may be more."""
+    def read_datagrams(self) -> bool:
+        """Process the datagrams that have arrived; True where there may be more."""
         now = self.loop.clock()
-        for _ in range(READS):
+        for _ in range(DATAGRAMS_PER_TURN):
             try:
-                datagram, source = self.sock.recvfrom(LARGEST)
-            except OSError:  # nothing there, or word of a datagram that found nobody
+                datagram, source = self.sock.recvfrom(MAX_READ_BYTES)
+            except OSError:  # no datagram, or the error report of one that was not delivered
                 return False
             self.node.receive(datagram, now, f"{source[0]}:{source[1]}")
         return True
 
-    def send(self) -> None:
+    def send_datagrams(self) -> None:
+        """Send what the node has queued."""
         routes = self.file.links.routes
-        for address, datagram in self.node.take_out():
-            # Lost is what the socket does not take; an address that a member made up must end nothing.
+        for address, datagram in self.node.take_datagrams():
+            # A datagram that the socket does not accept is lost; invalid addresses of members are ignored
             with contextlib.suppress(OSError, ValueError):
                 host, port = parse_address(routes.get(address, address))
-                socket.inet_aton(host)  # a name would be looked up, and the loop would wait for it
+                socket.inet_aton(host)  # rejects host names, as a look-up would block the loop
                 self.sock.sendto(datagram, (host, port))
 
-    def hear_news(self) -> None:
-        for news in self.node.take_news():
-            if isinstance(news, Change):
-                one = news.member
+    def handle_events(self) -> None:
+        """Log the node's events and the dropped frames; leave the fleet where the name is in use."""
+        for event in self.node.take_events():
+            if isinstance(event, MemberChange):
+                member = event.member
                 self.log.event(
                     "fleet-member",
                     "fleet: {member} is {state} (incarnation {incarnation})",
-                    member=one.name,
-                    state=STATES[one.state],
-                    incarnation=one.incarnation,
+                    member=member.name,
+                    state=STATE_NAMES[member.state],
+                    incarnation=member.incarnation,
                 )
-            elif isinstance(news, CaughtUp):
+            elif isinstance(event, CaughtUp):
                 self.log.event(
-                    "fleet-caught-up", "fleet: caught up after {seconds} s", seconds=round(news.after, 2)
+                    "fleet-caught-up", "fleet: caught up after {seconds} s", seconds=round(event.after_s, 2)
                 )
-            elif isinstance(news, DuplicateName):
+            elif isinstance(event, DuplicateName):
                 self.log.event(
                     "fleet-twin",
-                    "fleet: {name} is at {address} already and started before; "
+                    "fleet: a process at {address} has the name {name} and started before; "
                     "leaving the fleet, serving alone",
                     name=self.node.name,
-                    address=news.address,
+                    address=event.address,
                 )
-                self.end()
+                self.leave_without_notice()
         dropped = sum(self.node.counts.dropped.values())
-        if dropped > self.counted and self.loop.clock() >= self.next_count:
-            self.next_count = self.loop.clock() + COUNTED
+        if dropped > self.logged_drops and self.loop.clock() >= self.next_drop_log:
+            self.next_drop_log = self.loop.clock() + DROP_LOG_INTERVAL_S
             reasons = [f"{reason} {count}" for reason, count in sorted(self.node.counts.dropped.items())]
             self.log.event(
                 "fleet-dropped",
                 "fleet: {count} frames dropped: {reasons}",
-                count=dropped - self.counted,
+                count=dropped - self.logged_drops,
                 reasons=", ".join(reasons),
             )
-            self.counted = dropped
+            self.logged_drops = dropped
 
     def leave(self) -> None:
-        """The balancer ends: the others need not find out."""
-        if not self.gone:
+        """Announce to the other members that this balancer ends."""
+        if not self.has_left:
             self.node.leave(self.loop.clock())
-            self.send()
+            self.send_datagrams()
 
-    def end(self) -> None:
-        """Alone from here on: nothing more is heard, told or heeded."""
-        self.gone = True
+    def leave_without_notice(self) -> None:
+        """Leave the fleet at once; from here on nothing is received, published or applied."""
+        self.has_left = True
         self.node.store.owners = {self.node.name: self.node.store.owners[self.node.name]}
         self.node.members.records.clear()
 
-    def apply(self, file: FleetFile) -> None:
-        """Another file: keys and what is shared change at once, the links at the next start."""
+    def apply_file(self, file: FleetFile) -> None:
+        """Apply a reloaded fleet file; keys and ``share`` change at once, ``links`` at the next start."""
         if file.links != self.file.links:
             self.log.event(
                 "reload-waits", "reload: {keys} changed, but only at the next start", keys="fleet links"
             )
         self.file, self.node.keys = file, list(file.keys)
 
-    # -- what is told ------------------------------------------------------------------------------------
+    # -- publishing --------------------------------------------------------------------------------------
 
-    def share(self, now: float) -> None:
+    def share_state(self, now: float) -> None:
+        """Publish what the fleet file says and apply what other members published."""
         share, pool = self.file.share, self.host.pool_config
         if share.health:
-            self._health(now, len(pool.addresses))
+            self._share_health(now, len(pool.addresses))
         if share.list:
-            self._list(now)
+            self._share_list(now)
         if share.load:
-            self._load(now)
-        self._revision(now)
+            self._share_load(now)
+        self._share_revision(now)
         if share.rights and self.host.contract_stage is not None:
-            self._rights(now, self.host.contract_stage)
-
-    def _write(self, kind: int, key: str, value: object, now: float, left: float = 0.0) -> None:
-        data = None if value is None else facts.pack(value)
-        with contextlib.suppress(ValueError):  # a value that no frame holds is not told
-            self.node.write(kind, key, data, now, left)
-
-    def _health(self, now: float, known: int) -> None:
+            self._share_rights(now, self.host.contract_stage)
+
+    def _write_register(
+        self, kind: int, key: str, value: object, now: float, remaining_s: float = 0.0
+    ) -> None:
+        """Set an own register, or remove it where ``value`` is None."""
+        data = None if value is None else registers.pack(value)
+        with contextlib.suppress(ValueError):  # a value that is too long for a frame is not published
+            self.node.write(kind, key, data, now, remaining_s)
+
+    def _share_health(self, now: float, destination_count: int) -> None:
+        """Publish own verdicts and tell the balancer which destinations to avoid."""
         health = self.health
-        for destination, heard in self.host.served():
-            watched = health.watched.setdefault(destination, facts.Watched())
-            watched.served = max(watched.served, heard)
+        for destination, answered_at in self.host.last_answer_times():
+            destination_health = health.destinations.setdefault(destination, registers.DestinationHealth())
+            destination_health.last_served = max(destination_health.last_served, answered_at)
         health.forget(self.host.pool_config.addresses.__contains__)
-        verdicts = self.view.verdicts(known, now)
-        words = health.words(verdicts, now)
-        for destination, word in words.items():
-            at = health.own[destination][1] if destination in health.own else now
-            old = self.said.get(destination)
-            # Said anew where it is another word, or seen anew; a word that stands is not repeated each look.
-            if old is None or old[0] != word or at - old[1] >= 0.5 * facts.SAID:
-                self.said[destination] = word, at
-                self._write(facts.HEALTH, str(destination), word, now, facts.SAID)
-        for destination in [one for one in self.said if one not in words]:
-            del self.said[destination]
-            self._write(facts.HEALTH, str(destination), None, now)
-        for destination in health.judge(verdicts, now):
-            self.host.hear(Silent(destination))
-
-    def _list(self, now: float) -> None:
-        pool, source = self.host.pool_config, self.file.share.discovery
-        leaving = [one for one, entry in pool.entries.items() if entry.state is not i.State.READY]
-        self._write(facts.LIST, "", Listed(source, pool.version, leaving[-facts.LEAVING :]), now)
-        told = self.view.leaving(source, pool.version, now)
-        # Only what this balancer's own list has named is of interest, and nothing is sent on others' word.
-        heed = {one for one in told if one in pool.entries and pool.entries[one].state is i.State.READY}
-        fresh = heed - self.left
-        if fresh:
+        verdicts = self.register_view.verdicts(destination_count, now)
+        to_publish = health.verdicts_to_publish(verdicts, now)
+        for destination, verdict in to_publish.items():
+            made_at = health.own_verdicts[destination][1] if destination in health.own_verdicts else now
+            published = self.published_verdicts.get(destination)
+            # Written again only where the verdict is another one or was made anew, not at every update
+            if (
+                published is None
+                or published[0] != verdict
+                or made_at - published[1] >= 0.5 * registers.VERDICT_LIFETIME_S
+            ):
+                self.published_verdicts[destination] = verdict, made_at
+                self._write_register(
+                    registers.HEALTH, str(destination), verdict, now, registers.VERDICT_LIFETIME_S
+                )
+        for destination in [known for known in self.published_verdicts if known not in to_publish]:
+            del self.published_verdicts[destination]
+            self._write_register(registers.HEALTH, str(destination), None, now)
+        for destination in health.update_avoided(verdicts, now):
+            self.host.report_silent(DestinationSilent(destination))
+
+    def _share_list(self, now: float) -> None:
+        """Publish discovery's list, and drain destinations that a newer list of another member drains."""
+        pool = self.host.pool_config
+        source = self.file.share.discovery
+        leaving = [
+            destination for destination, entry in pool.entries.items() if entry.state is not i.State.READY
+        ]
+        self._write_register(
+            registers.LIST, "", DiscoveryState(source, pool.version, leaving[-registers.MAX_LEAVING :]), now
+        )
+        reported = self.register_view.leaving(source, pool.version, now)
+        # Only destinations in this balancer's own list matter; another member's list adds no destination
+        drained = {
+            destination
+            for destination in reported
+            if destination in pool.entries and pool.entries[destination].state is i.State.READY
+        }
+        added = drained - self.leaving
+        if added:
             self.log.event(
                 "fleet-leaving",
-                "fleet: {count} destinations leave by a newer list than ours, {version}",
-                count=len(fresh),
+                "fleet: {count} destinations have to be left: another balancer has a newer list than "
+                "version {version}",
+                count=len(added),
                 version=pool.version,
             )
-            self.host.news(
-                PoolNews(i.ListKind.CHANGES, [_leaving(pool.entries[one]) for one in sorted(fresh)])
+            self.host.apply_pool_news(
+                PoolUpdate(
+                    i.ListKind.CHANGES,
+                    [_as_draining(pool.entries[destination]) for destination in sorted(added)],
+                )
             )
-        back = [
-            one
-            for one in sorted(self.left - heed)
-            if one in pool.entries and pool.entries[one].state is i.State.READY
+        restored = [
+            destination
+            for destination in sorted(self.leaving - drained)
+            if destination in pool.entries and pool.entries[destination].state is i.State.READY
         ]
-        if back:  # the newer list was taken back, as after a restore
-            self.host.news(PoolNews(i.ListKind.CHANGES, [pool.entries[one] for one in back]))
-        self.left = frozenset(heed)
+        if restored:  # the newer list was withdrawn, for example when discovery was restored from a backup
+            self.host.apply_pool_news(
+                PoolUpdate(i.ListKind.CHANGES, [pool.entries[destination] for destination in restored])
+            )
+        self.leaving = frozenset(drained)
 
-    def _load(self, now: float) -> None:
+    def _share_load(self, now: float) -> None:
+        """Publish this balancer's connections at each destination."""
         chunks: dict[int, dict[int, int]] = defaultdict(dict)
-        for pool in self.host.held():
-            for destination, held in pool.items():
-                counts = chunks[facts.chunk_of(destination)]
-                counts[destination] = counts.get(destination, 0) + held
-        for chunk in range(facts.CHUNKS):
-            self._write(facts.LOAD, str(chunk), chunks.get(chunk), now)
-
-    def _rights(self, now: float, stage: ContractStage) -> None:
-        """Move the contracts' budgets to where they are asked for; without a fleet each keeps its part."""
+        for pool_counts in self.host.connection_counts():
+            for destination, count in pool_counts.items():
+                counts = chunks[registers.load_chunk(destination)]
+                counts[destination] = counts.get(destination, 0) + count
+        for chunk in range(registers.LOAD_CHUNKS):
+            self._write_register(registers.LOAD, str(chunk), chunks.get(chunk), now)
+
+    def _share_rights(self, now: float, stage: ContractStage) -> None:
+        """Request and grant leases, so that rights move to the balancers that need them."""
         if self.leases is None:
             self.leases = Leases(self.node.name, stage.budgets(), now)
         leases, epoch = self.leases, self.node.store.owners[self.node.name].epoch
-        leases.change(stage.budgets(), now)
+        leases.update_shares(stage.budgets(), now)
         if now >= self.next_rights:
-            self.used, wanted = stage.wanted(max(SHARE, now - self.next_rights + RENEW))
-            self.next_rights = now + RENEW
+            self.budget_usage, wanted = stage.measure_demand(
+                max(SHARE_INTERVAL_S, now - self.next_rights + RENEW_S)
+            )
+            self.next_rights = now + RENEW_S
             for key, amount in wanted.items():
-                leases.budgets[key].demand(amount, now)
+                leases.budgets[key].record_demand(amount, now)
         boots = {
-            one.name: self.node.store.owners[one.name].epoch
-            for one in self.node.members.alive()
-            if one.name in self.node.store.owners
+            member.name: self.node.store.owners[member.name].epoch
+            for member in self.node.members.alive()
+            if member.name in self.node.store.owners
         }
-        asks, grants = self.view.rights(now)
-        for lender, start, key, grant in grants:
+        requests, grants = self.register_view.requests_and_grants(now)
+        for lender, lender_epoch, key, grant in grants:
             if key in leases.budgets:
-                leases.budgets[key].hear(lender, start, grant, epoch, now)
-        for key, ask in leases.asks(self.used, boots, now).items():
-            self._write(facts.RIGHTS, f"ask:{key}", ask, now)
-        for key, one in leases.budgets.items():
-            told = asks.get(key, {})
-            one.confirm({name: ask.holds for name, (_, ask) in told.items()}, epoch, stage.balancers - 1)
-            for to, grant in one.grant(told, self.used.get(key, 0.0), now).items():
-                self._write(facts.RIGHTS, f"grant:{to}:{key}", grant, now)
-        stage.has(leases.targets(now))
-
-    def _revision(self, now: float) -> None:
+                leases.budgets[key].receive_grant(lender, lender_epoch, grant, epoch, now)
+        for key, request in leases.requests_due(self.budget_usage, boots, now).items():
+            self._write_register(registers.RIGHTS, f"ask:{key}", request, now)
+        for key, budget in leases.budgets.items():
+            budget_requests = requests.get(key, {})
+            budget.confirm_start(
+                {name: request.holdings for name, (_, request) in budget_requests.items()},
+                epoch,
+                stage.balancers - 1,
+            )
+            for borrower, grant in budget.grant_requests(
+                budget_requests, self.budget_usage.get(key, 0.0), now
+            ).items():
+                self._write_register(registers.RIGHTS, f"grant:{borrower}:{key}", grant, now)
+        stage.set_rights(leases.targets(now))
+
+    def _share_revision(self, now: float) -> None:
+        """Publish the own revision, and apply the stricter limits of members with other contracts."""
         stage = self.host.contract_stage
         if stage is not None and stage.contracts is not self.contracts:
-            from snowwick.broker.contract import digest_of, limits_of
+            from snowwick.broker.contract import contracts_digest, fleet_limits
 
             self.contracts = stage.contracts
-            self.revision = Revision(self.file.digest, digest_of(stage.contracts), limits_of(stage.contracts))
-        mine = self.revision = Revision(self.file.digest, self.revision.contracts, self.revision.limits)
-        rows = sorted(mine.limits.items())
-        parts = [dict(rows[at : at + facts.LIMITS]) for at in range(0, len(rows), facts.LIMITS)] or [{}]
-        for n in range(max(len(parts), self.parts)):
-            self._write(
-                facts.REVISION,
-                f"{n:04}",
-                Revision(mine.fleet, mine.contracts, parts[n]) if n < len(parts) else None,
+            self.revision = Revision(
+                self.file.digest, contracts_digest(stage.contracts), fleet_limits(stage.contracts)
+            )
+        own = self.revision = Revision(self.file.digest, self.revision.contracts_digest, self.revision.limits)
+        limits = sorted(own.limits.items())
+        parts = [
+            dict(limits[start : start + registers.LIMITS_PER_REGISTER])
+            for start in range(0, len(limits), registers.LIMITS_PER_REGISTER)
+        ] or [{}]
+        for number in range(max(len(parts), self.revision_parts)):
+            self._write_register(
+                registers.REVISION,
+                f"{number:04}",
+                Revision(own.fleet_digest, own.contracts_digest, parts[number])
+                if number < len(parts)
+                else None,
                 now,
             )
-        self.parts = len(parts)
-        others = self.view.revisions(now)
-        differ = frozenset(
-            name for name, one in others.items() if (one.fleet, one.contracts) != (mine.fleet, mine.contracts)
+        self.revision_parts = len(parts)
+        others = self.register_view.revisions(now)
+        differing = frozenset(
+            name
+            for name, revision in others.items()
+            if (revision.fleet_digest, revision.contracts_digest) != (own.fleet_digest, own.contracts_digest)
         )
-        if differ - self.differ:
+        if differing - self.differing_members:
             self.log.event(
                 "fleet-revisions",
-                "fleet: {names} go by another fleet file or other contracts "
-                "than ours, {digest} {contracts}; of two limits the stricter holds",
-                names=", ".join(sorted(differ)),
-                digest=mine.fleet,
-                contracts=mine.contracts or "-",
+                "fleet: {names} use another fleet file or other contracts than this balancer, "
+                "{digest} {contracts}; the stricter limits apply",
+                names=", ".join(sorted(differing)),
+                digest=own.fleet_digest,
+                contracts=own.contracts_digest or "-",
             )
-        self.differ = differ
+        self.differing_members = differing
         if stage is not None:
-            least = facts.stricter(mine, others)
-            stage.stricter = {
-                key: limit / mine.limits[key] for key, limit in least.items() if mine.limits[key] > 0.0
+            lowest = registers.stricter_limits(own, others)
+            stage.stricter_shares = {
+                key: limit / own.limits[key] for key, limit in lowest.items() if own.limits[key] > 0.0
             }
             if not self.file.share.rights:
-                stage.has({key: part for key, (part, _) in stage.budgets().items()})
+                stage.set_rights({key: share for key, (share, _) in stage.budgets().items()})
 
-    # -- what is seen ------------------------------------------------------------------------------------
+    # -- observing ---------------------------------------------------------------------------------------
 
-    def observe(self, message: object) -> None:
-        """What a decider hears: how route steps end tells which destinations are bad."""
+    def record_step(self, message: object) -> None:
+        """Record from a decider's message whether a destination served a client or failed."""
         now = self.loop.clock()
-        if isinstance(message, StepUp):
-            self.health.answered(message.destination, now)
-        elif isinstance(message, StepEnded) and not message.final and message.outcome in FAILED:
-            self.health.failed(message.destination, message.outcome is Outcome.TIMEOUT, now)
-
-    def silent(self, message: object) -> None:
-        """What the gauge has to tell."""
-        if isinstance(message, Silent):
-            self.health.hangs(message.destination, self.loop.clock())
-
-    def status(self) -> dict[str, Any]:
+        if isinstance(message, RouteStepEstablished):
+            self.health.record_served(message.destination, now)
+        elif isinstance(message, RouteStepEnded) and not message.final and message.outcome in FAILED_OUTCOMES:
+            self.health.record_failure(message.destination, message.outcome is Outcome.TIMEOUT, now)
+
+    def record_silent(self, message: object) -> None:
+        """Record a destination that the gauge reports as silent."""
+        if isinstance(message, DestinationSilent):
+            self.health.record_hanging(message.destination, self.loop.clock())
+
+    def link_status(self) -> dict[str, Any]:
+        """The balancer's part of the status that ``snowwick fleet status`` prints."""
         now = self.loop.clock()
         return {
             "revision": self.file.digest,
             "kinds_by_name": {
-                facts.KINDS[kind]: sum(1 for _ in self.node.store.standing(kind)) for kind in facts.KINDS
+                registers.KIND_NAMES[kind]: sum(1 for _ in self.node.store.live_entries(kind))
+                for kind in registers.KIND_NAMES
             },
-            "contracts": self.revision.contracts,
+            "contracts": self.revision.contracts_digest,
             "revisions": {
-                name: " ".join(filter(None, (one.fleet, one.contracts)))
-                for name, one in self.view.revisions(now).items()
+                name: " ".join(filter(None, (revision.fleet_digest, revision.contracts_digest)))
+                for name, revision in self.register_view.revisions(now).items()
             },
-            "kept_away_from": [str(one) for one in self.health.believed],
+            "kept_away_from": [str(destination) for destination in self.health.avoided_until],
             "rights": {
                 key: round(amount, 2)
                 for key, amount in (self.leases.targets(now) if self.leases is not None else {}).items()
             },
             "list_version": self.host.pool_config.version,
-            "held_elsewhere": self.view.held(now).total(),
+            "held_elsewhere": self.register_view.connections_elsewhere(now).total(),
         }
 
 
-def _leaving(entry: i.BackendEntry) -> i.BackendEntry:
+def _as_draining(entry: i.BackendEntry) -> i.BackendEntry:
+    """The entry of discovery's list with its state changed to draining."""
     return i.BackendEntry(
         entry.backend, i.State.DRAINING, entry.zone, entry.cell, entry.weight, entry.started
     )
 
 
-def observing(tell: Callable[[Any], None], also: Callable[[Any], None]) -> Callable[[Any], None]:
-    """One that tells both."""
+def call_both(first: Callable[[Any], None], second: Callable[[Any], None]) -> Callable[[Any], None]:
+    """A function that passes a message to both functions in turn."""
 
     def both(message: Any) -> None:
-        tell(message)
-        also(message)
+        first(message)
+        second(message)
 
     return both
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -1,4 +1,4 @@
-"""The client's side: the front socket's first line, its one answer, then its side of the relay."""
+"""The client's side of a connection: reads the opening line, sends the one answer, then relays lines."""
 
 from __future__ import annotations
 
@@ -8,310 +8,339 @@
 
 from snowwick.net import lines
 from snowwick.net.decider import (
-    UNRUN,
+    NOT_EXECUTED,
     BusyReply,
+    ClientLeft,
     FailReply,
-    Left,
-    Load,
+    LoadReport,
     MoveAway,
     Outcome,
     RouteStep,
-    StepEnded,
-    StepUp,
+    RouteStepEnded,
+    RouteStepEstablished,
 )
-from snowwick.net.destination import Destination, Over, Up
-from snowwick.net.gauge import Gauge
-from snowwick.net.loop import READ, TIME, Loop, Steps, Wait
-from snowwick.net.path import Ask, Path, ask_of
-from snowwick.net.peer import GRACE, End, LinePeer, prepare
+from snowwick.net.delay_monitor import Gauge
+from snowwick.net.destination import ConnectionEnded, ConnectionEstablished, Destination
+from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
+from snowwick.net.path import Request, RequestPath, make_request
+from snowwick.net.peer import CLOSE_GRACE_S, LinePeer, PeerEnded, configure_socket
 
-FIRST_LINE = 2.0  # s that a front socket may stay without an opening line, whatever else it says
-LINGER = 5.0  # s at most in which the rest of what a client sends is read, once it has its answer
-SETTLE = 0.05  # s in which a front socket that was just taken or answered is not ended to make room
-KEPT = 40.0  # s that a connection which stood before may take to come up again
+# A front socket without an opening line is closed after this time, whatever other lines it has sent
+OPENING_TIMEOUT_S = 2.0
+MAX_LINGER_S = 5.0  # after the answer, further input is read and discarded for at most this long
+# A front socket is not evicted within this time after it was accepted or answered
+MIN_IDLE_S = 0.05
+# Most time to set up again a connection that existed before this program started
+RESUME_TIMEOUT_S = 40.0
 
 
-class MakeRoom:
-    """To a front without a request: end, its descriptor is wanted."""
+class EvictIdle:
+    """To a front without a request: close, because descriptors are running out."""
 
 
-class Closing:
-    """To a front: the program ends.  What is owed is answered, who stands is moved, who rests is ended."""
+class ShuttingDown:
+    """To a front: the program is shutting down.
 
+    A pending request is answered, an established connection is moved, and an idle front socket is closed.
+    """
 
-class House(Protocol):
-    """What a front needs of the program round it."""
+
+class FrontHost(Protocol):
+    """What a front needs from the service that owns it."""
 
     loop: Loop
-    path: Path
-    gauge: Gauge
+    request_path: RequestPath
+    delay_monitor: Gauge
 
     @property
-    def groups(self) -> bool:
-        """Has ``g`` a meaning in the settings?"""
+    def groups_enabled(self) -> bool:
+        """Whether the settings use the group value ``g`` of opening lines."""
 
     @property
-    def connect_wait(self) -> float:
-        """Seconds that a connect may take."""
+    def connect_timeout_s(self) -> float:
+        """Most time in seconds for connecting to a destination."""
 
-    def number(self, name: str) -> int:
-        """A destination's number by its name."""
+    def destination_number(self, name: str) -> int:
+        """Returns the number of the destination with this name."""
 
-    def address(self, destination: int) -> tuple[str, int] | None:
-        """Where a destination is, if the pool config has it."""
+    def destination_address(self, destination: int) -> tuple[str, int] | None:
+        """Returns the address of a destination, or None if it is not in the pool config."""
 
-    def come_again_ms(self) -> float:
-        """When a client that gets a busy reply without a decision should return."""
+    def retry_after_ms(self) -> float:
+        """Returns the retry delay in ms for a busy reply that is sent without asking the decider."""
 
-    def asks(self, front: Front) -> None:
-        """The front has a request now."""
+    def on_request(self, front: Front) -> None:
+        """Called when the front starts to handle a request."""
 
-    def asks_no_more(self, front: Front) -> None:
-        """The front has its answer; its socket may have to stay a little."""
+    def on_answered(self, front: Front) -> None:
+        """Called when the final answer is being sent; the socket may stay open a little longer."""
 
-    def ended(self, front: Front) -> None:
-        """The front is gone."""
+    def on_front_closed(self, front: Front) -> None:
+        """Called when the front's socket has been closed."""
 
 
 class Front(LinePeer):
-    """One client's connection."""
-
-    def __init__(self, house: House, sock: socket.socket) -> None:
-        super().__init__(house.loop, prepare(sock))
-        self.house, self.reason, self.detail = house, "fault", ""
-        self.ask: Ask | None = None
-        self.step: Destination | None = None
-        self.asked = self.up = False
-        self.ran = False  # may an attempt have run?  Then a busy reply would promise too much
-        self.number = -1
-        self.accepted = self.began = self.until = self.answered = self.loop.clock()
-
-    def run(self) -> Steps:
+    """The client's side of one connection."""
+
+    def __init__(self, host: FrontHost, sock: socket.socket) -> None:
+        super().__init__(host.loop, configure_socket(sock))
+        self.host = host
+        self.reason = "fault"
+        self.detail = ""
+        self.request: Request | None = None
+        self.route_step: Destination | None = None
+        # at_decider: the request has been handed to the decider; False for resumed connections
+        self.at_decider = self.established = False
+        # A destination may have executed the request: a busy reply, which promises the opposite, is ruled out
+        self.may_have_run = False
+        self.destination_number = -1
+        self.accepted_at = self.started_at = self.answer_deadline = self.answered_at = self.loop.clock()
+
+    def run(self) -> Coroutine:
         try:
             yield from self._serve()
         except OSError:
             self.reason = "front-reset"
-            self.tell(End(reset=True))
-        except lines.Garbled as error:
-            self.reason, self.detail = "garbled", str(error)
-            yield from self._answer(lines.ERR)
+            self.notify_other_side(PeerEnded(reset=True))
+        except lines.MalformedLine as error:
+            self.reason = "garbled"
+            self.detail = str(error)
+            yield from self._send_answer(lines.ERR)
         finally:
-            self._leave()
-            self.shut()
-            self.house.ended(self)
+            self._release_request()
+            self.close_socket()
+            self.host.on_front_closed(self)
 
-    def _leave(self) -> None:
-        """Whatever ended this side, the decider and the step hear of it."""
-        if self.ask is None:
+    def _release_request(self) -> None:
+        """Notify the decider, the route step and the stages that this side is done with the request."""
+        if self.request is None:
             return
-        if self.asked and not self.up:
-            self.ask.post(Left(self, self.step is not None))
-        if self.step is not None:
-            self.step.post(End())
-            self._step_over(Outcome.CANCELLED, 0.0, final=True)
-        self.house.path.over(self.ask)
-
-    def _serve(self) -> Steps:
-        opening = yield from self._first_line()
+        if self.at_decider and not self.established:
+            self.request.post(ClientLeft(self, self.route_step is not None))
+        if self.route_step is not None:
+            self.route_step.post(PeerEnded())
+            self._finish_route_step(Outcome.CANCELLED, 0.0, final=True)
+        self.host.request_path.on_ended(self.request)
+
+    def _serve(self) -> Coroutine:
+        opening = yield from self._read_opening()
         if opening is None:
             return
-        self.ask = ask_of(self, opening, self.house.groups)
-        turned = self.house.path.enter(self.ask)
-        if turned is not None:
-            self.reason, self.detail = turned.reason, turned.detail
-            yield from self._answer(turned.line)
+        self.request = make_request(self, opening, self.host.groups_enabled)
+        rejection = self.host.request_path.enter(self.request)
+        if rejection is not None:
+            self.reason = rejection.reason
+            self.detail = rejection.detail
+            yield from self._send_answer(rejection.line)
             return
-        self._begin(self.ask)
+        self._start_request(self.request)
         answer = yield from self._await_answer()
         if answer is not None:
-            yield from self._answer(answer)
-        if self.up:
+            yield from self._send_answer(answer)
+        if self.established:
             yield from self.relay()
 
-    def _first_line(self) -> Generator[Wait, int, lines.Opening | None]:
-        """The opening line; None where there will be none, and then ``reason`` says why."""
-        until = self.accepted + FIRST_LINE
+    def _read_opening(self) -> Generator[Wait, int, lines.Opening | None]:
+        """Read the opening line; returns None, with ``reason`` set, if the connection ends without one."""
+        deadline = self.accepted_at + OPENING_TIMEOUT_S
         self.reason = "no-opening"
         while True:
-            # Who asks without reading the answers is read no further: the answers would pile up.
-            woke = yield Wait(self.sock, read=not self.full(), write=bool(self.out), until=until)
-            ended = ""
-            for message in self.take():
-                ended = "draining" if isinstance(message, Closing) else "made-room"
-            # Whatever ends it, what lies in the socket is read first: a request there is owed its answer.
-            going = self.receive() if woke & (READ | TIME) or ended else True
-            while (line := lines.cut_one(self.inbox)) is not None:
-                word = line.rstrip(b"\r\n")
-                if word == lines.PING:
+            # Stop reading from a client that does not read its replies, since they would accumulate.
+            wake_flags = yield Wait(
+                self.sock, read=not self.output_full(), write=bool(self.output_buffer), until=deadline
+            )
+            end_reason = ""
+            for message in self.take_messages():
+                end_reason = "draining" if isinstance(message, ShuttingDown) else "made-room"
+            # Read the socket even when closing: a request that has already arrived must be answered.
+            still_open = self.receive() if wake_flags & (READABLE | TIMED_OUT) or end_reason else True
+            while (line := lines.take_line(self.input_buffer)) is not None:
+                command = line.rstrip(b"\r\n")
+                if command == lines.PING:
                     self.reason = "ping"
-                    self.out += lines.PONG
-                elif word == lines.STATS:
-                    self.out += lines.NO
+                    self.output_buffer += lines.PONG
+                elif command == lines.STATS:
+                    self.output_buffer += lines.NO
                 else:
                     opening = lines.parse_opening(line)
-                    # Who sends on top of it or goes at once shows now, before anything is decided.
-                    going = going and self.receive()
-                    if self.inbox:
-                        raise lines.Garbled("more than an opening line")
-                    if going:
+                    # Read again to detect extra input or a closed connection before the request is handled.
+                    still_open = still_open and self.receive()
+                    if self.input_buffer:
+                        raise lines.MalformedLine("unexpected input after the opening line")
+                    if still_open:
                         return opening
                     self.reason = "left"
                     return None
             self.flush()
-            if woke & TIME and self.inbox:
-                raise lines.Garbled("no whole line in time")
-            if not going or self.broken:
+            if wake_flags & TIMED_OUT and self.input_buffer:
+                raise lines.MalformedLine("no complete line before the timeout")
+            if not still_open or self.write_failed:
                 return None
-            if ended or woke & TIME:
-                self.reason = ended or self.reason
-                yield from self._answer(b"")
+            if end_reason or wake_flags & TIMED_OUT:
+                self.reason = end_reason or self.reason
+                yield from self._send_answer(b"")
                 return None
 
-    def _begin(self, ask: Ask) -> None:
-        self.began = self.loop.clock()
-        self.until = self.began + min(ask.wait / 1000.0, KEPT)
-        self.house.asks(self)
-        if ask.at:
-            self._take_step(self.house.number(ask.at), ask.wait)
+    def _start_request(self, request: Request) -> None:
+        self.started_at = self.loop.clock()
+        self.answer_deadline = self.started_at + min(request.wait_ms / 1000.0, RESUME_TIMEOUT_S)
+        self.host.on_request(self)
+        if request.resumed_destination:
+            self._start_route_step(self.host.destination_number(request.resumed_destination), request.wait_ms)
         else:
-            self.asked = True
+            self.at_decider = True
 
     def _await_answer(self) -> Generator[Wait, int, bytes | None]:
-        """Wait for the one final answer, making the route steps that the decider asks for."""
-        late = False
+        """Wait for the final answer, carrying out the decider's route steps.
+
+        Returns the line to send, or None if the connection is established or the client has left.
+        """
+        deadline_passed = False
         while True:
-            woke = yield Wait(self.sock, read=True, until=self.until)
-            # The client first, whatever came with it: for one that has gone nothing more is sent on.
+            wake_flags = yield Wait(self.sock, read=True, until=self.answer_deadline)
+            # Check the client before the messages: no route step may start for a client that has left.
             if not self.receive():
                 self.reason = "left"
                 return None
-            if self.inbox:
-                raise lines.Garbled("sent before its answer")
-            for message in self.take():
+            if self.input_buffer:
+                raise lines.MalformedLine("input received before the answer was sent")
+            for message in self.take_messages():
                 if isinstance(message, RouteStep):
-                    left = wait_left(self)
-                    self._take_step(message.destination, min(message.wait or left, left))
-                elif isinstance(message, Up):
-                    self._stand(message)
+                    remaining_ms = remaining_wait_ms(self)
+                    self._start_route_step(
+                        message.destination, min(message.timeout_ms or remaining_ms, remaining_ms)
+                    )
+                elif isinstance(message, ConnectionEstablished):
+                    self._establish(message)
                     return None
-                elif isinstance(message, Over):
-                    self.step = None
-                    self.ran = self.ran or message.outcome not in UNRUN
-                    if not self.asked:
+                elif isinstance(message, ConnectionEnded):
+                    self.route_step = None
+                    self.may_have_run = self.may_have_run or message.outcome not in NOT_EXECUTED
+                    if not self.at_decider:
                         self.reason = f"kept-{message.outcome.value}"
                         return lines.ERR
-                    self._step_over(message.outcome, message.elapsed, final=False)
+                    self._finish_route_step(message.outcome, message.elapsed_ms, final=False)
                 elif isinstance(message, BusyReply):
-                    self.asked, self.reason = False, "busy"
-                    return lines.busy(message.retry_after)
+                    self.at_decider = False
+                    self.reason = "busy"
+                    return lines.busy_line(message.retry_after_ms)
                 elif isinstance(message, FailReply):
-                    self.asked, self.reason = False, "failed"
+                    self.at_decider = False
+                    self.reason = "failed"
                     return lines.ERR
-                elif isinstance(message, Closing):
+                elif isinstance(message, ShuttingDown):
                     self.reason = "draining"
-                    harmless = self.asked and self.step is None and not self.ran
-                    return lines.busy(self.house.come_again_ms()) if harmless else lines.ERR
-            if late:
-                # The decider answers before this; a fault in it must not leave the client without.
+                    safe_to_retry = self.at_decider and self.route_step is None and not self.may_have_run
+                    return lines.busy_line(self.host.retry_after_ms()) if safe_to_retry else lines.ERR
+            if deadline_passed:
+                # The decider normally answers earlier; this guards against a fault in it.
                 self.reason = "overdue"
                 return lines.ERR
-            # One turn more: an UP that came in this one is still on its way here.
-            late = bool(woke & TIME)
+            # Wait for one more turn, because an UP that was read in this turn is not delivered yet.
+            deadline_passed = bool(wake_flags & TIMED_OUT)
 
-    def _take_step(self, destination: int, wait_ms: float) -> None:
-        assert self.ask is not None
-        self.number = destination
-        address = self.house.address(destination)
+    def _start_route_step(self, destination: int, wait_ms: float) -> None:
+        assert self.request is not None
+        self.destination_number = destination
+        address = self.host.destination_address(destination)
         if address is None or wait_ms <= 0:
-            self.post(Over(Outcome.CONNECT_FAILED if address is None else Outcome.UNSENT, 0.0))
+            self.post(ConnectionEnded(Outcome.CONNECT_FAILED if address is None else Outcome.UNSENT, 0.0))
             return
         try:
-            self.step = Destination(
+            self.route_step = Destination(
                 self.loop,
                 self,
                 destination,
                 address,
-                lines.with_wait(self.ask.opening.line, wait_ms),
+                lines.with_wait(self.request.opening.line, wait_ms),
                 wait_ms / 1000.0,
-                self.house.connect_wait,
-                self.house.gauge,
+                self.host.connect_timeout_s,
+                self.host.delay_monitor,
             )
         except OSError as error:
-            # No descriptor for it: the client is still owed its one answer.
-            self.loop.log.event("route-step-failed", "route step: {error}", error=str(error))
-            self.post(Over(Outcome.CONNECT_FAILED, 0.0))
+            # No descriptor is left for the route step; the client must still be answered.
+            self.loop.log.event("route-step-failed", "route step failed: {error}", error=str(error))
+            self.post(ConnectionEnded(Outcome.CONNECT_FAILED, 0.0))
             return
-        self.step.start()
-
-    def _stand(self, message: Up) -> None:
-        assert self.ask is not None
-        self.up, self.other, self.reason = True, self.step, "client-ended"
-        self.out += message.line
-        if self.asked:
-            self.ask.post(StepUp(self, self.number, message.elapsed))
+        self.route_step.start()
+
+    def _establish(self, message: ConnectionEstablished) -> None:
+        assert self.request is not None
+        self.established = True
+        self.other_side = self.route_step
+        self.reason = "client-ended"
+        self.output_buffer += message.line
+        if self.at_decider:
+            self.request.post(RouteStepEstablished(self, self.destination_number, message.elapsed_ms))
         else:
-            self.ask.kept(self.number)
-        self.house.path.stands(self.ask)
+            self.request.report_resumed(self.destination_number)
+        self.host.request_path.on_established(self.request)
         self.flush()
 
-    def _step_over(self, outcome: Outcome, elapsed: float, final: bool) -> None:
-        self.step = None
-        assert self.ask is not None
-        if self.asked or self.up:
-            self.ask.post(StepEnded(self, self.number, outcome, elapsed, final))
+    def _finish_route_step(self, outcome: Outcome, elapsed_ms: float, final: bool) -> None:
+        self.route_step = None
+        assert self.request is not None
+        if self.at_decider or self.established:
+            self.request.post(RouteStepEnded(self, self.destination_number, outcome, elapsed_ms, final))
         if final:
-            self.house.path.over(self.ask)
-
-    def _answer(self, line: bytes) -> Steps:
-        """Send the final answer and end the connection; what the client still sends is passed over."""
-        self._leave()
-        self.asked = False
-        self.house.asks_no_more(self)  # and is the first to end where room is wanted
-        self.inbox.clear()
-        self.out += line
-        self.closing, self.other = True, None
-        self.answered = self.loop.clock()
-        self.start_grace()
+            self.host.request_path.on_ended(self.request)
+
+    def _send_answer(self, line: bytes) -> Coroutine:
+        """Send the final answer and end the connection; further input is discarded."""
+        self._release_request()
+        self.at_decider = False
+        self.host.on_answered(self)
+        self.input_buffer.clear()
+        self.output_buffer += line
+        self.closing = True
+        self.other_side = None
+        self.answered_at = self.loop.clock()
+        self.start_close_deadline()
         try:
             self.flush()
             yield from self.relay()
         except OSError:
-            pass  # answered; the client may have gone meanwhile
-
-    def still_sending(self) -> None:
-        """Who sends 60 MB may read the answer only after the last of them: there is more grace till then."""
-        if self.other is None:
-            self.grace = min(self.loop.clock() + GRACE, self.answered + LINGER)
-
-    def on_mail(self, message: object) -> None:
-        if isinstance(message, MakeRoom):
-            # Only who has its answer on the wire: closed under it, the answer might be lost.
-            if self.other is None and not self.out and self.loop.clock() - self.answered >= SETTLE:
+            pass  # the answer has been sent; the client may have left
+
+    def on_input_discarded(self) -> None:
+        """Extend the close deadline: a client that sends 60 MB may read the answer only after sending it."""
+        if self.other_side is None:
+            self.close_deadline = min(self.loop.clock() + CLOSE_GRACE_S, self.answered_at + MAX_LINGER_S)
+
+    def on_message(self, message: object) -> None:
+        if isinstance(message, EvictIdle):
+            # Close only if the answer has been written, since it might be lost otherwise.
+            if (
+                self.other_side is None
+                and not self.output_buffer
+                and self.loop.clock() - self.answered_at >= MIN_IDLE_S
+            ):
                 self.read_done = self.write_done = True
-        elif isinstance(message, Closing):
-            if self.other is not None:
-                self.on_mail(MoveAway("draining"))
+        elif isinstance(message, ShuttingDown):
+            if self.other_side is not None:
+                self.on_message(MoveAway("draining"))
         elif isinstance(message, MoveAway):
             if not self.closing:
-                self.reason, self.closing = message.reason, True
-                self.out += lines.MOVE  # `out` holds whole lines only
-                self.tell(End())
-                self.start_grace()
-        elif isinstance(message, Load):
-            if self.ask is not None:
-                self.ask.post(message)
-                self.house.path.load(self.ask, message.load)
-        elif isinstance(message, Over):
-            if self.step is not None:
+                self.reason = message.reason
+                self.closing = True
+                self.output_buffer += lines.MOVE  # the buffer holds whole lines only
+                self.notify_other_side(PeerEnded())
+                self.start_close_deadline()
+        elif isinstance(message, LoadReport):
+            if self.request is not None:
+                self.request.post(message)
+                self.host.request_path.on_load(self.request, message.load)
+        elif isinstance(message, ConnectionEnded):
+            if self.route_step is not None:
                 if not self.closing and not self.read_done:
                     self.reason = f"destination-{message.outcome.value}"
-                self._step_over(message.outcome, message.elapsed, final=True)
+                self._finish_route_step(message.outcome, message.elapsed_ms, final=True)
         else:
-            if isinstance(message, End) and message.reset and not self.closing:
+            if isinstance(message, PeerEnded) and message.reset and not self.closing:
                 self.reason = "destination-reset"
-            super().on_mail(message)
+            super().on_message(message)
 
 
-def wait_left(front: Front) -> float:
-    """Ms until the client gives up."""
-    return 1000.0 * (front.until - front.loop.clock())
+def remaining_wait_ms(front: Front) -> float:
+    """Returns the time in ms until the client stops waiting for the answer."""
+    return 1000.0 * (front.answer_deadline - front.loop.clock())
--- a/snowwick/net/host.py
+++ b/snowwick/net/host.py
@@ -1,7 +1,7 @@
-"""What a fleet link needs of the balancer whose place in the fleet it holds, and nothing else of it.
+"""The interface that a fleet link needs from the balancer it belongs to.
 
-Declared apart, so that the link and the balancer do not import each other, and so that the link can be
-carried by something that is no balancer (snowwick/lab/hollow.py).
+A separate module, so that the link and the balancer do not import each other, and so that the link also runs
+in a host that is not a balancer (snowwick/lab/hollow.py).
 """
 
 from __future__ import annotations
@@ -11,36 +11,37 @@
 
 if TYPE_CHECKING:
     from snowwick.net.contracts import ContractStage
-    from snowwick.net.decider import PoolNews, Silent
+    from snowwick.net.decider import DestinationSilent, PoolUpdate
     from snowwick.net.loop import Loop
     from snowwick.net.pool import PoolConfig
 
 
-class Host(Protocol):
-    """Carries one fleet link."""
+class FleetHost(Protocol):
+    """Owner of a fleet link."""
 
     @property
     def loop(self) -> Loop:
-        """On which the link runs."""
+        """The event loop that runs the link."""
 
     @property
     def pool_config(self) -> PoolConfig:
-        """Discovery's list as it was read last."""
+        """Discovery's list of destinations as last received."""
 
     @property
     def contract_stage(self) -> ContractStage | None:
-        """Holds requests to the contracts; None where there are none."""
+        """Enforces the contracts; None without contracts."""
 
-    def served(self) -> Iterable[tuple[int, float]]:
-        """The destinations that connections stand at, each with when it last answered a line, in s on the
-        loop's clock.
+    def last_answer_times(self) -> Iterable[tuple[int, float]]:
+        """The destinations with connections, each with the time of its last answered line.
+
+        Times are in seconds on the loop's clock.
         """
 
-    def held(self) -> Iterable[Mapping[int, int]]:
-        """How many connections stand or are being set up at each destination, one mapping for each pool."""
+    def connection_counts(self) -> Iterable[Mapping[int, int]]:
+        """The number of connections, including those being set up, by destination; one mapping per pool."""
 
-    def hear(self, message: Silent) -> None:
-        """A destination answers nobody, by what others say."""
+    def report_silent(self, message: DestinationSilent) -> None:
+        """Called when, according to other members, a destination answers no requests."""
 
-    def news(self, news: PoolNews) -> None:
-        """Destinations leave, or come back, by what others say."""
+    def apply_pool_news(self, news: PoolUpdate) -> None:
+        """Called when, according to other members, destinations are leaving or have returned."""
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -1,8 +1,8 @@
-"""The path of a request: stages that it enters one after another, each of which may turn it away.
+"""The request path: a sequence of stages, each of which may reject the request.
 
-A stage that a request has entered is told when the connection stands, what load it brings, and once,
-whatever happened, that it is over.  Only the path counts which stages were entered, so that no stage can be
-left twice.
+Each stage that a request has entered is notified when the connection is established, of each load that is
+reported for it, and exactly once when it has ended, for whatever reason.  Only the path keeps track of the
+stages that were entered, so that no stage is notified of the end twice.
 """
 
 from __future__ import annotations
@@ -11,41 +11,45 @@
 from dataclasses import dataclass
 
 from snowwick.net import lines
-from snowwick.net.decider import Arrived, Client, Decider, Kept
+from snowwick.net.decider import Client, ConnectionRequested, ConnectionResumed, Decider
 
-MARGIN = 20.0  # ms taken off the client's patience, so that the answer is there in time
+ANSWER_MARGIN_MS = 20.0  # subtracted from the client's wait, so that the answer arrives in time
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
-    """One client's request and the connection it becomes; ``wait`` is in ms."""
+class Request:
+    """One client's request, and the connection that is established for it."""
 
     client: Client
     opening: lines.Opening
     class_name: str
     tenant: str
     group: str
-    wait: float
-    at: str = ""  # the destination where the connection stood before this program started
+    wait_ms: float
+    resumed_destination: str = ""  # where the connection was established before this program started
     decider: Decider | None = None
     team: str = ""
     lease: object | None = None
-    entered: int = 0
+    stages_entered: int = 0
 
     def post(self, message: object) -> None:
-        """Tell whoever decides on it; before that is settled nobody needs to know."""
+        """Pass a message to the request's decider; dropped as long as no decider is assigned."""
         if self.decider is not None:
             self.decider.post(message)
 
-    def kept(self, destination: int) -> None:
-        """Tell the decider of a connection that it never placed."""
-        self.post(Kept(self.client, self.class_name, destination, self.opening.key, self.group, self.tenant))
+    def report_resumed(self, destination: int) -> None:
+        """Report to the decider a connection that was placed before this program started."""
+        self.post(
+            ConnectionResumed(
+                self.client, self.class_name, destination, self.opening.key, self.group, self.tenant
+            )
+        )
 
 
-def ask_of(client: Client, opening: lines.Opening, groups: bool) -> Ask:
-    """What an opening line asks for; ``groups`` says whether the settings give ``g`` a meaning."""
+def make_request(client: Client, opening: lines.Opening, groups: bool) -> Request:
+    """Build the request of an opening line; ``groups`` says whether the settings use the value ``g``."""
     values = opening.values
-    return Ask(
+    return Request(
         client,
         opening,
         values.get("c", ""),
@@ -57,8 +61,8 @@
 
 
 @dataclass(slots=True)
-class Turned:
-    """The request ends at this stage: its final answer, the reason code and more for the log."""
+class Rejection:
+    """The final answer to a request that a stage rejects, with the reason code and a detail for the log."""
 
     line: bytes
     reason: str
@@ -66,101 +70,101 @@
 
 
 class Stage:
-    """One step of the path.  What it does not override is of no interest to it."""
+    """One stage of the request path; by default it accepts every request and ignores all notifications."""
 
-    def enter(self, ask: Ask) -> Turned | None:
-        """Let the request on, or say how it ends; who turns it away is not told that it is over."""
+    def enter(self, request: Request) -> Rejection | None:
+        """Accept the request (None) or reject it; a stage is not notified of the end of what it rejects."""
         return None
 
-    def stands(self, ask: Ask) -> None:
-        """The connection is up."""
+    def on_established(self, request: Request) -> None:
+        """Called when the connection is established."""
 
-    def load(self, ask: Ask, figure: float) -> None:
-        """The work a second that the connection asks for now."""
+    def on_load(self, request: Request, load_per_s: float) -> None:
+        """Called with the connection's current load, in units of work per second."""
 
-    def over(self, ask: Ask) -> None:
-        """Nothing of it is left at a destination, or it never got there: once for each that entered."""
+    def on_ended(self, request: Request) -> None:
+        """Called once per accepted request, when no connection to a destination remains or none was made."""
 
 
-class Path:
-    """The stages in order."""
+class RequestPath:
+    """Runs requests through the stages in order."""
 
     def __init__(self, stages: Sequence[Stage]) -> None:
         self.stages = list(stages)
 
-    def enter(self, ask: Ask) -> Turned | None:
+    def enter(self, request: Request) -> Rejection | None:
         for stage in self.stages:
-            turned = stage.enter(ask)
-            if turned is not None:
-                self.over(ask)
-                return turned
-            ask.entered += 1
+            rejection = stage.enter(request)
+            if rejection is not None:
+                self.on_ended(request)
+                return rejection
+            request.stages_entered += 1
         return None
 
-    def stands(self, ask: Ask) -> None:
-        for stage in self.stages[: ask.entered]:
-            stage.stands(ask)
+    def on_established(self, request: Request) -> None:
+        for stage in self.stages[: request.stages_entered]:
+            stage.on_established(request)
 
-    def load(self, ask: Ask, figure: float) -> None:
-        for stage in self.stages[: ask.entered]:
-            stage.load(ask, figure)
+    def on_load(self, request: Request, load_per_s: float) -> None:
+        for stage in self.stages[: request.stages_entered]:
+            stage.on_load(request, load_per_s)
 
-    def over(self, ask: Ask) -> None:
-        entered, ask.entered = ask.entered, 0
-        for stage in reversed(self.stages[:entered]):
-            stage.over(ask)
+    def on_ended(self, request: Request) -> None:
+        stages_entered, request.stages_entered = request.stages_entered, 0
+        for stage in reversed(self.stages[:stages_entered]):
+            stage.on_ended(request)
 
 
-class Openings(Stage):
-    """The opening line holds what a usual client sends, and its id is open once only."""
+class OpeningStage(Stage):
+    """Rejects malformed opening lines, and ids that another open connection already uses."""
 
     def __init__(self, deadlines: Mapping[str, float], tenants: frozenset[str]) -> None:
         self.deadlines, self.tenants = deadlines, tenants
-        self.open: dict[str, Ask] = {}
+        self.open_requests: dict[str, Request] = {}
 
-    def enter(self, ask: Ask) -> Turned | None:
+    def enter(self, request: Request) -> Rejection | None:
         try:
-            lines.check_opening(ask.opening, self.deadlines, self.tenants)
-        except lines.Garbled as error:
-            return Turned(lines.ERR, "garbled", str(error))
-        if ask.opening.id in self.open:
-            return Turned(lines.ERR, "garbled", "id is open already")
-        self.open[ask.opening.id] = ask
+            lines.check_opening(request.opening, self.deadlines, self.tenants)
+        except lines.MalformedLine as error:
+            return Rejection(lines.ERR, "garbled", str(error))
+        if request.opening.id in self.open_requests:
+            return Rejection(lines.ERR, "garbled", "id is already in use by another connection")
+        self.open_requests[request.opening.id] = request
         return None
 
-    def over(self, ask: Ask) -> None:
-        del self.open[ask.opening.id]
+    def on_ended(self, request: Request) -> None:
+        del self.open_requests[request.opening.id]
 
 
-class Room(Stage):
-    """The program itself: while it ends, or is short of descriptors, nothing more is begun."""
+class CapacityStage(Stage):
+    """Rejects requests while the program shuts down or is short of descriptors."""
 
-    def __init__(self, full: Callable[[], str], come_again_ms: Callable[[], float]) -> None:
-        self.full, self.come_again_ms = full, come_again_ms
+    def __init__(self, rejection_reason: Callable[[], str], retry_after_ms: Callable[[], float]) -> None:
+        self.rejection_reason, self.retry_after_ms = rejection_reason, retry_after_ms
 
-    def enter(self, ask: Ask) -> Turned | None:
-        reason = self.full()
-        return Turned(lines.busy(self.come_again_ms()), reason) if reason else None
+    def enter(self, request: Request) -> Rejection | None:
+        reason = self.rejection_reason()
+        return Rejection(lines.busy_line(self.retry_after_ms()), reason) if reason else None
 
 
-class Decisions(Stage):
-    """The module: ``choose`` names the decider of an ask that no earlier stage has given one."""
+class DeciderStage(Stage):
+    """Passes the request to its decider; ``choose_decider`` picks one if no earlier stage has assigned it."""
 
-    def __init__(self, choose: Callable[[Ask], Decider]) -> None:
-        self.choose = choose
+    def __init__(self, choose_decider: Callable[[Request], Decider]) -> None:
+        self.choose_decider = choose_decider
 
-    def enter(self, ask: Ask) -> Turned | None:
-        if ask.decider is None:
-            ask.decider = self.choose(ask)
-        if not ask.at:
-            ask.post(
-                Arrived(
-                    ask.client,
-                    ask.class_name,
-                    max(0.0, ask.wait - MARGIN),
-                    ask.opening.key,
-                    ask.group,
-                    ask.tenant,
+    def enter(self, request: Request) -> Rejection | None:
+        if request.decider is None:
+            request.decider = self.choose_decider(request)
+        if not request.resumed_destination:
+            request.post(
+                ConnectionRequested(
+                    request.client,
+                    request.class_name,
+                    max(0.0, request.wait_ms - ANSWER_MARGIN_MS),
+                    request.opening.key,
+                    request.group,
+                    request.tenant,
                 )
             )
         return None
--- a/snowwick/net/signals.py
+++ b/snowwick/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals as bytes in a socket: none that comes early may end the program or be lost."""
+"""Receives signals as bytes on a socket, so that an early signal neither ends the program nor is lost."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 import socket
 
 
-class CaughtSignals:
-    """SIGTERM, SIGINT and SIGHUP are written to ``inner`` from now on; imports little, to be first."""
+class SignalSockets:
+    """Makes SIGTERM, SIGINT and SIGHUP readable from ``read_end``.
+
+    The module imports little, so that signals are caught before the rest of the program is loaded.
+    """
 
     def __init__(self) -> None:
-        self.inner, self.outer = socket.socketpair()
-        for end in (self.inner, self.outer):
+        self.read_end, self.write_end = socket.socketpair()
+        for end in (self.read_end, self.write_end):
             end.setblocking(False)
-        signal.set_wakeup_fd(self.outer.fileno(), warn_on_full_buffer=False)
+        signal.set_wakeup_fd(self.write_end.fileno(), warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: None)
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -62,7 +62,7 @@
 
 
 def held(world: World) -> dict[str, float]:
-    return {name: team.seats.held for name, team in stage(world).ledger.teams.items()}
+    return {name: team.connection_share.in_use for name, team in stage(world).admission.teams.items()}
 
 
 def listed(world: World, **kinds: str) -> dict[str, Any]:
@@ -85,7 +85,9 @@
 @pytest.fixture
 def pools() -> Iterator[World]:
     one = World(POOLS, settings=TEAMS)
-    one.service.desks.news(one.service.pool.config.take(listed(one, s_1="k1", s_2="k2"), None))
+    one.service.pool_deciders.apply_update(
+        one.service.pool.config.apply(listed(one, s_1="k1", s_2="k2"), None)
+    )
     yield one
     one.close()
 
@@ -139,9 +141,9 @@
     world.play(scenario)
     world.until(lambda: not world.service.fronts)
     world.settle()
-    assert held(world) == {"x": 0, "y": 0} and stage(world).ledger.seats.total == 0
+    assert held(world) == {"x": 0, "y": 0} and stage(world).admission.connection_budget.total_in_use == 0
     assert f" {reason} " in world.sink.getvalue() and "team=x" in world.sink.getvalue()
-    assert not world.loop.sockets
+    assert not world.loop.open_sockets
 
 
 def test_what_is_held_is_free_as_soon_as_its_destination_has_ended(world: World) -> None:
@@ -159,7 +161,7 @@
     def fault(_: object) -> None:
         raise RuntimeError("on purpose")
 
-    monkeypatch.setattr(front, "on_mail", fault)
+    monkeypatch.setattr(front, "on_message", fault)
     world.play("d1 send M\nc1 end\nd1 end")
     assert held(world) == {"x": 0, "y": 0} and "on purpose" in world.sink.getvalue()
 
@@ -181,12 +183,14 @@
 
 def test_a_team_s_requests_go_to_its_pool_only(pools: World) -> None:
     """With every destination of one pool gone its requests are answered at once, the other pool's served."""
-    numbers = {name: pools.service.number(name) for name in ("s-1", "s-2")}
+    numbers = {name: pools.service.destination_number(name) for name in ("s-1", "s-2")}
     pools.play("".join(up(n, "mn"[n % 2]) for n in range(1, 7)))
-    where = {(front.ask.tenant, front.number) for front in pools.service.fronts if front.ask}
+    where = {
+        (front.request.tenant, front.destination_number) for front in pools.service.fronts if front.request
+    }
     assert where == {("n", numbers["s-1"]), ("m", numbers["s-2"])}
     gone = {"version": 2, "full": False, "servers": [World.server("s-2", pools.servers, "terminated")]}
-    pools.service.desks.news(pools.service.pool.config.take(gone))
+    pools.service.pool_deciders.apply_update(pools.service.pool.config.apply(gone))
     pools.play(asks(7, "m") + "c7 expect BUSY *\nc7 end\nc7 close\n" + up(8, "n", 7))
     assert " no-destinations " in pools.sink.getvalue() and held(pools) == {"x": 4, "y": 3}
 
@@ -201,12 +205,12 @@
             World.server("s-3", pools.servers, kind="k2"),
         ],
     }
-    pools.service.desks.news(pools.service.pool.config.take(rows))
+    pools.service.pool_deciders.apply_update(pools.service.pool.config.apply(rows))
     for _ in range(6):
         pools.wait(500)
     pools.play("c1 expect MOVE\nc1 end\nc2 quiet\nc1 close\n" + up(3, "m"))
-    (third,) = (front for front in pools.service.fronts if front.ask and front.ask.opening.id == "3")
-    assert third.number == pools.service.number("s-3")
+    (third,) = (front for front in pools.service.fronts if front.request and front.request.opening.id == "3")
+    assert third.destination_number == pools.service.destination_number("s-3")
 
 
 def test_reload_under_traffic_takes_a_whole_file_or_nothing(world: World) -> None:
@@ -235,7 +239,7 @@
     for _ in range(20):
         world.wait(60)
     world.play("c5 expect MOVE\nc5 end\n" + asks(7, "m") + "c7 expect BUSY *\nc7 end\nc1 send M\nd1 expect M")
-    assert held(world) == {"x": 2} and stage(world).ledger.seats.total == 2
+    assert held(world) == {"x": 2} and stage(world).admission.connection_budget.total_in_use == 2
 
 
 def test_reload_that_gives_a_team_another_pool_moves_it_there(pools: World) -> None:
@@ -247,9 +251,11 @@
     pools.play(
         "c2 expect MOVE\nc2 end\nc2 close\n" + up(3, "m") + "c1 quiet\n" + asks(4) + "d4 expect OPEN 4 *"
     )
-    pools.service.desks.news(pools.service.pool.config.take(listed(pools, s_1="k1", s_2="k2")))
+    pools.service.pool_deciders.apply_update(
+        pools.service.pool.config.apply(listed(pools, s_1="k1", s_2="k2"))
+    )
     pools.settle()
-    assert set(pools.service.desks.deciders) == {"all", "c"} and held(pools) == {"x": 2, "y": 1}
+    assert set(pools.service.pool_deciders.by_pool) == {"all", "c"} and held(pools) == {"x": 2, "y": 1}
 
 
 def test_a_drain_goes_on_through_a_reload(tmp_path: Path) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,9 +15,9 @@
 
 from snowwick.net.decider import MoveAway, RouteStep
 from snowwick.net.destination import Destination
-from snowwick.net.front import Closing, Front, MakeRoom
-from snowwick.net.loop import Actor, Steps
-from snowwick.net.pool import number_of
+from snowwick.net.front import EvictIdle, Front, ShuttingDown
+from snowwick.net.loop import Actor, Coroutine
+from snowwick.net.pool import destination_number
 from snowwick.net.service import Service
 
 OPEN = "OPEN 1 k1 d=1200,c=feed,t=n,g=g1"
@@ -61,7 +61,9 @@
     world.until(lambda: not world.service.fronts)
     world.settle()
     balancer = world.service.decider.balancer
-    assert world.loop.sockets == 0 and not balancer.flows and not world.service.decider.held()
+    assert (
+        world.loop.open_sockets == 0 and not balancer.flows and not world.service.decider.connection_counts()
+    )
     assert "fault" not in world.sink.getvalue(), world.sink.getvalue()
 
 
@@ -77,7 +79,7 @@
     if why == "time":
         world.clock.now += 2.1
     else:
-        front.post(MakeRoom())
+        front.post(EvictIdle())
     world.play("d1 expect OPEN 1 *\nd1 send UP r1\nc1 expect UP r1")
 
 
@@ -97,7 +99,7 @@
     if why == "time":
         world.clock.now += 2.1
     else:
-        front.post(MakeRoom())
+        front.post(EvictIdle())
     world.play("c1 end\nc1 close")
     nothing_is_left(world)
     assert not world.arrived
@@ -145,7 +147,7 @@
 
 def waits(world: World, monkeypatch: pytest.MonkeyPatch) -> Front:
     """A request that the module holds."""
-    monkeypatch.setattr(world.service.decider.balancer, "_choose", lambda flow: None)
+    monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
     world.play(f"c1 send {OPEN}\nc1 quiet")
     return front_of(world)
 
@@ -159,7 +161,7 @@
         world.after_look(lambda: world.leave("c1"))
     else:
         world.leave("c1", reset=how == "reset")
-    front.post(RouteStep(number_of("s-1"), 500.0))
+    front.post(RouteStep(destination_number("s-1"), 500.0))
     nothing_is_left(world)
     assert not world.arrived
 
@@ -173,11 +175,11 @@
     world.leave("c1")
     (flow,) = balancer.flows.values()
     world.first(front)
-    world.after_look(lambda: setattr(balancer, "pump_at", 0.0))
+    world.after_look(lambda: setattr(balancer, "buffer_check_at", 0.0))
     balancer.throttle.waiting = []
-    balancer.now, balancer.out = world.service.now_ms(), []
-    assert balancer._send(flow, asked=True)
-    for action in balancer.out:
+    balancer.now, balancer.pending_actions = world.service.now_ms(), []
+    assert balancer._start_attempt(flow, probed=True)
+    for action in balancer.pending_actions:
         world.service.decider._carry_out(action)
     nothing_is_left(world)
     assert not world.arrived
@@ -198,7 +200,7 @@
     rests(world)
     world.put("c1", OPEN)
     while not any(isinstance(one, Destination) for one in world.loop.actors):
-        world.loop.turn(0.0)
+        world.loop.run_once(0.0)
     if how == "close":
         world.leave("c1")
     else:
@@ -239,7 +241,7 @@
     """The front was resumed before the attempt that had read its UP."""
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
     world.put("d1", "UP r1")
-    world.service.decider.alarms.clear()
+    world.service.decider.timers.clear()
     front, ready = front_of(world), world.loop.ready
 
     def front_first() -> None:
@@ -289,7 +291,7 @@
 def test_server_that_hangs_after_its_up_loses_its_client_within_seven_seconds(
     world: World, said: str
 ) -> None:
-    world.service.gauge.tell = lambda _: None
+    world.service.delay_monitor.report = lambda _: None
     world.play(UP + "c1 send M 1\nd1 expect M 1\nc1 send M 2\nd1 expect M 2")
     if said:
         world.play(f"d1 part {said[:-1]}" if said.endswith("M") and len(said) > 1 else f"d1 send {said}")
@@ -335,7 +337,7 @@
     world.before(
         front,
         "close",
-        lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK)) if front.stirred() else 0),
+        lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK)) if front.has_unread_input() else 0),
     )
     client.sendall(b"M 1\r\n")
     world.clock.now += 0.6
@@ -350,10 +352,10 @@
     world.play(UP)
     front, client, server = front_of(world), world.socks.pop("c1"), world.socks["d1"]
     line, sent = b"M " + b"x" * 4000 + b"\r\n", 0
-    while len(front.out) < 16384:
+    while len(front.output_buffer) < 16384:
         with contextlib.suppress(BlockingIOError):
             sent += server.send(line[sent % len(line) :])
-        world.loop.turn(0.0)
+        world.loop.run_once(0.0)
     front.post(MoveAway("test"))
     world.wait(600)
     got = bytearray()
@@ -383,11 +385,11 @@
     """The row of those without a request held who had just been answered too."""
     world.play(f"c1 send {OPEN} x\nc1 expect ERR")
     front = front_of(world)
-    front.post(MakeRoom())
+    front.post(EvictIdle())
     world.settle()
     assert world.service.fronts == {front}
     world.clock.now += 0.06
-    front.post(MakeRoom())
+    front.post(EvictIdle())
     world.until(lambda: not world.service.fronts)
 
 
@@ -402,7 +404,7 @@
         self.service, self.over = service, False
         self.start()
 
-    def run(self) -> Steps:
+    def run(self) -> Coroutine:
         yield from self.service.drain()
         self.over = True
 
@@ -425,8 +427,8 @@
     ending = Ending(world.service)
     front = rests(world)
     passes(world, lambda: world.clock.now >= 1001.3, 2.0)
-    assert not front.mail
-    front.post(Closing())
+    assert not front.mailbox
+    front.post(ShuttingDown())
     world.put("c1", OPEN)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
     passes(world, lambda: ending.over, 1.0)
@@ -452,7 +454,7 @@
     classes = [{"name": "feed", "aim": 300.0, "deadline": 9000.0, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     if not ran:
-        monkeypatch.setattr(world.service.decider.balancer, "_choose", lambda flow: None)
+        monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
     world.play("c1 send OPEN 1 k1 d=9000,c=feed,t=n\nc1 quiet" + "\nd1 expect OPEN *" * ran)
     ending = Ending(world.service)
     assert passes(world, lambda: world.got["c1"], 3.5) >= 3.0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,12 +6,12 @@
 import math
 from typing import Any
 
-from harness import BASE, Bench, ready
+from harness import BASE_SETTINGS, BalancerHarness, ready_entries
 from test_contracts_net import POOLS
 from wire import SETTINGS, World
 
 from crowgap import interface as i
-from crowgap.benchlink import Link
+from crowgap.benchlink import Adapter
 
 QUOTAS: dict[str, Any] = {
     **SETTINGS,
@@ -24,18 +24,20 @@
     """Its module kept the quotas of the former contract, and so its guess of what servers hold."""
     world = World(POOLS, settings=QUOTAS)
     rows = [world.server("s-1", world.servers, kind="k1"), world.server("s-2", world.servers, kind="k2")]
-    world.service.desks.news(world.service.pool.config.take({"version": 2, "full": True, "servers": rows}))
+    world.service.pool_deciders.apply_update(
+        world.service.pool.config.apply({"version": 2, "full": True, "servers": rows})
+    )
     world.settle()
-    modules = {name: one.balancer for name, one in world.service.desks.deciders.items()}
-    assert {name: one.quota for name, one in modules.items()} == {"all": 100.0, "b": 30.0}
-    unit = modules["b"].unit
+    modules = {name: one.balancer for name, one in world.service.pool_deciders.by_pool.items()}
+    assert {name: one.total_quota for name, one in modules.items()} == {"all": 100.0, "b": 30.0}
+    unit = modules["b"].capacity_per_weight
     assert unit < math.inf
     world.contracts = POOLS.replace('["m"]', '["m", "free"]')
     world.service.reload()
     world.settle()
-    assert {name: one.quota for name, one in modules.items()} == {"all": 100.0, "b": 37.0}
+    assert {name: one.total_quota for name, one in modules.items()} == {"all": 100.0, "b": 37.0}
     assert {one.name for one in modules["b"].settings.tenants} == {"m", "free"}
-    assert modules["b"].unit == unit * 37.0 / 30.0
+    assert modules["b"].capacity_per_weight == unit * 37.0 / 30.0
     world.close()
 
 
@@ -67,17 +69,17 @@
 
 
 def test_instance_that_is_attached_again_with_other_settings_keeps_nothing() -> None:
-    link = Link()
+    adapter = Adapter()
 
     def attach(name: str, effect: str) -> None:
         setup = {"classes": [{"name": name, "deadline": 1000.0, "effect": effect}]}
         event = {"verb": "ATTACH", "i": 1, "salt": 5, "setup": setup}
-        link.batch(json.dumps({"moment": 1, "input": [event]}))
+        adapter.answer_batch(json.dumps({"moment": 1, "input": [event]}))
 
     attach("a", "read_like")
-    first = link.balancers[1]
+    first = adapter.balancers[1]
     attach("b", "non_idempotent")
-    second = link.balancers[1]
+    second = adapter.balancers[1]
     assert first is not None and second is not None and second is not first
     assert second.classes.keys() == {"b"} and second.classes["b"].effect is i.Effect.UNSAFE
     assert first.classes.keys() == {"a"}
@@ -85,12 +87,12 @@
 
 def test_balancers_share_no_mutable_state() -> None:
     """Defaults and class attributes: what one learns must not show in the next."""
-    one = Bench()
+    one = BalancerHarness()
     for n in range(20):
-        for send in one.ask(n, f"g{n}"):
+        for send in one.send_request(n, f"g{n}"):
             if isinstance(send, i.Send):
-                one.stand(send)
-    two = Bench()
-    assert not two.balancer.flows and not two.balancer.groups and two.balancer.opened == 0
+                one.establish(send)
+    two = BalancerHarness()
+    assert not two.balancer.flows and not two.balancer.groups and two.balancer.open_connections == 0
     assert all(not b.flows for b in two.balancer.backends.values())
-    assert BASE.tenants == () and [b.backend for b in ready(1)] == [1]
+    assert BASE_SETTINGS.tenants == () and [b.backend for b in ready_entries(1)] == [1]
