--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -11,7 +11,7 @@
 
 import pytest
 from test_program import GOOD, address_in, program
-from wire import SETTINGS, World, listener
+from wire import SETTINGS, World, open_listener
 
 from snowwick.net.contracts import ContractStage
 
@@ -70,7 +70,8 @@
         "version": 1,
         "full": True,
         "servers": [
-            World.server(name.replace("_", "-"), world.servers, kind=kind) for name, kind in kinds.items()
+            World.list_entry(name.replace("_", "-"), world.destination_listener, kind=kind)
+            for name, kind in kinds.items()
         ],
     }
 
@@ -139,10 +140,10 @@
 )
 def test_what_is_held_is_given_back_once_however_it_ends(world: World, scenario: str, reason: str) -> None:
     world.play(scenario)
-    world.until(lambda: not world.service.fronts)
-    world.settle()
+    world.run_until(lambda: not world.service.fronts)
+    world.run_turns()
     assert held(world) == {"x": 0, "y": 0} and stage(world).admission.connection_budget.total_in_use == 0
-    assert f" {reason} " in world.sink.getvalue() and "team=x" in world.sink.getvalue()
+    assert f" {reason} " in world.log_output.getvalue() and "team=x" in world.log_output.getvalue()
     assert not world.loop.open_sockets
 
 
@@ -163,22 +164,22 @@
 
     monkeypatch.setattr(front, "on_message", fault)
     world.play("d1 send M\nc1 end\nd1 end")
-    assert held(world) == {"x": 0, "y": 0} and "on purpose" in world.sink.getvalue()
+    assert held(world) == {"x": 0, "y": 0} and "on purpose" in world.log_output.getvalue()
 
 
 def test_borrowers_are_moved_newest_first_when_the_owner_asks(world: World) -> None:
     world.play("".join(up(n) for n in range(1, 10)))  # six borrowed; one of y's four is the reserve
     world.play(asks(10) + "c10 expect BUSY [1-9]*\nc10 end")
     world.play(up(11, "m", 10) + "wait 60\nc9 expect MOVE\nc9 end\nd9 end\nc8 quiet\nc10 close\nwait 1")
-    assert " over-connections " in world.sink.getvalue()
+    assert " over-connections " in world.log_output.getvalue()
     world.play("c9 close\nwait 600\n" + asks(12) + "c12 expect BUSY [1-9]*\nc12 end")  # no ping-pong
-    assert "reclaimed" in world.sink.getvalue() and held(world) == {"x": 8, "y": 1}
+    assert "reclaimed" in world.log_output.getvalue() and held(world) == {"x": 8, "y": 1}
 
 
 def test_a_contract_bounds_the_wait_and_names_who_has_none(world: World) -> None:
     world.play(asks(1) + "d1 expect OPEN 1 k1 d=[1-5][0-9][0-9],*\nwait 595\nc1 expect BUSY *\nc1 end")
     world.play(asks(2, "free") + "c2 expect BUSY *\nc2 end\nc2 close\nwait 1")
-    assert " no-contract " in world.sink.getvalue()
+    assert " no-contract " in world.log_output.getvalue()
 
 
 def test_a_team_s_requests_go_to_its_pool_only(pools: World) -> None:
@@ -189,10 +190,14 @@
         (front.request.tenant, front.destination_number) for front in pools.service.fronts if front.request
     }
     assert where == {("n", numbers["s-1"]), ("m", numbers["s-2"])}
-    gone = {"version": 2, "full": False, "servers": [World.server("s-2", pools.servers, "terminated")]}
+    gone = {
+        "version": 2,
+        "full": False,
+        "servers": [World.list_entry("s-2", pools.destination_listener, "terminated")],
+    }
     pools.service.pool_deciders.apply_update(pools.service.pool.config.apply(gone))
     pools.play(asks(7, "m") + "c7 expect BUSY *\nc7 end\nc7 close\n" + up(8, "n", 7))
-    assert " no-destinations " in pools.sink.getvalue() and held(pools) == {"x": 4, "y": 3}
+    assert " no-destinations " in pools.log_output.getvalue() and held(pools) == {"x": 4, "y": 3}
 
 
 def test_a_destination_that_changes_its_kind_changes_pools(pools: World) -> None:
@@ -201,8 +206,8 @@
         "version": 2,
         "full": False,
         "servers": [
-            World.server("s-2", pools.servers, kind="k1"),
-            World.server("s-3", pools.servers, kind="k2"),
+            World.list_entry("s-2", pools.destination_listener, kind="k1"),
+            World.list_entry("s-3", pools.destination_listener, kind="k2"),
         ],
     }
     pools.service.pool_deciders.apply_update(pools.service.pool.config.apply(rows))
@@ -216,12 +221,12 @@
 def test_reload_under_traffic_takes_a_whole_file_or_nothing(world: World) -> None:
     world.play("".join(up(n) for n in range(1, 5)) + up(5, "m"))
     before = stage(world).contracts
-    world.contracts = CONTRACTS.replace("connections = 4", "connections = -4", 1)
-    world.setup["discovery"] = "127.0.0.1:9"
+    world.contracts_text = CONTRACTS.replace("connections = 4", "connections = -4", 1)
+    world.raw_config["discovery"] = "127.0.0.1:9"
     world.service.reload()
-    assert "teams.x.guarantee.connections: expected" in world.sink.getvalue()
+    assert "teams.x.guarantee.connections: expected" in world.log_output.getvalue()
     assert stage(world).contracts is before and world.service.config.discovery != ("127.0.0.1", 9)
-    world.contracts = CONTRACTS.replace(
+    world.contracts_text = CONTRACTS.replace(
         "guarantee = { connections = 4 }", "guarantee = { connections = 1 }\nceiling = { connections = 2 }", 1
     )
     world.service.reload()
@@ -234,7 +239,7 @@
         + "c6 expect BUSY *\nc6 end"
     )
     assert held(world) == {"x": 2, "y": 1}
-    world.contracts = world.contracts[: world.contracts.index("[teams.y]")]
+    world.contracts_text = world.contracts_text[: world.contracts_text.index("[teams.y]")]
     world.service.reload()
     for _ in range(20):
         world.wait(60)
@@ -244,7 +249,7 @@
 
 def test_reload_that_gives_a_team_another_pool_moves_it_there(pools: World) -> None:
     pools.play(up(1) + up(2, "m"))
-    pools.contracts = POOLS.replace('pool = "b"', 'pool = "c"').replace("pools.b", "pools.c")
+    pools.contracts_text = POOLS.replace('pool = "b"', 'pool = "c"').replace("pools.b", "pools.c")
     pools.service.reload()
     for _ in range(30):
         pools.wait(60)
@@ -254,15 +259,15 @@
     pools.service.pool_deciders.apply_update(
         pools.service.pool.config.apply(listed(pools, s_1="k1", s_2="k2"))
     )
-    pools.settle()
+    pools.run_turns()
     assert set(pools.service.pool_deciders.by_pool) == {"all", "c"} and held(pools) == {"x": 2, "y": 1}
 
 
 def test_a_drain_goes_on_through_a_reload(tmp_path: Path) -> None:
     """SIGTERM, then SIGHUP with a broken file: all are moved, nothing is reread, the end is orderly."""
-    servers, path, file = listener(), tmp_path / "config.json", tmp_path / "contracts.toml"
+    servers, path, file = open_listener(), tmp_path / "config.json", tmp_path / "contracts.toml"
     servers.settimeout(5.0)
-    known = {"version": 1, "full": True, "servers": [World.server("s-1", servers)]}
+    known = {"version": 1, "full": True, "servers": [World.list_entry("s-1", servers)]}
     path.write_text(json.dumps({**GOOD, "settings": TEAMS, "known": known}))
     file.write_text(CONTRACTS)
     with program(path, SNOWWICK_CONTRACTS=str(file)) as process:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -58,13 +58,13 @@
 
 def nothing_is_left(world: World) -> None:
     """No socket, no request in the module, nothing that it counts at a server."""
-    world.until(lambda: not world.service.fronts)
-    world.settle()
+    world.run_until(lambda: not world.service.fronts)
+    world.run_turns()
     balancer = world.service.decider.balancer
     assert (
         world.loop.open_sockets == 0 and not balancer.flows and not world.service.decider.connection_counts()
     )
-    assert "fault" not in world.sink.getvalue(), world.sink.getvalue()
+    assert "fault" not in world.log_output.getvalue(), world.log_output.getvalue()
 
 
 # --- a front socket without a request
@@ -75,7 +75,7 @@
     world: World, why: str
 ) -> None:
     front = rests(world)
-    world.put("c1", OPEN)
+    world.put_unread("c1", OPEN)
     if why == "time":
         world.clock.now += 2.1
     else:
@@ -87,7 +87,7 @@
     """The loop had looked at the socket already, and then the time ran out."""
     rests(world)
     world.clock.now += 2.1
-    world.after_look(lambda: world.put("c1", OPEN))
+    world.call_after_poll(lambda: world.put_unread("c1", OPEN))
     world.play("d1 expect OPEN 1 *")
 
 
@@ -95,14 +95,14 @@
 def test_request_that_comes_as_a_resting_connection_is_shut_is_never_sent_on(world: World, why: str) -> None:
     """Its answer could not be sent any more: sent on, it would be served to nobody.  No reset either."""
     front = rests(world)
-    world.before(front, "shutdown", lambda: world.put("c1", OPEN))
+    world.call_before(front, "shutdown", lambda: world.put_unread("c1", OPEN))
     if why == "time":
         world.clock.now += 2.1
     else:
         front.post(EvictIdle())
     world.play("c1 end\nc1 close")
     nothing_is_left(world)
-    assert not world.arrived
+    assert not world.destination_connections
 
 
 def test_flood_that_asks_much_and_rests_gives_its_descriptors_back() -> None:
@@ -111,9 +111,9 @@
     for n in range(60):
         mute = socket.create_connection(world.service.listener.getsockname())
         mute.sendall(b"PING\r\n" * 100)
-        world.socks[f"m{n}"] = mute
+        world.sockets[f"m{n}"] = mute
         mute.setblocking(False)
-        world.got[f"m{n}"] = bytearray()
+        world.received[f"m{n}"] = bytearray()
     for n in range(1, 9):
         world.play(f"wait 60\nc{n} send OPEN {n} k{n} d=1200,c=feed,t=n")
     for _ in range(20):
@@ -128,21 +128,21 @@
 def test_request_whose_client_has_gone_with_its_last_byte_is_not_sent_on(world: World) -> None:
     with socket.create_connection(world.service.listener.getsockname()) as client:
         client.sendall(OPEN.encode() + b"\r\n")
-    world.until(lambda: world.sink.getvalue())
+    world.run_until(lambda: world.log_output.getvalue())
     nothing_is_left(world)
-    assert not world.arrived and " left " in world.sink.getvalue()
+    assert not world.destination_connections and " left " in world.log_output.getvalue()
 
 
 def test_bytes_on_top_of_the_opening_in_the_same_turn_are_answered_before_any_decision(world: World) -> None:
     """In a second read of that turn: the opening alone had been taken."""
     front = rests(world)
-    world.put("c1", OPEN)
-    world.before(front, "recv", lambda: None)
-    world.before(front, "recv", lambda: None)
-    front.sock.happens.append(lambda: world.put("c1", "M 1"))  # type: ignore[attr-defined]
+    world.put_unread("c1", OPEN)
+    world.call_before(front, "recv", lambda: None)
+    world.call_before(front, "recv", lambda: None)
+    front.sock.pending_actions.append(lambda: world.put_unread("c1", "M 1"))  # type: ignore[attr-defined]
     world.play("c1 expect ERR\nc1 end\nc1 close")
     nothing_is_left(world)
-    assert not world.arrived
+    assert not world.destination_connections
 
 
 def waits(world: World, monkeypatch: pytest.MonkeyPatch) -> Front:
@@ -158,12 +158,12 @@
 ) -> None:
     front = waits(world, monkeypatch)
     if how == "close after the look":
-        world.after_look(lambda: world.leave("c1"))
+        world.call_after_poll(lambda: world.close_unread("c1"))
     else:
-        world.leave("c1", reset=how == "reset")
+        world.close_unread("c1", reset=how == "reset")
     front.post(RouteStep(destination_number("s-1"), 500.0))
     nothing_is_left(world)
-    assert not world.arrived
+    assert not world.destination_connections
 
 
 def test_client_gone_in_the_turn_in_which_the_module_lets_it_out_leaves_nothing_behind(
@@ -172,52 +172,54 @@
     """The step was asked for at a front that had ended: the module waited for its end for good."""
     front, balancer = waits(world, monkeypatch), world.service.decider.balancer
     monkeypatch.undo()
-    world.leave("c1")
+    world.close_unread("c1")
     (flow,) = balancer.flows.values()
-    world.first(front)
-    world.after_look(lambda: setattr(balancer, "buffer_check_at", 0.0))
+    world.resume_first(front)
+    world.call_after_poll(lambda: setattr(balancer, "buffer_check_at", 0.0))
     balancer.throttle.waiting = []
     balancer.now, balancer.pending_actions = world.service.now_ms(), []
     assert balancer._start_attempt(flow, probed=True)
     for action in balancer.pending_actions:
         world.service.decider._carry_out(action)
     nothing_is_left(world)
-    assert not world.arrived
+    assert not world.destination_connections
 
 
 def test_client_gone_and_its_step_failed_in_one_turn_has_no_successor(world: World) -> None:
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
-    world.first(step_of(world))
-    world.leave("d1", reset=True)
-    world.leave("c1")
+    world.resume_first(step_of(world))
+    world.close_unread("d1", reset=True)
+    world.close_unread("c1")
     nothing_is_left(world)
-    assert world.arrived == 1
+    assert world.destination_connections == 1
 
 
 @pytest.mark.parametrize("how", ["close", "more"])
 def test_client_that_stirs_while_its_step_connects_is_not_sent_on(world: World, how: str) -> None:
     """Both are ready in one turn, and the step is resumed first."""
     rests(world)
-    world.put("c1", OPEN)
+    world.put_unread("c1", OPEN)
     while not any(isinstance(one, Destination) for one in world.loop.actors):
         world.loop.run_once(0.0)
     if how == "close":
-        world.leave("c1")
+        world.close_unread("c1")
     else:
-        world.put("c1", "M 1")
-    world.first(step_of(world))
+        world.put_unread("c1", "M 1")
+    world.resume_first(step_of(world))
     if how == "more":
         world.play("c1 expect ERR\nc1 end\nc1 close")
     nothing_is_left(world)
-    assert world.arrived == 1 and not world.got["d1"] and "d1" in world.ended, "the opening was written"
+    assert world.destination_connections == 1 and not world.received["d1"] and "d1" in world.closed, (
+        "the opening was written"
+    )
 
 
 def test_bytes_and_up_in_one_turn_are_answered_as_garbled(world: World) -> None:
     """What lies in the socket before the answer is written was sent before the answer."""
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
-    world.first(step_of(world))
-    world.put("d1", "UP r1")
-    world.put("c1", "M 1")
+    world.resume_first(step_of(world))
+    world.put_unread("d1", "UP r1")
+    world.put_unread("c1", "M 1")
     world.play("c1 expect ERR\nc1 end\nd1 end\nc1 close\nd1 close")
     nothing_is_left(world)
 
@@ -230,17 +232,17 @@
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
     world.clock.now += 0.61  # half of the time is one attempt's
     if when == "before the look":
-        world.put("d1", "UP r1")
+        world.put_unread("d1", "UP r1")
     else:
-        world.after_look(lambda: world.put("d1", "UP r1"))
+        world.call_after_poll(lambda: world.put_unread("d1", "UP r1"))
     world.play("c1 expect UP r1\nc1 quiet")
-    assert world.arrived == 1
+    assert world.destination_connections == 1
 
 
 def test_up_in_the_turn_in_which_the_client_is_overdue_counts(world: World) -> None:
     """The front was resumed before the attempt that had read its UP."""
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
-    world.put("d1", "UP r1")
+    world.put_unread("d1", "UP r1")
     world.service.decider.timers.clear()
     front, ready = front_of(world), world.loop.ready
 
@@ -248,7 +250,7 @@
         ready.remove(front)
         ready.appendleft(front)
 
-    world.after_look(front_first)
+    world.call_after_poll(front_first)
     world.clock.now += 1.21
     world.play("c1 expect UP r1")
 
@@ -256,11 +258,11 @@
 @pytest.mark.parametrize("spoilt", ["UP", "UP ", "UP r1 ", "UP r\x01", "up r1", "UPr1", "BYE", "MOVE"])
 def test_spoilt_answer_ends_the_attempt_and_closes_it_before_the_next(world: World, spoilt: str) -> None:
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
-    world.put("d1", spoilt)
+    world.put_unread("d1", spoilt)
     first = step_of(world)
     closed: list[int] = []
-    world.before(first, "close", lambda: closed.append(world.arrived))
-    world.until(lambda: world.arrived == 2)
+    world.call_before(first, "close", lambda: closed.append(world.destination_connections))
+    world.run_until(lambda: world.destination_connections == 2)
     assert closed == [1], "the next was begun before this one was closed"
     world.play("d1 end\nc1 quiet\nd2 expect OPEN 1 *\nd2 send UP r2\nc1 expect UP r2")
 
@@ -295,8 +297,8 @@
     world.play(UP + "c1 send M 1\nd1 expect M 1\nc1 send M 2\nd1 expect M 2")
     if said:
         world.play(f"d1 part {said[:-1]}" if said.endswith("M") and len(said) > 1 else f"d1 send {said}")
-        world.settle()
-    world.got["c1"].clear()
+        world.run_turns()
+    world.received["c1"].clear()
     for _ in range(13):
         world.wait(500)
     world.play("c1 expect MOVE\nc1 end\nd1 end")
@@ -307,34 +309,34 @@
 
 def test_client_that_ends_and_server_that_resets_in_one_turn_leave_nothing(world: World) -> None:
     world.play(UP)
-    world.leave("c1")
-    world.leave("d1", reset=True)
+    world.close_unread("c1")
+    world.close_unread("d1", reset=True)
     nothing_is_left(world)
 
 
 def test_last_line_of_a_server_is_passed_on_though_a_line_to_it_fails(world: World) -> None:
     """BYE lay unread in the socket as the write to it failed, and the client was reset without it."""
     world.play(UP)
-    world.put("c1", "M 1")
+    world.put_unread("c1", "M 1")
 
     def leaves() -> None:
-        world.put("d1", "BYE")
-        world.leave("d1", reset=True)
+        world.put_unread("d1", "BYE")
+        world.close_unread("d1", reset=True)
 
-    world.after_look(leaves)
+    world.call_after_poll(leaves)
     world.play("c1 expect BYE")
-    world.until(lambda: "c1" in world.ended)
+    world.run_until(lambda: "c1" in world.closed)
     nothing_is_left(world)
 
 
 def test_move_is_not_lost_where_the_client_sends_as_the_grace_ends(world: World) -> None:
     """A close over unread bytes is a reset, and it may overtake the MOVE."""
     world.play(UP)
-    front, client = front_of(world), world.socks.pop("c1")
+    front, client = front_of(world), world.sockets.pop("c1")
     front.post(MoveAway("test"))
-    world.settle()
+    world.run_turns()
     closed: list[int] = []
-    world.before(
+    world.call_before(
         front,
         "close",
         lambda: closed.append(len(front.sock.recv(9, socket.MSG_PEEK)) if front.has_unread_input() else 0),
@@ -350,7 +352,7 @@
 def test_move_behind_a_full_buffer_is_written_within_the_second(world: World) -> None:
     """A client that reads slowly was cut off half a second after its MOVE, which was still waiting."""
     world.play(UP)
-    front, client, server = front_of(world), world.socks.pop("c1"), world.socks["d1"]
+    front, client, server = front_of(world), world.sockets.pop("c1"), world.sockets["d1"]
     line, sent = b"M " + b"x" * 4000 + b"\r\n", 0
     while len(front.output_buffer) < 16384:
         with contextlib.suppress(BlockingIOError):
@@ -367,7 +369,7 @@
             return True
         return False
 
-    world.until(read)
+    world.run_until(read)
     assert got.endswith(b"\r\nMOVE\r\n") and {len(one) for one in got.split(b"\r\n")[:-2]} == {4002}
     client.close()
 
@@ -376,7 +378,7 @@
     world.play(UP + "d1 part M 1\nc1 part M")
     front_of(world).post(MoveAway("test"))
     world.play("c1 expect MOVE\nc1 end\nd1 end")
-    world.put("d1", " late")
+    world.put_unread("d1", " late")
     world.play("d1 close\nc1 close")
     nothing_is_left(world)
 
@@ -386,11 +388,11 @@
     world.play(f"c1 send {OPEN} x\nc1 expect ERR")
     front = front_of(world)
     front.post(EvictIdle())
-    world.settle()
+    world.run_turns()
     assert world.service.fronts == {front}
     world.clock.now += 0.06
     front.post(EvictIdle())
-    world.until(lambda: not world.service.fronts)
+    world.run_until(lambda: not world.service.fronts)
 
 
 # --- the end of the program
@@ -417,10 +419,10 @@
     ending = Ending(world.service)
     world.play("wait 300")
     world.send("c1", "OPEN 2 k2 d=1200,c=feed,t=n")
-    passes(world, lambda: world.got["c1"], 0.5)
+    passes(world, lambda: world.received["c1"], 0.5)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
     passes(world, lambda: ending.over, 1.0)
-    assert not world.arrived
+    assert not world.destination_connections
 
 
 def test_resting_connection_that_asks_in_the_turn_of_the_end_is_answered(world: World) -> None:
@@ -429,21 +431,21 @@
     passes(world, lambda: world.clock.now >= 1001.3, 2.0)
     assert not front.mailbox
     front.post(ShuttingDown())
-    world.put("c1", OPEN)
+    world.put_unread("c1", OPEN)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
     passes(world, lambda: ending.over, 1.0)
-    assert not world.arrived
+    assert not world.destination_connections
 
 
 def test_resting_connection_is_ended_in_order_before_the_end(world: World) -> None:
     """It was closed with the program, over whatever it had just sent."""
     ending = Ending(world.service)
     front = rests(world)
-    world.before(front, "shutdown", lambda: world.put("c1", OPEN))
-    passes(world, lambda: "c1" in world.ended, 1.5)
-    assert not ending.over and not world.got["c1"]
+    world.call_before(front, "shutdown", lambda: world.put_unread("c1", OPEN))
+    passes(world, lambda: "c1" in world.closed, 1.5)
+    assert not ending.over and not world.received["c1"]
     passes(world, lambda: ending.over, 1.0)
-    assert not world.arrived
+    assert not world.destination_connections
 
 
 @pytest.mark.parametrize("ran,answer", [(False, "BUSY *"), (True, "ERR")])
@@ -457,7 +459,7 @@
         monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
     world.play("c1 send OPEN 1 k1 d=9000,c=feed,t=n\nc1 quiet" + "\nd1 expect OPEN *" * ran)
     ending = Ending(world.service)
-    assert passes(world, lambda: world.got["c1"], 3.5) >= 3.0
+    assert passes(world, lambda: world.received["c1"], 3.5) >= 3.0
     assert not ending.over
     world.play(f"c1 expect {answer}\nc1 end\nc1 close")
     passes(world, lambda: ending.over, 0.5)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from wire import SETTINGS, World, address, listener
+from wire import SETTINGS, World, address_of, open_listener
 
 from snowwick.net.decider import DestinationSilent, MessageDelay, PoolUpdate, ProbeAnswer
 from snowwick.net.delay_monitor import (
@@ -117,7 +117,7 @@
 def test_what_no_usual_client_sends_ends_at_the_balancer(world: World, line: str) -> None:
     """Destinations turned such openings away, were tried one after another and seemed to be in trouble."""
     world.play(f"c1 send {line}\nc1 expect ERR\nc1 end")
-    assert not world.arrived
+    assert not world.destination_connections
 
 
 @pytest.mark.parametrize(
@@ -147,7 +147,7 @@
 def test_bad_client_has_its_answer_in_time(world: World, scenario: str) -> None:
     """Three seconds from connecting are owed, and an answer that a reset overtakes is none."""
     world.play(scenario)
-    assert "front-reset" not in world.sink.getvalue()
+    assert "front-reset" not in world.log_output.getvalue()
 
 
 def test_clients_that_say_nothing_leave_room_for_those_who_ask() -> None:
@@ -167,8 +167,11 @@
 
 def test_each_connection_that_ends_leaves_one_line(world: World) -> None:
     world.play(UP + "c1 close\nd1 end\nd1 close\nc2 send junk\nc2 expect ERR\nc2 end\nc2 close")
-    world.until(lambda: not world.service.fronts)
-    assert [line.split()[1] for line in world.sink.getvalue().splitlines()] == ["client-ended", "garbled"]
+    world.run_until(lambda: not world.service.fronts)
+    assert [line.split()[1] for line in world.log_output.getvalue().splitlines()] == [
+        "client-ended",
+        "garbled",
+    ]
 
 
 def test_silent_destination_loses_its_client_within_seven_seconds(world: World) -> None:
@@ -199,9 +202,9 @@
     world.play("c1 expect MOVE\nc1 end\nd1 end")
     world.clock.now += 0.2
     for sock in ("c1", "c2", "d1"):
-        world.socks[sock].close()
-        world.ended.add(sock)
-    world.settle()
+        world.sockets[sock].close()
+        world.closed.add(sock)
+    world.run_turns()
     with pytest.raises(StopIteration):
         steps.send(0)
 
@@ -238,7 +241,7 @@
 def test_who_asks_without_reading_is_read_no_further(world: World) -> None:
     world.play("c1 send PING\nc1 expect PONG")
     (front,) = world.service.fronts
-    client = world.socks.pop("c1")
+    client = world.sockets.pop("c1")
     for _ in range(3000):
         with contextlib.suppress(BlockingIOError):
             client.send(b"PING\r\n" * 2000)
@@ -281,7 +284,7 @@
 def test_fault_in_a_lasting_actor_does_not_end_it(world: World) -> None:
     world.service.decider.post("no message of the decider's")
     world.play(UP)
-    assert "fault: Decider" in world.sink.getvalue()
+    assert "fault: Decider" in world.log_output.getvalue()
 
 
 def test_fault_of_the_module_answers_its_client_at_once_and_keeps_its_timers(
@@ -313,7 +316,7 @@
     world.play("d1 expect PING")
     world.clock.now += 0.007
     world.play(answer)
-    world.until(lambda: heard)
+    world.run_until(lambda: heard)
     (probed,) = heard
     assert isinstance(probed, ProbeAnswer) and probed.elapsed_ms == pytest.approx(elapsed, abs=0.01)
     assert world.loop.open_sockets == sockets
@@ -325,7 +328,7 @@
     world.play(UP)
     (front,) = world.service.fronts
     stream, read = b"".join(b"M %d " % n + b"x" * 4000 + b"\r\n" for n in range(4000)), bytearray()
-    left, client, destination = memoryview(stream), world.socks.pop("c1"), world.socks["d1"]
+    left, client, destination = memoryview(stream), world.sockets.pop("c1"), world.sockets["d1"]
 
     def push() -> None:
         nonlocal left
@@ -343,7 +346,7 @@
             read.extend(client.recv(1 << 20))
         return len(read) >= len(stream)
 
-    world.until(drained)
+    world.run_until(drained)
     assert bytes(read) == stream
 
 
@@ -357,9 +360,11 @@
 @pytest.mark.parametrize("bad", ["fail", "{", "[]", '{"version":9}', '{"version":9,"servers":7}'])
 def test_pool_config_is_watched_in_order_and_failures_are_told(world: World, bad: str) -> None:
     told = news(world)
-    last = world.server("s-1", world.servers, "terminated")
+    last = world.list_entry("s-1", world.destination_listener, "terminated")
     gone = json.dumps({"version": 2, "full": False, "servers": [last]})
-    back = json.dumps({"version": 3, "full": True, "servers": [world.server("s-2", world.servers)]})
+    back = json.dumps(
+        {"version": 3, "full": True, "servers": [world.list_entry("s-2", world.destination_listener)]}
+    )
     world.play(f"pool {gone}\npool {back}\npool {bad}")
     assert [one.kind.value for one in told] == ["changes", "full", "failed"]
     assert world.service.pool.config.version == 3
@@ -370,10 +375,10 @@
     """One server in a state unknown here would have failed every call from then on."""
     told = news(world)
     rows = [
-        {**world.server("s-3", world.servers), "state": "warming"},
+        {**world.list_entry("s-3", world.destination_listener), "state": "warming"},
         {"id": "s-4"},
         5,
-        world.server("s-5", world.servers),
+        world.list_entry("s-5", world.destination_listener),
     ]
     spoilt = json.dumps({"version": 2, "full": False, "servers": rows})
     world.play(f"pool {spoilt}")
@@ -391,7 +396,7 @@
 
 
 def listing(world: World, version: int, *names: str, full: bool = True) -> str:
-    rows = [world.server(name, world.servers) for name in names]
+    rows = [world.list_entry(name, world.destination_listener) for name in names]
     return json.dumps({"version": version, "full": full, "servers": rows})
 
 
@@ -401,16 +406,16 @@
     told = news(world)
     world.play(UP + "pool " + listing(world, 7, "s-1", "s-2"))
     if out:
-        world.called("pool")
-    world.setup["discovery"] = address(world.pools["pool2"])
+        world.take_call("pool")
+    world.raw_config["discovery"] = address_of(world.discovery_listeners["pool2"])
     world.service.reload()
     if out:
         late = listing(world, 8, "s-9", full=False).encode()
-        world.socks["pool"].sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(late), late))
+        world.sockets["pool"].sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(late), late))
     world.play("pool2 " + listing(world, 3, "s-2", full=False))
-    world.called("pool2")
+    world.take_call("pool2")
     world.play("c1 send M 1\nd1 expect M 1\nd1 send M 1\nc1 expect M 1")
-    assert world.calls[-2:] == ["pool2 /v1/endpoints", "pool2 /v1/endpoints?after=3&wait_ms=1000"]
+    assert world.discovery_calls[-2:] == ["pool2 /v1/endpoints", "pool2 /v1/endpoints?after=3&wait_ms=1000"]
     assert [one.kind.value for one in told] == ["full", "full"]
     assert list(world.service.pool.config.addresses) == [destination_number("s-2")]
 
@@ -418,39 +423,41 @@
 def test_reload_to_a_discovery_that_fails_asks_it_again_for_the_whole_list(world: World) -> None:
     told = news(world)
     world.play("pool " + listing(world, 7, "s-1", "s-2"))
-    world.setup["discovery"] = address(world.pools["pool2"])
+    world.raw_config["discovery"] = address_of(world.discovery_listeners["pool2"])
     world.service.reload()
     world.service.reload()
     world.play("pool2 fail")
-    del world.socks["pool2"]
+    del world.sockets["pool2"]
     world.service.pool.post(WatchPool())
     world.play("pool2 " + listing(world, 1, "s-2"))
     assert [one.kind.value for one in told] == ["full", "failed", "full"]
-    assert world.calls[1:] == ["pool2 /v1/endpoints"] * 2
+    assert world.discovery_calls[1:] == ["pool2 /v1/endpoints"] * 2
 
 
 def test_reload_with_a_bad_file_names_its_key_and_changes_nothing(world: World) -> None:
     news(world)
-    world.setup["limits"] = {"sockets": "many"}
-    world.setup["discovery"] = address(world.pools["pool2"])
+    world.raw_config["limits"] = {"sockets": "many"}
+    world.raw_config["discovery"] = address_of(world.discovery_listeners["pool2"])
     world.service.reload()
-    assert "reload: limits.sockets" in world.sink.getvalue()
+    assert "reload: limits.sockets" in world.log_output.getvalue()
     world.play("pool " + listing(world, 7, "s-1"))
-    world.setup["limits"] = {"sockets": 77}
+    world.raw_config["limits"] = {"sockets": 77}
     world.service.reload()
-    assert "reload: sockets changed, but only at the next start" in world.sink.getvalue()
+    assert "reload: sockets changed, but only at the next start" in world.log_output.getvalue()
 
 
 def half(world: World, text: str, length: int) -> None:
     """The head of an answer and the beginning of a body that is said to be so long."""
-    world.called("pool")
-    world.socks["pool"].sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (length, text.encode()))
-    world.settle()
+    world.take_call("pool")
+    world.sockets["pool"].sendall(
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (length, text.encode())
+    )
+    world.run_turns()
 
 
 def goes_on(world: World, told: list[PoolUpdate]) -> None:
     """The next call counts, and who stood before the one that failed has noticed nothing."""
-    del world.socks["pool"]
+    del world.sockets["pool"]
     world.service.pool.post(WatchPool())
     world.play("pool " + listing(world, 2, "s-1") + "\nc1 send M 1\nd1 expect M 1")
     assert [one.kind.value for one in told] == ["failed", "full"]
@@ -468,7 +475,7 @@
 
 
 def said(world: World) -> str:
-    text = world.sink.getvalue()
+    text = world.log_output.getvalue()
     assert "fault" not in text, text
     return text
 
@@ -495,7 +502,7 @@
     told = news(world)
     half(world, listing(world, 9, "s-1"), 5000)
     world.close_("pool", "")
-    world.until(lambda: told)
+    world.run_until(lambda: told)
     assert [one.kind.value for one in told] == ["failed"] and world.service.pool.config.version == 1
 
 
@@ -515,7 +522,10 @@
 ) -> None:
     """NaN as a weight made every ranking that held it arbitrary."""
     told = news(world)
-    rows = [world.server("s-1", world.servers), {**world.server("s-2", world.servers), **change}]
+    rows = [
+        world.list_entry("s-1", world.destination_listener),
+        {**world.list_entry("s-2", world.destination_listener), **change},
+    ]
     spoilt = json.dumps({"version": 2, "full": True, "servers": rows})
     world.play(f"pool {spoilt}\nwait 750\npool {spoilt}")
     assert [one.kind.value for one in told] == ["failed", "full"] and "entry left out" in said(world)
@@ -534,11 +544,11 @@
     world.play("pool " + listing(world, 7, "s-1", "s-2") + f"\npool {again}")
     assert [one.kind.value for one in told] == ["full", "changes"]
     assert set(world.service.pool.config.addresses) == {destination_number("s-1"), destination_number("s-2")}
-    world.settle()
-    assert not world.got["pool"], "called again at once"
+    world.run_turns()
+    assert not world.received["pool"], "called again at once"
     world.wait(101)
-    world.called("pool")
-    assert world.calls[-1] == "pool /v1/endpoints?after=7&wait_ms=1000"
+    world.take_call("pool")
+    assert world.discovery_calls[-1] == "pool /v1/endpoints?after=7&wait_ms=1000"
 
 
 def test_discovery_that_goes_back_is_asked_for_its_whole_list_and_that_holds(world: World) -> None:
@@ -547,8 +557,8 @@
     world.play("pool " + listing(world, 7, "s-1", "s-2") + "\npool " + listing(world, 3, "s-9", full=False))
     assert [one.kind.value for one in told] == ["full"] and "version 3 after 7" in said(world)
     world.play("pool " + listing(world, 3, "s-2", "s-3"))
-    world.called("pool")
-    assert world.calls[-2:] == ["pool /v1/endpoints", "pool /v1/endpoints?after=3&wait_ms=1000"]
+    world.take_call("pool")
+    assert world.discovery_calls[-2:] == ["pool /v1/endpoints", "pool /v1/endpoints?after=3&wait_ms=1000"]
     assert set(world.service.pool.config.addresses) == {destination_number("s-2"), destination_number("s-3")}
 
 
@@ -564,9 +574,9 @@
 
 
 def test_destination_at_another_address_is_sent_to_there_and_its_clients_stay(world: World) -> None:
-    old = world.servers
+    old = world.destination_listener
     world.play(UP)
-    world.servers = listener()
+    world.destination_listener = open_listener()
     world.play(
         "wait 800\npool "
         + listing(world, 2, "s-1", "s-2").replace('"id"', '"started_ms": 1000, "id"')
@@ -711,7 +721,7 @@
     world.play("d1 expect STATS")
     world.clock.now += 0.007
     world.play(answer)
-    world.until(lambda: heard)
+    world.run_until(lambda: heard)
     assert (round(heard[0].elapsed_ms, 3), heard[0].load) == (elapsed, load)
     world.close()
 
@@ -727,13 +737,15 @@
     world.play("pool " + listing(world, 1, full=False))
     for _ in range(3):  # the agent says nothing while discovery is down
         world.wait(101)
-        world.called("pool")
+        world.take_call("pool")
         world.wait(251)
-        world.until(lambda: "pool" in world.ended)
-        del world.socks["pool"]
+        world.run_until(lambda: "pool" in world.closed)
+        del world.sockets["pool"]
     world.wait(126)
     world.play("pool " + listing(world, 2, "s-1"))
-    assert len(world.calls) == 6 and set(world.calls) == {"pool /v1/endpoints?after=1&wait_ms=0"}
+    assert len(world.discovery_calls) == 6 and set(world.discovery_calls) == {
+        "pool /v1/endpoints?after=1&wait_ms=0"
+    }
     assert list(world.service.pool.config.addresses) == [destination_number("s-1")]
-    assert world.sink.getvalue().count("call failed") == 1
+    assert world.log_output.getvalue().count("call failed") == 1
     world.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,7 +18,7 @@
 from typing import IO, Any
 
 import pytest
-from wire import SETTINGS, World, address, listener
+from wire import SETTINGS, World, address_of, open_listener
 
 from snowwick.broker import contract as contracts
 from snowwick.config import BadConfig, check, load
@@ -76,9 +76,9 @@
 
 def test_planned_end_moves_all_clients_and_answers_who_still_comes(tmp_path: Path) -> None:
     """SIGKILL follows SIGTERM after the longest deadline and 0.7 s: who is still held then is lost."""
-    servers, path = listener(), tmp_path / "config.json"
+    servers, path = open_listener(), tmp_path / "config.json"
     servers.settimeout(5.0)
-    known = {"version": 1, "full": True, "servers": [World.server("s-1", servers)]}
+    known = {"version": 1, "full": True, "servers": [World.list_entry("s-1", servers)]}
     path.write_text(json.dumps({**GOOD, "known": known}))
     with program(path) as process:
         where = address_in(process.stderr).split(":")
@@ -152,8 +152,8 @@
 
 
 def test_taken_address_is_named(tmp_path: Path) -> None:
-    taken, path = listener(), tmp_path / "config.json"
-    path.write_text(json.dumps({**GOOD, "listen": address(taken)}))
+    taken, path = open_listener(), tmp_path / "config.json"
+    path.write_text(json.dumps({**GOOD, "listen": address_of(taken)}))
     with program(path) as process:
         _, said = process.communicate(timeout=20.0)
     taken.close()
@@ -173,7 +173,7 @@
 
 def test_hangup_signal_rereads_the_file_and_ends_nothing(tmp_path: Path) -> None:
     """The signal's usual effect is the end of the program: the balancer crashed at each new configuration."""
-    path, other = tmp_path / "config.json", listener()
+    path, other = tmp_path / "config.json", open_listener()
     path.write_text(json.dumps(GOOD))
     # The variable held for the start: the file replaced since must go over it.
     with program(path, GW_DISCOVERY="127.0.0.1:1") as process:
@@ -182,7 +182,7 @@
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
         assert "not JSON" in process.stderr.readline()
-        path.write_text(json.dumps({**GOOD, "discovery": address(other)}))
+        path.write_text(json.dumps({**GOOD, "discovery": address_of(other)}))
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
         other.settimeout(5.0)
@@ -202,7 +202,7 @@
 def test_hangup_signal_while_the_program_starts_neither_ends_it_nor_is_lost(tmp_path: Path) -> None:
     """A new configuration reaches all at once, also those that are just being restarted: they died of it."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    path, other = tmp_path / "config.json", listener()
+    path, other = tmp_path / "config.json", open_listener()
     path.write_text(json.dumps(GOOD))
     command = run.replace(".venv/bin/python", sys.executable)
     log = tmp_path / "log"
@@ -216,7 +216,7 @@
             end = time.monotonic() + 20.0
             while not ignores_hangup(process.pid):
                 assert time.monotonic() < end and process.poll() is None
-            path.write_text(json.dumps({**GOOD, "discovery": address(other)}))
+            path.write_text(json.dumps({**GOOD, "discovery": address_of(other)}))
             while "serving" not in log.read_text() and time.monotonic() < end:
                 process.send_signal(signal.SIGHUP)
                 assert process.poll() is None, f"it died: {log.read_text()}"
@@ -239,9 +239,9 @@
 )
 def test_reload_of_a_faulty_file_changes_nothing_and_says_why(tmp_path: Path, text: str, fault: str) -> None:
     """A file that is being written when the signal comes is empty or cut short."""
-    path, discovery = tmp_path / "config.json", listener()
+    path, discovery = tmp_path / "config.json", open_listener()
     discovery.settimeout(5.0)
-    path.write_text(json.dumps({**GOOD, "discovery": address(discovery)}))
+    path.write_text(json.dumps({**GOOD, "discovery": address_of(discovery)}))
     with program(path) as process:
         where = address_in(process.stderr).split(":")
         call, _ = discovery.accept()  # a call is out when the signals come
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -23,18 +23,21 @@
 def test_pool_that_a_reload_gives_other_tenants_counts_their_quotas_from_then_on() -> None:
     """Its module kept the quotas of the former contract, and so its guess of what servers hold."""
     world = World(POOLS, settings=QUOTAS)
-    rows = [world.server("s-1", world.servers, kind="k1"), world.server("s-2", world.servers, kind="k2")]
+    rows = [
+        world.list_entry("s-1", world.destination_listener, kind="k1"),
+        world.list_entry("s-2", world.destination_listener, kind="k2"),
+    ]
     world.service.pool_deciders.apply_update(
         world.service.pool.config.apply({"version": 2, "full": True, "servers": rows})
     )
-    world.settle()
+    world.run_turns()
     modules = {name: one.balancer for name, one in world.service.pool_deciders.by_pool.items()}
     assert {name: one.total_quota for name, one in modules.items()} == {"all": 100.0, "b": 30.0}
     unit = modules["b"].capacity_per_weight
     assert unit < math.inf
-    world.contracts = POOLS.replace('["m"]', '["m", "free"]')
+    world.contracts_text = POOLS.replace('["m"]', '["m", "free"]')
     world.service.reload()
-    world.settle()
+    world.run_turns()
     assert {name: one.total_quota for name, one in modules.items()} == {"all": 100.0, "b": 37.0}
     assert {one.name for one in modules["b"].settings.tenants} == {"m", "free"}
     assert modules["b"].capacity_per_weight == unit * 37.0 / 30.0
