--- a/tests/wire.py
+++ b/tests/wire.py
@@ -1,17 +1,18 @@
-"""The one helper of the network tests: a scenario language and the world that plays it.
+"""Helper of the network tests: a small scenario language, and a balancer with peers that runs it.
 
-A scenario is text, a step a line: WHO VERB [WHAT].  WHO is a client (``c1``), a destination's connection
-(``d1``, numbered as they come in) or discovery (``pool``).  The clock stands still but for ``wait``; steps
-that expect something turn the balancer's loop until it has come.
+A scenario is text with one step per line: NAME VERB [ARGUMENT].  NAME is a client (``c1``), a connection to
+a destination (``d1``, numbered in the order of arrival) or discovery (``pool``).  The clock advances only by
+``wait``; steps that expect something run the balancer's loop until it has arrived.
 
-    c1 send OPEN 1 k1 d=1200,c=feed     a line; the first one connects; ``part`` leaves its end out
-    d1 expect OPEN 1 k1 d=*,c=feed      the next line, ``*`` for any run of characters
-    d1 close / c1 reset                 an orderly end / a reset
+    c1 send OPEN 1 k1 d=1200,c=feed     sends a line, after connecting; ``part`` omits the line end
+    c1 raw 'x' * 9000                   sends the value of a Python expression as a line
+    d1 expect OPEN 1 k1 d=*,c=feed      expects the next line; ``*`` matches any characters
+    d1 close / c1 reset                 closes the connection / resets it
     c1 end                              expects the end of the connection
-    c1 quiet                            expects that nothing has come
-    wait 500                            moves the clock by so many ms
-    pool DATA                           an answer of discovery; ``pool fail`` is a 503
-    pool2 DATA                          the same from another discovery, at an address of its own
+    c1 quiet                            expects that nothing was received
+    wait 500                            advances the clock by 500 ms
+    pool DATA                           answers discovery's next call; ``pool fail`` answers 503
+    pool2 DATA                          the same for a second discovery, at another address
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 from snowwick.net.loop import Loop
 from snowwick.net.service import Service
 
-MAX_WAIT_S = 5.0  # s of real time in which an expected thing must come; only a failing test uses it up
+MAX_WAIT_S = 5.0  # of real time, for an expected event; only a failing test waits this long
 SETTINGS = {
     "classes": [{"name": "feed", "aim": 300.0, "deadline": 1200.0, "effect": "read_like"}],
     "limits": {"mostTries": 3, "connectTimeout": 250.0, "retryAfter": True, "maxRetryAfter": 600.0},
@@ -45,37 +46,39 @@
 
 
 def open_listener() -> socket.socket:
+    """Open a non-blocking listening socket on a free loopback port."""
     sock = socket.create_server(("127.0.0.1", 0))
     sock.setblocking(False)
     return sock
 
 
 def address_of(sock: socket.socket) -> str:
+    """Returns the HOST:PORT of a listening socket."""
     return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 def unread_bytes(sock: Any) -> int:
-    """How many bytes lie in a socket."""
+    """Returns the number of unread bytes in a socket's receive buffer."""
     count = struct.pack("i", 0)
     return int(struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.FIONREAD, count))[0])
 
 
 def wait_until(done: Callable[[], bool]) -> None:
-    """Wait until the system has carried something over; on loopback too that need not be at once."""
-    end = time.monotonic() + MAX_WAIT_S
+    """Wait until a condition holds, since the kernel may deliver with a delay even on loopback."""
+    deadline = time.monotonic() + MAX_WAIT_S
     while not done():
-        assert time.monotonic() < end, "it did not show"
+        assert time.monotonic() < deadline, "the expected state did not occur in time"
 
 
 class CallHook:
-    """A socket, or the loop's epoll, with something that happens once, just before one of its calls.
+    """Wraps a socket or the loop's epoll, and runs an action once, just before one of its methods is called.
 
-    So a test puts bytes where a turn has already looked, or into a socket as it is shut: an instant is
-    forced, not hoped for.
+    With it a test forces a race: for example, bytes arrive after a turn has polled the socket, or while the
+    socket is being shut down.
     """
 
-    def __init__(self, real: Any, call: str, action: Callable[[], object]) -> None:
-        self.wrapped, self.hooked_call, self.pending_actions = real, call, [action]
+    def __init__(self, wrapped: Any, hooked_call: str, action: Callable[[], object]) -> None:
+        self.wrapped, self.hooked_call, self.pending_actions = wrapped, hooked_call, [action]
 
     def __getattr__(self, name: str) -> Any:
         if name == self.hooked_call and self.pending_actions:
@@ -84,7 +87,7 @@
 
 
 class PollHook(CallHook):
-    """The same, just after a call of the epoll has looked."""
+    """Wraps the loop's epoll, and runs an action once, just after ``poll`` has returned."""
 
     def poll(self, timeout: float | None = None) -> Any:
         found = self.wrapped.poll(timeout)
@@ -94,7 +97,7 @@
 
 
 class Clock:
-    """Stands still until it is moved."""
+    """A clock that tests advance by hand."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -106,13 +109,11 @@
 class World:
     """One balancer, the destinations ``s-1`` and ``s-2`` at one address, and discovery, all in one thread."""
 
-    def __init__(self, contracts: str = "", **changes: Any) -> None:
-        """``contracts`` is the text of a contracts file; it may be replaced before a reload."""
-        self.clock, self.destination_listener, self.discovery_listener = (
-            Clock(),
-            open_listener(),
-            open_listener(),
-        )
+    def __init__(self, contracts_text: str = "", **config_changes: Any) -> None:
+        """``contracts_text`` is the content of a contracts file; tests may replace it before a reload."""
+        self.clock = Clock()
+        self.destination_listener = open_listener()
+        self.discovery_listener = open_listener()
         self.discovery_listeners = {"pool": self.discovery_listener, "pool2": open_listener()}
         self.discovery_calls: list[str] = []
         self.sockets: dict[str, socket.socket] = {}
@@ -121,7 +122,7 @@
         self.destination_connections = 0
         self.log_output = io.StringIO()
         log = Log(self.clock, self.log_output)
-        raw = {
+        default_config = {
             "name": "b",
             "listen": "127.0.0.1:0",
             "discovery": address_of(self.discovery_listener),
@@ -132,18 +133,18 @@
                 "servers": [self.list_entry(name, self.destination_listener) for name in ("s-1", "s-2")],
             },
         }
-        self.raw_config, self.contracts_text = {**raw, **changes}, contracts
+        self.raw_config, self.contracts_text = {**default_config, **config_changes}, contracts_text
         self.service = Service(
             self.config(self.raw_config),
             Loop(log, self.clock),
             reload_config=lambda: self.config(self.raw_config),
-            contracts=self.read_contracts if contracts else None,
+            contracts=self.read_contracts if contracts_text else None,
         )
         self.loop = self.service.loop
         self.service.start()
 
     def read_contracts(self) -> Contracts:
-        tenants = [one["name"] for one in self.raw_config["settings"]["tenants"]]
+        tenants = [tenant["name"] for tenant in self.raw_config["settings"]["tenants"]]
         return parse(self.contracts_text, ["feed"], tenants)
 
     @staticmethod
@@ -167,7 +168,7 @@
             sock.close()
 
     def play(self, text: str) -> None:
-        """Play a scenario; a step that fails names itself."""
+        """Run a scenario; the error of a failing step names the step."""
         for step in filter(None, map(str.strip, text.splitlines())):
             name, verb, argument = [*step.split(" ", 2), "", ""][:3]
             try:
@@ -183,7 +184,7 @@
                 ) from None
 
     def run_turn(self) -> None:
-        """One turn of the balancer's loop, then whatever has come in at the other ends."""
+        """Run one turn of the balancer's loop, then accept and read at the other ends."""
         self.loop.run_once(0.001)
         try:
             self.destination_connections += 1
@@ -202,47 +203,48 @@
                 self.closed.add(name)
 
     def add_socket(self, name: str, sock: socket.socket) -> None:
+        """Track a connection under a name, in place of an earlier one."""
         sock.setblocking(False)
         self.sockets[name], self.received[name] = sock, bytearray()
         self.closed.discard(name)
 
     def balancer_socket(self, name: str) -> Any:
-        """The balancer's socket at the other end of one of the world's."""
+        """Returns the balancer's socket at the other end of a connection."""
         local_address = self.sockets[name].getsockname()
         for actor in self.loop.actors:
             sock = getattr(actor, "sock", None)
             with contextlib.suppress(OSError, AttributeError):
                 if sock is not None and sock.getpeername() == local_address:
                     return sock
-        raise AssertionError(f"{name} has no other end")
+        raise AssertionError(f"the balancer has no socket for {name}")
 
     def put_unread(self, name: str, line: str) -> None:
-        """Have a line lie in the balancer's socket, without a turn of the loop."""
+        """Put a line into the receive buffer of the balancer's socket, without running the loop."""
         sock, data = self.balancer_socket(name), line.encode() + b"\r\n"
         before = unread_bytes(sock)
         self.sockets[name].sendall(data)
         wait_until(lambda: unread_bytes(sock) >= before + len(data))
 
     def close_unread(self, name: str, reset: bool = False) -> None:
-        """Have the end, or a reset, of a connection show at the balancer's socket, without a turn."""
-        sock, mine = self.balancer_socket(name), self.sockets.pop(name)
+        """Close or reset a connection, so that the balancer has the end pending, without running the loop."""
+        sock, own_sock = self.balancer_socket(name), self.sockets.pop(name)
         if reset:
-            mine.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        mine.close()
-        ended = select.poll()
-        ended.register(sock.fileno(), select.POLLRDHUP)
-        wait_until(lambda: bool(ended.poll(0)))
+            own_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        own_sock.close()
+        poller = select.poll()
+        poller.register(sock.fileno(), select.POLLRDHUP)
+        wait_until(lambda: bool(poller.poll(0)))
 
     def call_before(self, holder: Any, call: str, action: Callable[[], object]) -> None:
-        """Have something happen just before that call on an actor's socket."""
+        """Run an action just before the next call of that method of an actor's socket."""
         holder.sock = CallHook(holder.sock, call, action)
 
     def call_after_poll(self, action: Callable[[], object]) -> None:
-        """Have something happen in the next turn between its look at the sockets and what it resumes."""
+        """Run an action in the next turn, after the sockets are polled and before actors are resumed."""
         self.loop.epoll = PollHook(self.loop.epoll, "", action)  # type: ignore[assignment]
 
     def resume_first(self, actor: Any) -> None:
-        """Have that actor resumed before all others in each turn from now on."""
+        """Resume this actor before all others in every following turn."""
         real, fd = self.loop.epoll, actor.sock.fileno()
 
         class First(CallHook):
@@ -252,66 +254,81 @@
         self.loop.epoll = First(real, "", lambda: None)  # type: ignore[assignment]
 
     def run_until(self, done: Any) -> None:
-        end = time.monotonic() + MAX_WAIT_S
+        """Run turns until a condition holds."""
+        deadline = time.monotonic() + MAX_WAIT_S
         while not done():
-            assert time.monotonic() < end, "it did not come"
+            assert time.monotonic() < deadline, "the expected event did not occur in time"
             self.run_turn()
 
     def run_turns(self) -> None:
+        """Run enough turns to process everything that is pending."""
         for _ in range(20):
             self.run_turn()
 
     def wait(self, ms: float) -> None:
+        """Advance the clock, and process what is pending before and after."""
         self.run_turns()
         self.clock.now += ms / 1000.0
         self.run_turns()
 
+    # -- the verbs of scenarios, looked up by name --------------------------------------------------------
+
     def send(self, name: str, text: str) -> None:
+        """Send a line."""
         self.part(name, text + "\r\n")
 
     def raw(self, name: str, expression: str) -> None:
-        """An expression, for lines too long to write out; who sends reads nothing before the end."""
+        """Send the value of a Python expression, for long lines; nothing is read until all of it is sent."""
         self.part(name, "")
-        left = memoryview(eval(expression).encode() + b"\r\n")
-        while left and name not in self.closed:
+        unsent = memoryview(eval(expression).encode() + b"\r\n")
+        while unsent and name not in self.closed:
             with contextlib.suppress(BlockingIOError):
-                left = left[self.sockets[name].send(left) :]
+                unsent = unsent[self.sockets[name].send(unsent) :]
             self.loop.run_once(0.001)
 
     def part(self, name: str, text: str) -> None:
-        """The beginning of a line."""
+        """Send text without a line end, and connect first if necessary."""
         if name not in self.sockets:
             self.add_socket(name, socket.create_connection(self.service.listener.getsockname()))
         self.sockets[name].sendall(text.encode())
 
     def expect(self, name: str, pattern: str) -> None:
+        """Expect the next line to match a pattern."""
         self.run_until(lambda: b"\n" in self.received.get(name, b""))
         line, _, rest = bytes(self.received[name]).partition(b"\r\n")
-        assert fnmatch.fnmatchcase(line.decode(), pattern), "another line"
+        assert fnmatch.fnmatchcase(line.decode(), pattern), "the line does not match"
         self.received[name] = bytearray(rest)
 
     def quiet(self, name: str, _: str) -> None:
+        """Expect no input and no end of the connection."""
         self.run_turns()
-        assert not self.received.get(name) and name not in self.closed, "something came"
+        assert not self.received.get(name) and name not in self.closed, (
+            "received input or the end of the connection"
+        )
 
     def end(self, name: str, _: str) -> None:
+        """Expect the end of the connection with no further line."""
         self.run_until(lambda: name in self.closed)
-        assert not self.received[name], "a line before the end"
+        assert not self.received[name], "received input before the end"
 
     def close_(self, name: str, _: str) -> None:
+        """Close the connection; the verb is ``close``."""
         self.closed.add(name)
         self.sockets[name].close()
 
     def reset(self, name: str, _: str) -> None:
+        """Reset the connection."""
         self.sockets[name].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close_(name, "")
 
+    # -- discovery -----------------------------------------------------------------------------------------
+
     def take_call(self, name: str) -> None:
-        """Take the balancer's call to that discovery."""
+        """Wait for the balancer's next call to this discovery and record it."""
         self.run_until(lambda: self.try_take_call(name))
 
     def try_take_call(self, name: str) -> bool:
-        """Take a call that has come by now, the latest where several connections wait; was there one?"""
+        """Record a pending call, on the latest connection if several wait; False if there is none."""
         with contextlib.suppress(BlockingIOError):
             while True:
                 self.add_socket(name, self.discovery_listeners[name].accept()[0])
@@ -323,23 +340,24 @@
         return True
 
     def close_call(self, name: str, reset: bool) -> None:
-        """Discovery ends a connection without an answer."""
+        """End a connection to discovery without an answer."""
         if reset:
             self.reset(name, "")
         else:
             self.close_(name, "")
 
     def send_if_open(self, name: str, data: bytes) -> None:
-        """Some more of an answer, as far as it is still wanted."""
+        """Send more of an answer, unless the balancer has closed the connection."""
         with contextlib.suppress(OSError):
             self.sockets[name].send(data)
 
     def answer_next_call(self, name: str, body_or_fail: str) -> None:
+        """Wait for the next call and answer it; "fail" answers 503."""
         self.take_call(name)
         self.answer_call(name, body_or_fail)
 
     def answer_call(self, name: str, body_or_fail: str) -> None:
-        """Answer the call that was taken."""
+        """Answer the call that was recorded last; "fail" answers 503."""
         status, body = ("503 Busy", "") if body_or_fail == "fail" else ("200 OK", body_or_fail)
         self.sockets[name].sendall(f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         self.run_turns()
