--- a/snowwick/__main__.py
+++ b/snowwick/__main__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command-line interface."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @click.group()
 def main() -> None:
-    """A load balancer for connections that last."""
+    """A load balancer for long-lived connections."""
 
 
 @main.command()
@@ -30,31 +30,32 @@
     default="text",
     show_default=True,
     envvar="SNOWWICK_LOG_FORMAT",
-    help="Lines for people, or one JSON object an event.",
+    help="Plain text, or one JSON object per event.",
 )
 @click.option(
     "--contracts",
     type=click.Path(path_type=Path),
     envvar="SNOWWICK_CONTRACTS",
-    help="Hold teams to the contracts in this file (docs/operators/broker.md).",
+    help="Enforce the teams' contracts in this file (docs/operators/broker.md).",
 )
 @click.option(
     "--fleet",
     type=click.Path(path_type=Path),
     envvar="SNOWWICK_FLEET",
-    help="Talk to the other balancers as this file says (docs/operators/fleet-links.md).",
+    help="Join the fleet of balancers that this file describes (docs/operators/fleet-links.md).",
 )
 def serve(log_format: str, contracts: Path | None, fleet: Path | None) -> None:
-    """Serve, as GW_CONFIG and the other GW_ variables say, until SIGTERM."""
+    """Serve until SIGTERM, configured by GW_CONFIG and the other GW_ variables."""
     from snowwick.net.signals import SignalSockets
 
-    caught = SignalSockets()  # before the configuration is read: what changes after that is reread
+    # Before the configuration is read, so that a SIGHUP during the start leads to a reload
+    signal_sockets = SignalSockets()
     from snowwick.log import Log, as_json, as_text
     from snowwick.net.loop import Loop
     from snowwick.net.service import Service
 
     settings = _load()
-    read = _contracts_reader(contracts, settings) if contracts is not None else None
+    read_contracts = _contracts_reader(contracts, settings) if contracts is not None else None
     try:
         style = as_json(settings.name) if log_format == "json" else as_text
     except ImportError as error:
@@ -65,64 +66,68 @@
         service = Service(
             settings,
             Loop(Log(style=style)),
-            contracts=read,
+            contracts=read_contracts,
             fleet=(lambda: _load_fleet(fleet)) if fleet is not None else None,
         )
     except ValueError as error:
         if contracts is None:
             raise
-        raise _faulty(contracts, error) from error
+        raise _report_faults(contracts, error) from error
     except OSError as error:
         raise SystemExit(f"snowwick: {fleet}: links.listen: {error}") from error
     try:
-        service.serve(caught)
+        service.serve(signal_sockets)
     except OSError as error:
         raise SystemExit(f"snowwick: listen: {settings.listen[0]}:{settings.listen[1]}: {error}") from error
 
 
 @main.command("check-config")
 def check_config() -> None:
-    """Read and check the configuration, and print what it comes to."""
-    one = _load()
+    """Read and validate the configuration and print a summary."""
+    loaded = _load()
     click.echo(
-        f"name {one.name}\nlisten {one.listen[0]}:{one.listen[1]}\n"
-        f"discovery {one.discovery[0]}:{one.discovery[1]}\nsockets {one.sockets}\n"
-        f"classes {', '.join(c.name for c in one.settings.classes)}\n"
-        f"known {len(one.known['servers'])} destinations"
+        f"name {loaded.name}\nlisten {loaded.listen[0]}:{loaded.listen[1]}\n"
+        f"discovery {loaded.discovery[0]}:{loaded.discovery[1]}\nsockets {loaded.sockets}\n"
+        f"classes {', '.join(request_class.name for request_class in loaded.settings.classes)}\n"
+        f"known {len(loaded.known['servers'])} destinations"
     )
 
 
 @main.group()
 def contracts() -> None:
-    """Check contracts, and show what they come to."""
+    """Check contracts and show the limits that result."""
 
 
 @contracts.command("check")
 @click.argument("file", type=click.Path(path_type=Path))
 def contracts_check(file: Path) -> None:
-    """Check FILE without starting; against the settings too where GW_CONFIG names them."""
-    found = _read_contracts(file)
-    click.echo(f"{file}: {len(found.teams)} teams, {len(found.pools)} pools")
+    """Check FILE without starting, and against the settings if GW_CONFIG is set."""
+    parsed = _read_contracts(file)
+    click.echo(f"{file}: {len(parsed.teams)} teams, {len(parsed.pools)} pools")
 
 
 @contracts.command("explain")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option(
-    "--balancers", type=click.IntRange(1), default=1, show_default=True, help="How many share the fleet."
+    "--balancers",
+    type=click.IntRange(1),
+    default=1,
+    show_default=True,
+    help="Number of balancers in the fleet.",
 )
 def contracts_explain(file: Path, balancers: int) -> None:
-    """Print what each team of FILE gets at one balancer: guaranteed, alone, and when all ask."""
+    """Print each team's limits at one balancer: guaranteed, if only it is active, and if all are."""
     from snowwick.broker.contract import explain
 
     rows = explain(_read_contracts(file), balancers)
     click.echo(f"{'team':20} {'pool':14} {'limit':13} {'guaranteed':>11} {'alone':>9} {'all ask':>9}")
     for row in rows:
-        for at, key in enumerate(("connections", "setups_per_s", "load")):
+        for index, key in enumerate(("connections", "setups_per_s", "load")):
             if math.isinf(row[key][1]):
                 continue
             figures = "{:>12.6g}{:>10.6g}{:>10.6g}".format(*row[key])
-            first = f"{row['team']:20} {row['pool']:14}" if not at else " " * 35
-            click.echo(f"{first} {key:13}{figures}")
+            prefix = f"{row['team']:20} {row['pool']:14}" if not index else " " * 35
+            click.echo(f"{prefix} {key:13}{figures}")
         click.echo(f"{'':35} guarantee back within {row['guarantee_after_s']:.1f} s of being asked for")
 
 
@@ -141,57 +146,59 @@
     try:
         return _contracts_reader(path, settings)()
     except ValueError as error:
-        raise _faulty(path, error) from error
+        raise _report_faults(path, error) from error
 
 
 @main.group()
 def fleet() -> None:
-    """Check a fleet file, and ask a balancer how the fleet stands."""
+    """Check a fleet file and query a balancer for the state of the fleet."""
 
 
 @fleet.command("check")
 @click.argument("file", type=click.Path(path_type=Path))
 def fleet_check(file: Path) -> None:
-    """Check FILE and the keys that it names, without starting."""
-    found = _read_fleet(file)
-    click.echo(f"{file}: {len(found.links.seeds)} seeds, {len(found.keys)} keys, revision {found.digest}")
+    """Check FILE and its key files without starting."""
+    parsed = _read_fleet(file)
+    click.echo(f"{file}: {len(parsed.links.seeds)} seeds, {len(parsed.keys)} keys, revision {parsed.digest}")
 
 
 @fleet.command("status")
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--of", "address", default="", help="The balancer's fleet address; else what FILE listens on.")
-@click.option("--json", "as_json", is_flag=True, help="The whole answer as JSON.")
+@click.option(
+    "--of", "address", default="", help="The balancer's fleet address; by default the address in FILE."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print the whole answer as JSON.")
 def fleet_status(file: Path, address: str, as_json: bool) -> None:
-    """Ask one balancer over its link: members, what is replicated, revisions."""
+    """Query one balancer over its fleet link for members, replicated entries and revisions."""
     import json
     import random
 
     from snowwick.net.status_client import request_status
 
-    found = _read_fleet(file)
+    fleet_file = _read_fleet(file)
     try:
-        told = request_status(
-            found, address or found.links.address or found.links.listen, random.SystemRandom()
+        answer = request_status(
+            fleet_file, address or fleet_file.links.address or fleet_file.links.listen, random.SystemRandom()
         )
     except OSError as error:
         raise SystemExit(f"snowwick: {error}") from error
     if as_json:
-        click.echo(json.dumps(told, indent=1))
+        click.echo(json.dumps(answer, indent=1))
         return
     click.echo(
-        f"{told['name']}: {'caught up' if told['caught_up'] else 'not caught up yet'}"
-        f"{', alone' if told['alone'] else ''}, fleet file {told['revision']}"
+        f"{answer['name']}: {'caught up' if answer['caught_up'] else 'not caught up yet'}"
+        f"{', alone' if answer['alone'] else ''}, fleet file {answer['revision']}"
     )
     click.echo(f"{'member':20} {'state':8} {'incarnation':>14} {'entries':>8}  revision")
-    for one in told["members"]:
-        mine = f"{told['revision']} {told['contracts']}".strip()
-        revision = mine if one["state"] == "self" else told["revisions"].get(one["name"], "-")
+    for row in answer["members"]:
+        own_revision = f"{answer['revision']} {answer['contracts']}".strip()
+        revision = own_revision if row["state"] == "self" else answer["revisions"].get(row["name"], "-")
         click.echo(
-            f"{one['name']:20} {one['state']:8} {one['incarnation']:14} {one['entries']:8}  {revision}"
+            f"{row['name']:20} {row['state']:8} {row['incarnation']:14} {row['entries']:8}  {revision}"
         )
-    for name, count in told["kinds_by_name"].items():
+    for name, count in answer["kinds_by_name"].items():
         click.echo(f"{name:20} {count} entries")
-    for reason, count in told["dropped"].items():
+    for reason, count in answer["dropped"].items():
         click.echo(f"dropped as {reason}: {count}")
 
 
@@ -207,11 +214,11 @@
     try:
         return _load_fleet(path)
     except ValueError as error:
-        raise _faulty(path, error) from error
+        raise _report_faults(path, error) from error
 
 
-def _faulty(path: Path, error: ValueError) -> SystemExit:
-    """A line for each fault, and the code for bad configuration."""
+def _report_faults(path: Path, error: ValueError) -> SystemExit:
+    """Print a line for each fault and return the exit for an invalid configuration."""
     for fault in getattr(error, "faults", [str(error)]):
         print(f"snowwick: {path}: {fault}", file=sys.stderr)
     return SystemExit(2)
--- a/snowwick/config.py
+++ b/snowwick/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""Reads and validates the configuration and supplies its defaults."""
 
 from __future__ import annotations
 
@@ -15,54 +15,52 @@
 from crowgap.interface import Settings
 from snowwick.net.pool import parse_address
 
-SOCKETS = 1024
-MESSAGE_AIM_MS = 100.0
-RELOADABLE_FIELDS = (
-    "discovery",
-    "known",
-)  # reread on SIGHUP; `known` only matters at a start, so it is never "changed"
+DEFAULT_SOCKETS = 1024
+DEFAULT_MESSAGE_AIM_MS = 100.0
+# Applied on SIGHUP without a restart. `known` only matters at the start, so a change of it needs no warning.
+RELOADABLE_FIELDS = ("discovery", "known")
 
 
 class BadConfig(Exception):
-    """The text names the faulty key."""
+    """The configuration is invalid. The text names the faulty key."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What a balancer is told at its start."""
+    """The configuration of one balancer."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     settings: Settings
     seed: int = 0
-    sockets: int = SOCKETS
+    sockets: int = DEFAULT_SOCKETS
     groups: bool = False
-    load_field: str = ""  # of a destination's report: the load asked of it over what it can do
+    load_field: str = ""  # of a destination's report: its load over its capacity; empty if none
     tenants: frozenset[str] = frozenset()
-    message_aim_ms: float = MESSAGE_AIM_MS
+    message_aim_ms: float = DEFAULT_MESSAGE_AIM_MS
     known: dict[str, Any] = field(default_factory=dict)
 
     @property
     def deadlines(self) -> dict[str, float]:
-        """How many ms a client of each class waits at the most."""
-        return {one.name: one.deadline for one in self.settings.classes}
+        """The longest time in ms that a client waits for its answer, by class."""
+        return {request_class.name: request_class.deadline for request_class in self.settings.classes}
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read GW_CONFIG's file, put the other variables over it, check everything."""
+    """Read the file that GW_CONFIG names, apply the other GW_ variables and validate the result."""
     return _read(environment, {"GW_NAME": "name", "GW_LISTEN": "listen", "GW_DISCOVERY": "discovery"})
 
 
 def reload(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the file again while serving: its discovery counts, the variable held for the start only."""
+    """Read the file again while serving. GW_DISCOVERY only applies to the start, so the file's counts."""
     return _read(environment, {"GW_NAME": "name", "GW_LISTEN": "listen"})
 
 
-def _read(environment: Mapping[str, str], over: Mapping[str, str]) -> Config:
+def _read(environment: Mapping[str, str], overrides: Mapping[str, str]) -> Config:
     path = environment.get("GW_CONFIG")
     if not path:
-        raise BadConfig("GW_CONFIG: not set; it names the JSON file with the configuration")
+        raise BadConfig("GW_CONFIG: not set; must name the JSON file with the configuration")
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -73,35 +71,35 @@
         raise BadConfig(f"GW_CONFIG: {path} is not JSON: {error}") from error
     if not isinstance(raw, dict):
         raise BadConfig(f"GW_CONFIG: {path} must hold an object")
-    for variable, key in over.items():
+    for variable, key in overrides.items():
         if environment.get(variable):
             raw[key] = environment[variable]
     return check(raw)
 
 
 def check(raw: dict[str, Any]) -> Config:
-    """Check the configuration as one object."""
+    """Validate the configuration and build it from the parsed JSON object."""
     setup = _object(raw, "settings", required=True)
-    limits, family = _object(raw, "limits"), setup.get("familyInfo")
-    family = family if isinstance(family, dict) else {}
-    sockets = limits.get("sockets", SOCKETS)
+    limits, family_info = _object(raw, "limits"), setup.get("familyInfo")
+    family_info = family_info if isinstance(family_info, dict) else {}
+    sockets = limits.get("sockets", DEFAULT_SOCKETS)
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < 64:
         raise BadConfig(f"limits.sockets: must be a whole number of at least 64, not {sockets!r}")
     known = _object(raw, "known") or {"version": 0, "full": True, "servers": []}
     if not isinstance(known.get("servers"), list):
         raise BadConfig("known.servers: must be a list of servers")
-    aims = [aim for aim in family.get("messageAim") or [] if isinstance(aim, int | float) and aim > 0]
+    aims = [aim for aim in family_info.get("messageAim") or [] if isinstance(aim, int | float) and aim > 0]
     return Config(
         name=_text(raw, "name", "balancer"),
         listen=_address(raw, "listen"),
         discovery=_address(raw, "discovery"),
         settings=_settings(setup),
         seed=_seed(raw.get("seed", 0)),
-        sockets=min(sockets, _own_limit(sockets)),
-        groups=bool(family.get("groups", False)),
+        sockets=min(sockets, _raise_descriptor_limit(sockets)),
+        groups=bool(family_info.get("groups", False)),
         load_field=_load_field(setup),
         tenants=_tenants(setup),
-        message_aim_ms=float(min(aims, default=MESSAGE_AIM_MS)),
+        message_aim_ms=float(min(aims, default=DEFAULT_MESSAGE_AIM_MS)),
         known=known,
     )
 
@@ -118,7 +116,7 @@
 def _text(raw: dict[str, Any], key: str, default: str | None = None) -> str:
     value = raw.get(key, default)
     if not isinstance(value, str) or not value:
-        raise BadConfig(f"{key}: " + ("must be a text" if key in raw else "is missing"))
+        raise BadConfig(f"{key}: " + ("must be a non-empty string" if key in raw else "is missing"))
     return value
 
 
@@ -144,14 +142,14 @@
 
 
 def _load_field(setup: dict[str, Any]) -> str:
-    at = load_field_index(setup)
-    return "" if at is None else str(setup["report"]["fields"][at])
+    index = load_field_index(setup)
+    return "" if index is None else str(setup["report"]["fields"][index])
 
 
 def _tenants(setup: dict[str, Any]) -> frozenset[str]:
-    """All tenants by name; those without a quota of connections are clients too."""
+    """Return the names of all tenants, including those without a quota of connections."""
     try:
-        return frozenset(str(one["name"]) for one in setup.get("tenants") or [])
+        return frozenset(str(tenant["name"]) for tenant in setup.get("tenants") or [])
     except (KeyError, TypeError) as error:
         raise BadConfig("settings.tenants: must be a list of objects with a name") from error
 
@@ -160,12 +158,12 @@
     if isinstance(value, int) and not isinstance(value, bool):
         return value
     if not isinstance(value, str):
-        raise BadConfig(f"seed: must be a text or a whole number, not {value!r}")
+        raise BadConfig(f"seed: must be a string or a whole number, not {value!r}")
     return int.from_bytes(blake2b(value.encode(), digest_size=8).digest(), "big")
 
 
-def _own_limit(wanted: int) -> int:
-    """Descriptors that the system grants this process, raised to what is wanted where it may be."""
+def _raise_descriptor_limit(wanted: int) -> int:
+    """Raise this process's limit of file descriptors to ``wanted`` if allowed, and return the limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY:
         return wanted
--- a/snowwick/log.py
+++ b/snowwick/log.py
@@ -1,9 +1,10 @@
-"""The log on standard error, at a bounded rate: a flood of events must not become a flood of writes.
+"""The log on standard error, limited in rate so that a flood of events causes no flood of writes.
 
-It never waits for its reader: what a full pipe does not take at once is dropped and counted.
+Writes never block: what a full pipe does not accept at once is dropped and counted.
 
-Every event has a name and fields.  As text it is one line for people; as JSON (python-json-logger, loaded
-only then) one object a line, whose names docs/operators/logging.md promises to keep.
+Each event has a name and fields. The text format prints one line per event for people. The JSON format (with
+python-json-logger, imported only if used) prints one object per line; docs/operators/logging.md defines its
+names, which must not change.
 """
 
 from __future__ import annotations
@@ -17,11 +18,12 @@
 from collections.abc import Callable
 from typing import IO, Any, Protocol
 
-RATE, BURST = 100.0, 500.0  # lines a second in the long run, and at once
+MAX_LINES_PER_S = 100.0  # sustained
+MAX_BURST_LINES = 500.0
 
 
 class Style(Protocol):
-    """How an event becomes a line."""
+    """Formats an event as a line."""
 
     def __call__(self, event: str, text: str, fields: dict[str, Any]) -> str: ...
 
@@ -31,7 +33,10 @@
 
 
 def as_json(balancer: str = "", now: Callable[[], float] = time.time) -> Style:
-    """One JSON object a line: ``time`` (Unix seconds), ``balancer``, ``event``, then the event's fields."""
+    """Return a style that prints one JSON object per line.
+
+    The object has ``time`` (in Unix seconds), ``balancer``, ``event`` and then the event's fields.
+    """
     import logging
 
     from pythonjsonlogger.json import JsonFormatter
@@ -42,69 +47,71 @@
         record = logging.makeLogRecord(
             {"msg": {"time": round(now(), 3), "balancer": balancer, "event": event, **fields}}
         )
-        # The formatter adds the record's own message, which is empty where a mapping was logged.
+        # The formatter adds the record's own message, which is empty if a mapping was logged.
         record.message = ""
         return str(formatter.format(record))
 
     return style
 
 
-def pipe_of(sink: IO[str]) -> int | None:
-    """The descriptor behind a sink whose reader may stop: a pipe, a socket or a terminal, but no file."""
+def blocking_descriptor(sink: IO[str]) -> int | None:
+    """Return the file descriptor of a sink whose writes may block (pipe, socket, terminal), else None."""
     try:
-        number = sink.fileno()
-        mode = os.fstat(number).st_mode
+        descriptor = sink.fileno()
+        mode = os.fstat(descriptor).st_mode
     except (OSError, ValueError, AttributeError):
         return None
-    return number if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or stat.S_ISCHR(mode) else None
+    return descriptor if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or stat.S_ISCHR(mode) else None
 
 
 class Log:
-    """Prints events while the budget lasts, then counts what it left out and says so."""
+    """Writes events at a limited rate, counts the lines left out and logs their number."""
 
     def __init__(
         self, clock: Callable[[], float] = time.monotonic, sink: IO[str] | None = None, style: Style = as_text
     ) -> None:
         self.clock, self.sink, self.style = clock, sink if sink is not None else sys.stderr, style
-        self.budget, self.at, self.left_out = BURST, clock(), 0
-        self.pipe, self.room = pipe_of(self.sink), select.poll()
-        if self.pipe is not None:
-            self.room.register(self.pipe, select.POLLOUT)
+        self.budget_lines, self.budget_updated_at, self.left_out = MAX_BURST_LINES, clock(), 0
+        self.descriptor, self.poller = blocking_descriptor(self.sink), select.poll()
+        if self.descriptor is not None:
+            self.poller.register(self.descriptor, select.POLLOUT)
 
     def event(self, name: str, template: str, /, **fields: Any) -> None:
-        """Log ``name`` with its fields; ``template`` (as for str.format) makes the line for people."""
+        """Log ``name`` with its fields; ``template`` (as for str.format) is the text format's line."""
         now = self.clock()
-        self.budget = min(BURST, self.budget + RATE * (now - self.at))
-        self.at = now
-        if self.budget < 1.0:
+        self.budget_lines = min(
+            MAX_BURST_LINES, self.budget_lines + MAX_LINES_PER_S * (now - self.budget_updated_at)
+        )
+        self.budget_updated_at = now
+        if self.budget_lines < 1.0:
             self.left_out += 1
             return
-        self.budget -= 1.0
+        self.budget_lines -= 1.0
         text = self.style(name, template.format_map(fields).rstrip(), fields)
         if self.left_out:
-            text = self._count() + text
+            text = self._left_out_line() + text
         if self._write(text + "\n"):
             self.left_out = 0
         else:
-            self.left_out += 1  # a log that cannot be written must not end the program, nor hold it up
+            self.left_out += 1  # a failing log must neither end nor block the process
 
     def close(self) -> None:
-        """Say what was left out since the last line, where that can be written."""
-        if self.left_out and self._write(self._count()):
+        """Write the number of lines left out since the last line, if that is possible without blocking."""
+        if self.left_out and self._write(self._left_out_line()):
             self.left_out = 0
 
-    def _count(self) -> str:
+    def _left_out_line(self) -> str:
         return (
             self.style("log-left-out", f"log: {self.left_out} lines left out", {"count": self.left_out})
             + "\n"
         )
 
     def _write(self, text: str) -> bool:
-        """Write without waiting; False where that cannot be done.
+        """Write without blocking and return whether it succeeded.
 
-        A pipe that polls as writable takes PIPE_BUF bytes at once; longer texts are cut to that.
+        A pipe that polls as writable accepts PIPE_BUF bytes at once; longer texts are truncated to that.
         """
-        if self.pipe is None:
+        if self.descriptor is None:
             with contextlib.suppress(OSError):
                 print(text, end="", file=self.sink, flush=True)
                 return True
@@ -113,7 +120,7 @@
         if len(data) > select.PIPE_BUF:
             data = data[: select.PIPE_BUF - 1] + b"\n"
         with contextlib.suppress(OSError):
-            return any(events == select.POLLOUT for _, events in self.room.poll(0)) and os.write(
-                self.pipe, data
+            return any(events == select.POLLOUT for _, events in self.poller.poll(0)) and os.write(
+                self.descriptor, data
             ) == len(data)
         return False
