--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -15,7 +15,7 @@
 from benchmarks.figures import Figure, options, report
 from snowwick.fleet.members import DEAD, MemberChange
 from snowwick.fleet.node import Node
-from snowwick.lab.network import KEY, Faults, Network
+from snowwick.lab.network import FLEET_KEY, LinkFaults, Network
 from snowwick.lab.rig import Fleet
 
 LOSS = 0.05
@@ -27,8 +27,8 @@
     """Simulated: periods until a change is everywhere, over what is allowed; bytes a member sends a second
     with the same changes; members taken for dead that were not, with a one-way cut and stopped processes.
     """
-    net = Network(count, seed, faults=Faults(loss=LOSS))
-    net.run(120.0, net.agree, 0.2)
+    net = Network(count, seed, faults=LinkFaults(loss_probability=LOSS))
+    net.run(120.0, net.has_converged, 0.2)
     taken = []
     for n in range(3):
         key, began = f"k{n}", net.now
@@ -37,26 +37,26 @@
             began + 30.0,
             lambda key=key: all(  # type: ignore[misc]
                 any((1, key) in owner.entries for owner in one.node.store.owners.values())
-                for one in net.live()
+                for one in net.running_machines()
             ),
             0.02,
         )
-        taken.append((net.now - began) / net.period)
-    before, began = sum(one.node.counts.bytes_out for one in net.live()), net.now
+        taken.append((net.now - began) / net.period_s)
+    before, began = sum(one.node.counts.bytes_out for one in net.running_machines()), net.now
     while net.now < began + WATCHED:
-        net.write(f"m{net.random.randrange(count)}", 1, "k", b"%d" % net.serial)
+        net.write(f"m{net.rng.randrange(count)}", 1, "k", b"%d" % net.event_serial)
         net.run(net.now + 1.0 / CHANGES)
-    sent = (sum(one.node.counts.bytes_out for one in net.live()) - before) / count / WATCHED
-    net.cut = lambda one, other: (one, other) == ("m1", "m2")
+    sent = (sum(one.node.counts.bytes_out for one in net.running_machines()) - before) / count / WATCHED
+    net.is_cut = lambda one, other: (one, other) == ("m1", "m2")
     end = net.now + (20.0 if count > 100 else 60.0)
     while net.now < end:
         for _ in range(math.ceil(count / 50)):
-            net.stop(f"m{net.random.randrange(count)}", 2.0)
+            net.pause(f"m{net.rng.randrange(count)}", 2.0)
         net.run(net.now + 10.0)
     deaths = {
         news.member.name
-        for one in net.live()
-        for _, news in one.news
+        for one in net.running_machines()
+        for _, news in one.node_events
         if isinstance(news, MemberChange) and news.member.state >= DEAD
     }
     return max(taken) / (4 * math.ceil(math.log2(count))), sent, float(len(deaths))
@@ -66,7 +66,7 @@
     """Bytes that two nodes exchange until one that was away has the changes, over 2 times those and 64 kB."""
     now = 0.0
     one, other = (
-        Node(name, name, [KEY], ["a"], random.Random(n), lambda: 1e12 + 1000.0 * now)
+        Node(name, name, [FLEET_KEY], ["a"], random.Random(n), lambda: 1e12 + 1000.0 * now)
         for n, name in enumerate("ab", 1)
     )
     for node in (one, other):
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -33,7 +33,7 @@
     of,
     target,
 )
-from snowwick.lab.scale import simulated
+from snowwick.lab.scale import run_simulated
 from snowwick.lab.workload import Workload
 
 BUDGETS = {
@@ -59,7 +59,7 @@
     for count in sizes:
         began = time.monotonic()
         w = replace(workload, members=count)
-        rows.append(simulated(w, lambda text: None, lambda row: None))
+        rows.append(run_simulated(w, lambda text: None, lambda row: None))
         print(
             f"{count} members, {workload.load_writes:g} loads told a second: "
             f"{time.monotonic() - began:.1f} s",
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/hollow.py
@@ -42,13 +42,13 @@
 from snowwick.fleet.wire import Entry
 from snowwick.lab.workload import (
     Event,
-    Kind,
+    EventKind,
     Workload,
-    ask_value,
     change_key,
     change_value,
     grant_value,
     load_value,
+    request_value,
     schedule,
 )
 from snowwick.log import Log
@@ -154,7 +154,9 @@
 
     def play(self, event: Event) -> None:
         w, link = self.workload, self.link(event.member)
-        if event.kind is Kind.CHANGE:  # the whole fleet's rate: those of real members fall to hollow ones
+        if (
+            event.kind is EventKind.CHANGE
+        ):  # the whole fleet's rate: those of real members fall to hollow ones
             member = self.first + event.member % (w.members - self.first)
             link = self.link(member)
             if link is not None:
@@ -162,25 +164,25 @@
                 self.process.changes.append(
                     (link.node.name, link.node.store.owners[link.node.name].complete_seq, time.time())
                 )
-        elif event.kind is Kind.RIGHTS:
+        elif event.kind is EventKind.RIGHTS:
             lender = self.link(event.other)
             if link is not None:
-                link.write(registers.RIGHTS, "ask:scale", ask_value(w, event, f"m{event.other}", 1))
+                link.write(registers.RIGHTS, "ask:scale", request_value(w, event, f"m{event.other}", 1))
             if lender is not None:
                 lender.write(registers.RIGHTS, f"grant:m{event.member}:scale", grant_value(event, 1))
         elif link is None:
             return
-        elif event.kind is Kind.LOAD:
+        elif event.kind is EventKind.LOAD:
             value = registers.pack(load_value(w, event.member, event.number, event.at))
             link.write(registers.LOAD, str(event.number), value)
-        elif event.kind is Kind.VERDICT:
+        elif event.kind is EventKind.VERDICT:
             link.write(
                 registers.HEALTH,
                 str(event.number),
                 registers.pack(registers.HANGING),
                 registers.VERDICT_LIFETIME_S,
             )
-        elif event.kind is Kind.TAKEN_BACK:
+        elif event.kind is EventKind.VERDICT_WITHDRAWN:
             link.write(registers.HEALTH, str(event.number), None)
 
 
--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -105,7 +105,7 @@
         one.lent_amount(state.now)  # drops what has run out, so that equal states look equal
 
 
-def search(count: int, depth: int, most: int) -> tuple[int, int, list[str]]:
+def explore(count: int, depth: int, most: int) -> tuple[int, int, list[str]]:
     """States seen, the depth that was searched whole, and the steps to the first that breaks the budget."""
     frontier: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(begin(count)), ())]
     seen = {frontier[0][0]}
@@ -135,7 +135,7 @@
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--most", type=int, default=300_000)
     given = parser.parse_args()
-    states, depth, broken = search(given.balancers, given.depth, given.most)
+    states, depth, broken = explore(given.balancers, given.depth, given.most)
     print(f"{states} states, whole to depth {depth}", *broken, sep="\n")
     raise SystemExit(bool(broken))
 
--- a/snowwick/lab/network.py
+++ b/snowwick/lab/network.py
@@ -13,18 +13,18 @@
 
 from snowwick.fleet.node import Node
 
-KEY = b"k" * 32
+FLEET_KEY = b"k" * 32
 
 
 @dataclass(slots=True)
-class Faults:
+class LinkFaults:
     """What links do to a datagram, each by its probability; delays in s."""
 
-    loss: float = 0.0
-    double: float = 0.0
-    corrupt: float = 0.0
-    least: float = 0.001
-    most: float = 0.01
+    loss_probability: float = 0.0
+    duplicate_probability: float = 0.0
+    corruption_probability: float = 0.0
+    min_delay_s: float = 0.001
+    max_delay_s: float = 0.01
 
 
 @dataclass(slots=True)
@@ -34,85 +34,85 @@
     name: str
     node: Node
     skew_ms: float = 0.0
-    stopped_until: float = 0.0
-    dead: bool = False
-    queue: list[bytes] = field(default_factory=list)  # what comes while it is stopped
-    starts: int = 1
-    news: list[tuple[float, object]] = field(default_factory=list)
+    paused_until: float = 0.0
+    killed: bool = False
+    receive_queue: list[bytes] = field(default_factory=list)  # what comes while it is stopped
+    start_count: int = 1
+    node_events: list[tuple[float, object]] = field(default_factory=list)
 
 
 class Network:
     """Machines named m0, m1, ...; their addresses are their names."""
 
     def __init__(
-        self, count: int, seed: int, period: float = 0.2, faults: Faults | None = None, seeds: int = 2
+        self, count: int, seed: int, period: float = 0.2, faults: LinkFaults | None = None, seeds: int = 2
     ) -> None:
-        self.random, self.period, self.faults = random.Random(seed), period, faults or Faults()
-        self.now, self.serial = 0.0, 0
-        self.seeds = [f"m{n}" for n in range(seeds)]
-        self.cut: Callable[[str, str], bool] = lambda one, other: False
-        self.events: list[tuple[float, int, str, bytes | None]] = []
+        self.rng, self.period_s, self.faults = random.Random(seed), period, faults or LinkFaults()
+        self.now, self.event_serial = 0.0, 0
+        self.seed_addresses = [f"m{n}" for n in range(seeds)]
+        self.is_cut: Callable[[str, str], bool] = lambda one, other: False
+        self.event_heap: list[tuple[float, int, str, bytes | None]] = []
         self.machines: dict[str, Machine] = {}
-        self.sent = 0
+        self.datagrams_sent = 0
         for n in range(count):
-            self.add(f"m{n}")
+            self.start_machine(f"m{n}")
 
-    def wall_ms(self, name: str) -> Callable[[], float]:
+    def wall_clock_ms(self, name: str) -> Callable[[], float]:
         return lambda: (
             1_700_000_000_000.0
             + 1000.0 * self.now
             + (self.machines[name].skew_ms if name in self.machines else 0.0)
         )
 
-    def add(self, name: str) -> Machine:
+    def start_machine(self, name: str) -> Machine:
         """Start a machine, anew if it was there."""
         old = self.machines.get(name)
-        starts = old.starts + 1 if old is not None else 1
+        start_count = old.start_count + 1 if old is not None else 1
         node = Node(
             name,
             name,
-            [KEY],
-            self.seeds,
-            random.Random(self.random.getrandbits(64)),
-            self.wall_ms(name),
-            self.period,
+            [FLEET_KEY],
+            self.seed_addresses,
+            random.Random(self.rng.getrandbits(64)),
+            self.wall_clock_ms(name),
+            self.period_s,
         )
-        machine = Machine(name, node, old.skew_ms if old is not None else 0.0, starts=starts)
+        machine = Machine(name, node, old.skew_ms if old is not None else 0.0, start_count=start_count)
         self.machines[name] = machine
         # Not in step: processes start apart.
-        self._push(self.now + self.random.random() * self.period, name, None)
+        self._push(self.now + self.rng.random() * self.period_s, name, None)
         return machine
 
     def _push(self, at: float, name: str, data: bytes | None) -> None:
-        self.serial += 1
-        heapq.heappush(self.events, (at, self.serial, name, data))
+        self.event_serial += 1
+        heapq.heappush(self.event_heap, (at, self.event_serial, name, data))
 
     def run(self, until: float, enough: Callable[[], bool] | None = None, step: float = 0.0) -> float:
         """Play until a time, or until enough has happened (looked at every ``step`` s); returns the time."""
         look = self.now
-        while self.events and self.events[0][0] <= until:
-            at, _, name, data = heapq.heappop(self.events)
+        while self.event_heap and self.event_heap[0][0] <= until:
+            at, _, name, data = heapq.heappop(self.event_heap)
             self.now = max(self.now, at)
             if enough is not None and self.now >= look:
-                look = self.now + (step or self.period / 4)
+                look = self.now + (step or self.period_s / 4)
                 if enough():
-                    heapq.heappush(self.events, (at, 0, name, data))
+                    heapq.heappush(self.event_heap, (at, 0, name, data))
                     return self.now
-            self._event(name, data)
+            self._handle_event(name, data)
         self.now = max(self.now, until)
         return self.now
 
-    def _event(self, name: str, data: bytes | None) -> None:
+    def _handle_event(self, name: str, data: bytes | None) -> None:
         machine = self.machines[name]
-        if machine.dead:
+        if machine.killed:
             return
-        if self.now < machine.stopped_until:
+        if self.now < machine.paused_until:
             if data is None:
-                self._push(machine.stopped_until, name, None)
-            elif len(machine.queue) < 200:  # a socket's buffer
-                machine.queue.append(data)
+                self._push(machine.paused_until, name, None)
+            elif len(machine.receive_queue) < 200:  # a socket's buffer
+                machine.receive_queue.append(data)
             return
-        queue, machine.queue = machine.queue, []
+        queue, machine.receive_queue = machine.receive_queue, []
         for waiting in queue:
             machine.node.receive(waiting, self.now)
         if data is not None:
@@ -120,48 +120,48 @@
         else:
             machine.node.tick(self.now)
             self._push(max(machine.node.next_due(), self.now + 0.001), name, None)
-        self.carry(machine)
+        self.send_outbox(machine)
 
-    def carry(self, machine: Machine) -> None:
+    def send_outbox(self, machine: Machine) -> None:
         """Send what the node wants sent, by way of the faults."""
-        f, chance = self.faults, self.random.random
+        f, chance = self.faults, self.rng.random
         for to, datagram in machine.node.take_datagrams():
-            self.sent += 1
-            for _ in range(1 + (chance() < f.double)):
-                if to not in self.machines or chance() < f.loss or self.cut(machine.name, to):
+            self.datagrams_sent += 1
+            for _ in range(1 + (chance() < f.duplicate_probability)):
+                if to not in self.machines or chance() < f.loss_probability or self.is_cut(machine.name, to):
                     continue
                 data = datagram
-                if chance() < f.corrupt:
-                    at = self.random.randrange(len(data))
-                    data = data[:at] + bytes([data[at] ^ (1 << self.random.randrange(8))]) + data[at + 1 :]
-                self._push(self.now + f.least + (f.most - f.least) * chance(), to, data)
-        machine.news += [(self.now, one) for one in machine.node.take_events()]
+                if chance() < f.corruption_probability:
+                    at = self.rng.randrange(len(data))
+                    data = data[:at] + bytes([data[at] ^ (1 << self.rng.randrange(8))]) + data[at + 1 :]
+                self._push(self.now + f.min_delay_s + (f.max_delay_s - f.min_delay_s) * chance(), to, data)
+        machine.node_events += [(self.now, one) for one in machine.node.take_events()]
 
     # -- troubles ----------------------------------------------------------------------------------------
 
-    def halves(self, first: Iterable[str]) -> None:
+    def partition(self, first: Iterable[str]) -> None:
         """Cut these off from all others, both ways."""
         names = frozenset(first)
-        self.cut = lambda one, other: (one in names) != (other in names)
+        self.is_cut = lambda one, other: (one in names) != (other in names)
 
     def heal(self) -> None:
-        self.cut = lambda one, other: False
+        self.is_cut = lambda one, other: False
 
     def kill(self, name: str) -> None:
-        self.machines[name].dead = True
+        self.machines[name].killed = True
 
-    def stop(self, name: str, seconds: float) -> None:
+    def pause(self, name: str, seconds: float) -> None:
         """SIGSTOP, then SIGCONT so much later."""
-        self.machines[name].stopped_until = self.now + seconds
+        self.machines[name].paused_until = self.now + seconds
 
     # -- looks -------------------------------------------------------------------------------------------
 
-    def live(self) -> list[Machine]:
-        return [one for one in self.machines.values() if not one.dead]
+    def running_machines(self) -> list[Machine]:
+        return [one for one in self.machines.values() if not one.killed]
 
-    def agree(self) -> bool:
+    def has_converged(self) -> bool:
         """Do all live machines hold the same, and know the same members?"""
-        live = self.live()
+        live = self.running_machines()
         names = {one.name for one in live}
         return len({one.node.store.root_hash() for one in live}) == 1 and all(
             {record.name for record in one.node.members.alive()} | {one.name} == names for one in live
@@ -170,4 +170,4 @@
     def write(self, name: str, kind: int, key: str, value: bytes | None, left: float = 0.0) -> None:
         machine = self.machines[name]
         machine.node.write(kind, key, value, self.now, left)
-        self.carry(machine)
+        self.send_outbox(machine)
--- a/snowwick/lab/scale.py
+++ b/snowwick/lab/scale.py
@@ -34,7 +34,7 @@
 from typing import Any, Literal, NoReturn, cast
 
 from snowwick.lab import scale_simulated
-from snowwick.lab.workload import Host, Refused, Result, Row, Workload
+from snowwick.lab.workload import Host, Result, Row, RunRefused, Workload
 
 MOST_MINUTES = 60.0
 QUICK: dict[str, Any] = {"seconds": 4.0, "idle_s": 1.0, "burst_s": 2.0, "faults": "restarts", "drain_s": 5.0}
@@ -74,7 +74,7 @@
 
 
 def check(workloads: list[Workload], most_s: float, most_bytes: int) -> tuple[float, int]:
-    """s and bytes that the simulated sizes will take, one after the other; raises Refused."""
+    """s and bytes that the simulated sizes will take, one after the other; raises RunRefused."""
     seconds = sum(scale_simulated.estimate_s(w) for w in workloads)
     need = max(scale_simulated.estimate_bytes(w) for w in workloads)
     if need <= most_bytes and seconds <= most_s:
@@ -85,7 +85,7 @@
         one = replace(top, members=members)
         return scale_simulated.estimate_bytes(one) <= most_bytes and scale_simulated.estimate_s(one) <= most_s
 
-    raise Refused(
+    raise RunRefused(
         f"would take {need / 1e9:.1f} GB and {seconds / 60.0:.0f} minutes, "
         f"{most_bytes / 1e9:.1f} GB and {most_s / 60.0:.0f} minutes are allowed: "
         f"one size of at most {largest(fits, top.members)} members would fit"
@@ -131,7 +131,7 @@
         pipe.send(("failed", f"{type(error).__name__}: {error}"))
 
 
-def simulated(
+def run_simulated(
     workload: Workload, say: Callable[[str], None], keep: Callable[[Mapping[str, object]], None]
 ) -> Row:
     """One size, in a child that is ended with this call however it ends; raises Failed."""
@@ -169,13 +169,13 @@
 
 
 def real_form() -> ModuleType:
-    """The real form; raises Refused where it isn't there."""
+    """The real form; raises RunRefused where it isn't there."""
     try:
         return importlib.import_module(REAL_FORM)
     except ModuleNotFoundError as error:
         if error.name != REAL_FORM:
             raise
-        raise Refused("the real form is not there") from None
+        raise RunRefused("the real form is not there") from None
 
 
 # -- the command line ----------------------------------------------------------------------------------------
@@ -291,11 +291,11 @@
             for w in workloads:
                 need = real.estimate_bytes(min(given.real, w.members), max(0, w.members - given.real))
                 if need > room():
-                    raise Refused(
+                    raise RunRefused(
                         f"{w.members} members would take {need / 1e9:.1f} GB, "
                         f"{room() / 1e9:.1f} GB are allowed: fewer whole ones may fit, --real"
                     )
-    except Refused as refused:
+    except RunRefused as refused:
         _say(f"refused: {refused}")
         sys.exit(2)
     words = sys.argv[1:] if arguments is None else arguments
@@ -325,7 +325,7 @@
 
             try:
                 if real is None:
-                    row = simulated(w, _say, keep)
+                    row = run_simulated(w, _say, keep)
                 else:
                     row = real.play(w, min(given.real, w.members), max(0, w.members - given.real), _say, keep)
             except BaseException:
--- a/snowwick/lab/scale_real.py
+++ b/snowwick/lab/scale_real.py
@@ -56,7 +56,7 @@
 from snowwick.fleet.node import STATUS_PART_BYTES
 from snowwick.lab.hollow import LONGEST_MS, anonymous
 from snowwick.lab.rig import Failed, Fleet
-from snowwick.lab.workload import Refused, Workload, reference_loop
+from snowwick.lab.workload import RunRefused, Workload, reference_frame_cpu_s
 
 PER_PROCESS = 25  # hollow members of a process: more, and one core carries them no more
 JOINS = 5.0  # hollow members that start a second: many in one moment are a storm of their own
@@ -86,15 +86,17 @@
 
 
 def check(real: int, hollow: int) -> None:
-    """Raises Refused where so many processes or descriptors are more than is allowed."""
+    """Raises RunRefused where so many processes or descriptors are more than is allowed."""
     if real < 1 or hollow < 2:
-        raise Refused("the real form takes --real 1 and --hollow 2 at least")
+        raise RunRefused("the real form takes --real 1 and --hollow 2 at least")
     processes = real + math.ceil(hollow / PER_PROCESS)
     if processes > PROCESSES:
-        raise Refused(f"{processes} processes; {PROCESSES} are possible: fewer --real")
+        raise RunRefused(f"{processes} processes; {PROCESSES} are possible: fewer --real")
     wanted, allowed = real * (real + 30) + 200, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if wanted > allowed:
-        raise Refused(f"about {wanted} descriptors, {allowed} allowed: fewer --real, or ulimit -n {wanted}")
+        raise RunRefused(
+            f"about {wanted} descriptors, {allowed} allowed: fewer --real, or ulimit -n {wanted}"
+        )
 
 
 # -- what is counted -----------------------------------------------------------------------------------------
@@ -220,7 +222,7 @@
     """Play so many real members beside so many hollow ones; returns the row.
 
     ``keep`` is given the row as far as it is there, ``partial``, after each step and when the run ends early.
-    Raises Refused; ``snowwick.lab.rig.Failed`` where a member has ended by itself; AssertionError where
+    Raises RunRefused; ``snowwick.lab.rig.Failed`` where a member has ended by itself; AssertionError where
     something did not come about in time; KeyboardInterrupt.  All that was started has ended by then.
     """
     check(real, hollow)
@@ -262,7 +264,7 @@
 
     def play(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.reference = reference_loop()
+        self.reference = reference_frame_cpu_s()
         self.row["reference_s"] = self.reference
         self.start()
         self.measure()
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -40,21 +40,21 @@
 from snowwick.fleet.members import DEAD, MAX_SUSPICION_FACTOR, MIN_SUSPICION_S, SUSPICION_FACTOR, MemberChange
 from snowwick.fleet.node import CaughtUp
 from snowwick.fleet.registers import RegisterView
-from snowwick.lab.network import Faults, Machine, Network
+from snowwick.lab.network import LinkFaults, Machine, Network
 from snowwick.lab.workload import (
     Event,
-    Kind,
+    EventKind,
     Measures,
     Phase,
     Row,
     Workload,
-    ask_value,
     change_key,
     change_value,
     grant_value,
     load_value,
     loads,
-    reference_loop,
+    reference_frame_cpu_s,
+    request_value,
     schedule,
 )
 from snowwick.net.fleet import SHARE_INTERVAL_S
@@ -231,7 +231,9 @@
 
     def __init__(self, workload: Workload) -> None:
         self.w = workload
-        super().__init__(workload.members, workload.seed, workload.period, Faults(loss=workload.loss))
+        super().__init__(
+            workload.members, workload.seed, workload.period, LinkFaults(loss_probability=workload.loss)
+        )
         self.log = Log("", 0.0)
         self.ran_since = dict.fromkeys(self.machines, 0.0)  # of those that run
         self.spreading: list[Spreading] = []
@@ -256,10 +258,10 @@
 
     # -- carrying --
 
-    def _event(self, name: str, data: bytes | None) -> None:
+    def _handle_event(self, name: str, data: bytes | None) -> None:
         machine = self.machines[name]
-        if machine.dead or machine.queue or self.now < machine.stopped_until:
-            super()._event(name, data)
+        if machine.killed or machine.receive_queue or self.now < machine.paused_until:
+            super()._handle_event(name, data)
             return
         node, meter = machine.node, self.log.meter(name)
         if data is not None:
@@ -278,15 +280,19 @@
             meter.core += time.process_time() - began
             meter.shed += node.counts.shed - shed
             self._push(max(due, self.now + 0.001), name, None)
-        self.carry(machine)
+        self.send_outbox(machine)
 
-    def carry(self, machine: Machine) -> None:
-        meter, chance, here = self.log.meter(machine.name), self.random.random, self.region[machine.name]
+    def send_outbox(self, machine: Machine) -> None:
+        meter, chance, here = self.log.meter(machine.name), self.rng.random, self.region[machine.name]
         least, spread = 0.1 * self.w.delay_s, 0.9 * self.w.delay_s
         for to, datagram in machine.node.take_datagrams():
             meter.datagrams_out += 1
             meter.bytes_out += len(datagram)
-            if to not in self.machines or chance() < self.faults.loss or self.cut(machine.name, to):
+            if (
+                to not in self.machines
+                or chance() < self.faults.loss_probability
+                or self.is_cut(machine.name, to)
+            ):
                 continue
             far = self.w.region_delay_s if self.region[to] != here else 0.0
             self._push(self.now + least + spread * chance() + far, to, datagram)
@@ -303,30 +309,30 @@
         began = time.process_time()
         machine.node.write(kind, key, value, self.now, left)
         meter.core += time.process_time() - began
-        self.carry(machine)
+        self.send_outbox(machine)
 
     # -- deaths --
 
     def is_true(self, member: wire.Member, by: str) -> bool:
         """Was that start of the member gone, or stopped for long or cut off from who says so, or just was?"""
         machine = self.machines.get(member.name)
-        if machine is None or machine.dead or machine.node.members.local.boot != member.boot:
+        if machine is None or machine.killed or machine.node.members.local.boot != member.boot:
             return True
         start, end = self.stops.get(member.name, (0.0, 0.0))
         if end - start >= MIN_SUSPICION_S and self.now < end + self.late:
             return True
-        cut = self.cut(member.name, by) or self.cut(by, member.name)
+        cut = self.is_cut(member.name, by) or self.is_cut(by, member.name)
         return cut or (
             self.now < self.healed_at + self.late
             and (self.was_cut(member.name, by) or self.was_cut(by, member.name))
         )
 
-    def stop(self, name: str, seconds: float) -> None:
-        super().stop(name, seconds)
+    def pause(self, name: str, seconds: float) -> None:
+        super().pause(name, seconds)
         self.stops[name] = self.now, self.now + seconds
 
     def heal(self) -> None:
-        self.was_cut, self.healed_at = self.cut, self.now
+        self.was_cut, self.healed_at = self.is_cut, self.now
         super().heal()
 
     # -- phases --
@@ -375,11 +381,11 @@
             other: (owner.epoch, owner.complete_seq)
             for other in self.ran_since
             for owner in (self.machines[other].node.store.owners[other],)
-            if not self.cut(name, other)
+            if not self.is_cut(name, other)
         }
         # The dead core goes now, as the collector is off: its handlers are bound to itself.
         self.machines[name].node.handlers.clear()
-        self.add(name)
+        self.start_machine(name)
         self.ran_since[name] = self.now
         self.starting.append(Starting(name, self.now, lacking, self.log))
         self.first_words(name)
@@ -409,7 +415,7 @@
         key = change_key(self.w, number)
         self.write(writer, registers.REVISION, key, change_value(self.w, number))
         own = self.machines[writer].node.store.owners[writer]
-        waiting = {name for name in self.ran_since if name != writer and not self.cut(writer, name)}
+        waiting = {name for name in self.ran_since if name != writer and not self.is_cut(writer, name)}
         one = Spreading(
             writer,
             (registers.REVISION, key),
@@ -421,18 +427,18 @@
         )
         self.log.changes += 1
         self.spreading.append(one)
-        if any(self.cut(writer, name) for name in self.ran_since):
+        if any(self.is_cut(writer, name) for name in self.ran_since):
             self.in_cut.append(one)
         self._over()
 
     def happen(self, event: Event) -> None:
         name = f"m{event.member}"
         match event.kind:
-            case Kind.LOAD if self.runs(name):
+            case EventKind.LOAD if self.runs(name):
                 self.load(event.member, event.number)
-            case Kind.CHANGE:
+            case EventKind.CHANGE:
                 self.change(event.member, event.number)
-            case Kind.VERDICT if self.runs(name):
+            case EventKind.VERDICT if self.runs(name):
                 self.write(
                     name,
                     registers.HEALTH,
@@ -440,36 +446,36 @@
                     registers.pack(registers.HANGING),
                     registers.VERDICT_LIFETIME_S,
                 )
-            case Kind.TAKEN_BACK if self.runs(name):
+            case EventKind.VERDICT_WITHDRAWN if self.runs(name):
                 self.write(name, registers.HEALTH, str(event.number), None)
-            case Kind.RIGHTS if self.runs(name) and self.runs(f"m{event.other}"):
+            case EventKind.RIGHTS if self.runs(name) and self.runs(f"m{event.other}"):
                 lender = f"m{event.other}"
                 epoch = {one: self.machines[one].node.store.owners[one].epoch for one in (name, lender)}
                 self.write(
-                    name, registers.RIGHTS, "ask:scale", ask_value(self.w, event, lender, epoch[lender])
+                    name, registers.RIGHTS, "ask:scale", request_value(self.w, event, lender, epoch[lender])
                 )
                 self.write(lender, registers.RIGHTS, f"grant:{name}:scale", grant_value(event, epoch[name]))
-            case Kind.FAIL:
+            case EventKind.FAIL:
                 self.gone(name)
-            case Kind.LEAVE if self.runs(name):
+            case EventKind.LEAVE if self.runs(name):
                 self.machines[name].node.leave(self.now)
-                self.carry(self.machines[name])
+                self.send_outbox(self.machines[name])
                 self.gone(name)
-            case Kind.START:
+            case EventKind.START:
                 self.comes(name)
-            case Kind.ZONE_LOST:
+            case EventKind.ZONE_LOST:
                 for n in self.in_zone(event.number):
                     self.gone(n)
-            case Kind.ZONE_BACK:
+            case EventKind.ZONE_BACK:
                 for n in self.in_zone(event.number):
                     self.comes(n)
                 self.log.ends = self.now
-            case Kind.CUT:
-                self.cut = lambda one, other: self.region[one] != self.region[other]
+            case EventKind.CUT:
+                self.is_cut = lambda one, other: self.region[one] != self.region[other]
                 for row in self.spreading:
-                    row.waiting = {one for one in row.waiting if not self.cut(row.writer, one)}
+                    row.waiting = {one for one in row.waiting if not self.is_cut(row.writer, one)}
                 self._over()
-            case Kind.HEAL:
+            case EventKind.HEAL:
                 self.heal()
                 self.log.ends = self.now
 
@@ -547,7 +553,7 @@
                     of == name
                     or not history
                     or not self.runs(of)
-                    or self.cut(of, name)
+                    or self.is_cut(of, name)
                     or not node.members.is_member(of)
                 ):
                     continue
@@ -693,7 +699,7 @@
     began = time.monotonic()
     order = [(one.at, n, one) for n, one in enumerate(schedule(workload))]
     logs = {phase.name: Log(phase.name, phase.start) for phase in workload.phases()}
-    reference_loop(100, 3)
+    reference_frame_cpu_s(100, 3)
     gc.collect()
     gc.disable()
     try:
@@ -727,7 +733,7 @@
     heapq.heapify(order)
     for phase in w.phases():
         fleet.turn(run.logs[phase.name])
-        fleet.log.references.append(reference_loop(REFERENCES, 1))
+        fleet.log.references.append(reference_frame_cpu_s(REFERENCES, 1))
         _phase(fleet, order, phase, run.logs[phase.name], partial(progress, phase))
         if phase.name == "steady":
             run.memory = run.used()
@@ -761,7 +767,7 @@
                 fleet.look_at_healing(log)
         if fleet.now >= seconds:
             seconds += 1.0
-            fleet.log.references.append(reference_loop(REFERENCES, 1))
+            fleet.log.references.append(reference_frame_cpu_s(REFERENCES, 1))
             # Not before each register was written anew: ages would be those of the idle phase.
             turn = registers.LOAD_CHUNKS / fleet.w.load_writes if fleet.w.load_writes else 0.0
             if fleet.now >= fleet.w.idle_s + turn:
--- a/snowwick/lab/search.py
+++ b/snowwick/lab/search.py
@@ -13,21 +13,21 @@
 import sys
 from multiprocessing import Pool
 
-from snowwick.lab.network import Faults, Network
+from snowwick.lab.network import LinkFaults, Network
 
 SETTLE = 25.0  # s after the last fault in which all have to agree
 STEPS = 12
 
 
-def course(seed: int) -> str:
+def run_schedule(seed: int) -> str:
     """What went wrong with a seed; empty where nothing did."""
     rng = random.Random(seed)
     count = rng.choice([3, 4, 5])
-    faults = Faults(
-        loss=rng.choice([0.0, 0.05, 0.3]),
-        double=rng.choice([0.0, 0.2]),
-        corrupt=rng.choice([0.0, 0.1]),
-        most=rng.choice([0.01, 0.3]),
+    faults = LinkFaults(
+        loss_probability=rng.choice([0.0, 0.05, 0.3]),
+        duplicate_probability=rng.choice([0.0, 0.2]),
+        corruption_probability=rng.choice([0.0, 0.1]),
+        max_delay_s=rng.choice([0.01, 0.3]),
     )
     net = Network(count, seed, faults=faults)
     names = list(net.machines)
@@ -35,36 +35,39 @@
     net.run(rng.uniform(0.0, 4.0))
     for step in range(STEPS):
         what, name = rng.randrange(8), rng.choice(names)
-        if what <= 2 and not net.machines[name].dead:
+        if what <= 2 and not net.machines[name].killed:
             key = rng.choice("kl")
             value = None if rng.random() < 0.3 else b"%d" % step
             net.write(name, 1, key, value)
             wrote[name, key] = value
         elif what == 3:
-            net.halves(rng.sample(names, rng.randrange(1, count)))
+            net.partition(rng.sample(names, rng.randrange(1, count)))
         elif what == 4:
             one, other = rng.sample(names, 2)
-            net.cut = lambda a, b, pair=(one, other): (a, b) == pair  # type: ignore[misc]
+            net.is_cut = lambda a, b, pair=(one, other): (a, b) == pair  # type: ignore[misc]
         elif what == 5:
-            net.stop(name, rng.uniform(0.2, 6.0))
-        elif what == 6 and not net.machines[name].dead:
+            net.pause(name, rng.uniform(0.2, 6.0))
+        elif what == 6 and not net.machines[name].killed:
             net.kill(name)
-        elif what == 7 and net.machines[name].dead:
+        elif what == 7 and net.machines[name].killed:
             net.machines[name].skew_ms = rng.choice([0.0, 600_000.0, -600_000.0])
-            net.add(name)
+            net.start_machine(name)
             wrote = {key: value for key, value in wrote.items() if key[0] != name}
         net.run(net.now + rng.choice([0.05, 0.5, 3.0]))
     net.heal()
-    net.faults.corrupt, net.faults.loss = 0.0, min(net.faults.loss, 0.05)
+    net.faults.corruption_probability, net.faults.loss_probability = (
+        0.0,
+        min(net.faults.loss_probability, 0.05),
+    )
     for name in names:
-        if net.machines[name].dead:
-            net.add(name)
+        if net.machines[name].killed:
+            net.start_machine(name)
             wrote = {key: value for key, value in wrote.items() if key[0] != name}
-    net.run(net.now + SETTLE, net.agree, 0.2)
-    if not net.agree():
+    net.run(net.now + SETTLE, net.has_converged, 0.2)
+    if not net.has_converged():
         return f"seed {seed}: no agreement {SETTLE} s after the last fault"
     want = {key: value for key, value in wrote.items() if value is not None}
-    for machine in net.live():
+    for machine in net.running_machines():
         have = {
             (held.entry.owner, held.entry.key): held.entry.value
             for held in machine.node.store.live_entries(1)
@@ -83,7 +86,7 @@
     with Pool(given.processes) as pool:
         found = [
             one
-            for one in pool.imap_unordered(course, range(given.first, given.first + given.seeds), 16)
+            for one in pool.imap_unordered(run_schedule, range(given.first, given.first + given.seeds), 16)
             if one
         ]
     for one in found[:20]:
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -1,6 +1,6 @@
 """The scale run's workload, its course in time, the unit of processor time, and the form of the results.
 
-Nothing here has I/O, but for ``reference_loop``, which reads the processor's clock.  Times are s from the
+Nothing here has I/O, but for ``reference_frame_cpu_s``, which reads the CPU clock.  Times are s from the
 start of the run; rates are events a second.
 
 The target is a fleet of 5,700 balancers in two regions with five zones: 26,000 changes of configuration a
@@ -31,13 +31,13 @@
 Faults = Literal["none", "restarts", "all"]
 
 
-class Kind(StrEnum):
+class EventKind(StrEnum):
     """What happens; ``member`` is whose doing, or whom it befalls."""
 
     LOAD = "load"  # the member writes the load register ``number`` (0 to registers.LOAD_CHUNKS - 1)
     CHANGE = "change"  # the member writes change of configuration ``number``
     VERDICT = "verdict"  # the member finds destination ``number`` bad
-    TAKEN_BACK = "taken-back"  # and takes that back, registers.VERDICT_LIFETIME_S later
+    VERDICT_WITHDRAWN = "taken-back"  # and takes that back, registers.VERDICT_LIFETIME_S later
     RIGHTS = "rights"  # the member asks ``other`` for rights, which grants them
     FAIL = "fail"  # the member's machine is gone at once
     LEAVE = "leave"  # the member leaves as at a restart
@@ -53,7 +53,7 @@
     """One thing that happens."""
 
     at: float  # s
-    kind: Kind
+    kind: EventKind
     member: int = 0
     number: int = 0
     other: int = 0
@@ -186,7 +186,7 @@
         for phase, n in order:
             at = turn * pace + phase
             if start <= at < end:
-                yield Event(at, Kind.LOAD, n, turn % registers.LOAD_CHUNKS)
+                yield Event(at, EventKind.LOAD, n, turn % registers.LOAD_CHUNKS)
         turn += 1
 
 
@@ -212,7 +212,7 @@
     events = list(loads(w, steady.start, end))
     at, number = steady.start + 0.5 / max(w.changes(), 1e-9), 0
     while at < end:
-        events.append(Event(at, Kind.CHANGE, rng.randrange(w.members), number))
+        events.append(Event(at, EventKind.CHANGE, rng.randrange(w.members), number))
         number += 1
         rate = w.changes() * (w.burst_factor if burst.start <= at < burst.end else 1.0)
         after = at + 1.0 / max(rate, 1e-9)
@@ -221,22 +221,22 @@
     for at in _times(rng, w.verdicts, steady.start, end):
         one, bad = rng.randrange(w.members), rng.randrange(w.load_destinations)
         events += [
-            Event(at, Kind.VERDICT, one, bad),
-            Event(at + registers.VERDICT_LIFETIME_S, Kind.TAKEN_BACK, one, bad),
+            Event(at, EventKind.VERDICT, one, bad),
+            Event(at + registers.VERDICT_LIFETIME_S, EventKind.VERDICT_WITHDRAWN, one, bad),
         ]
     for at in _times(rng, w.rights if w.members > 1 else 0.0, steady.start, end):
         one, other = rng.sample(range(w.members), 2)
-        events.append(Event(at, Kind.RIGHTS, one, 0, other))
+        events.append(Event(at, EventKind.RIGHTS, one, 0, other))
     if w.faults != "none" and w.members > 2:
         events += _away(w, rng, steady)
     if w.faults == "all":
         zone, cut = phases["zone_lost"], phases["region_cut"]
         lost = rng.randrange(w.zones)
         events += [
-            Event(zone.start, Kind.ZONE_LOST, 0, lost),
-            Event(zone.start + w.zone_lost_s, Kind.ZONE_BACK, 0, lost),
-            Event(cut.start, Kind.CUT),
-            Event(cut.start + w.region_cut_s, Kind.HEAL),
+            Event(zone.start, EventKind.ZONE_LOST, 0, lost),
+            Event(zone.start + w.zone_lost_s, EventKind.ZONE_BACK, 0, lost),
+            Event(cut.start, EventKind.CUT),
+            Event(cut.start + w.region_cut_s, EventKind.HEAL),
         ]
     return sorted((one for one in events if one.at < end), key=lambda one: one.at)
 
@@ -246,8 +246,8 @@
     half = steady.start + 0.5 * (steady.end - steady.start)
     events, free = list[Event](), rng.sample(range(w.members), max(2, w.members // 3))
     for kind, rate, away in (
-        (Kind.FAIL, w.by_members(w.failures_per_day), w.failure_s),
-        (Kind.LEAVE, w.by_members(w.restarts_per_day), w.restart_s),
+        (EventKind.FAIL, w.by_members(w.failures_per_day), w.failure_s),
+        (EventKind.LEAVE, w.by_members(w.restarts_per_day), w.restart_s),
     ):
         times = list(
             _times(
@@ -257,7 +257,7 @@
         for at in times:
             if free:
                 one = free.pop()
-                events += [Event(at, kind, one), Event(min(at + away, steady.end), Kind.START, one)]
+                events += [Event(at, kind, one), Event(min(at + away, steady.end), EventKind.START, one)]
     return events
 
 
@@ -287,7 +287,7 @@
     return f"scale{number % w.change_keys:04}"
 
 
-def ask_value(w: Workload, event: Event, lender: str, boot: int) -> bytes:
+def request_value(w: Workload, event: Event, lender: str, boot: int) -> bytes:
     """A borrower's register: it holds rights of one lender.
 
     The program names all members in it, so that past some 35 members it is longer than a value may be, and
@@ -332,7 +332,7 @@
     return frame
 
 
-def reference_loop(frames: int = 2000, rounds: int = 5) -> float:
+def reference_frame_cpu_s(frames: int = 2000, rounds: int = 5) -> float:
     """s of processor for one full frame: digest and decode, the gate's check, encode and digest.
 
     The median of some rounds of ``frames`` frames each; a frame is some 1,400 bytes.
@@ -445,5 +445,5 @@
     ended: str
 
 
-class Refused(Exception):
+class RunRefused(Exception):
     """The run would not fit; the message says in one line what would."""
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -17,9 +17,9 @@
 from snowwick.fleet.rights import LEASE_S, MAX_LENT_FRACTION, Budget, Grant
 from snowwick.fleet.store import TOMBSTONE_S, Store
 from snowwick.fleet.wire import Entry, Frame, FrameDropped, OwnerSummary, Ping, ReplayFilter, ReplayWindow
-from snowwick.lab.interleavings import search
-from snowwick.lab.network import KEY, Faults, Network
-from snowwick.lab.search import course
+from snowwick.lab.interleavings import explore
+from snowwick.lab.network import FLEET_KEY, LinkFaults, Network
+from snowwick.lab.search import run_schedule
 
 
 def frame(
@@ -33,7 +33,7 @@
 
 @given(st.binary(max_size=wire.MAX_FRAME_BYTES + 10))
 def test_no_datagram_raises(data: bytes) -> None:
-    node = Node("b", "b", [KEY], [], random.Random(1), lambda: 1e12)
+    node = Node("b", "b", [FLEET_KEY], [], random.Random(1), lambda: 1e12)
     node.receive(data, 1.0)
     assert sum(node.counts.dropped.values()) == 1
 
@@ -46,23 +46,23 @@
     )
 )
 def test_no_message_under_the_right_key_raises(message: object) -> None:
-    node = Node("b", "b", [KEY], [], random.Random(1), lambda: 1e12)
+    node = Node("b", "b", [FLEET_KEY], [], random.Random(1), lambda: 1e12)
     try:
         data = bytes([wire.VERSION]) + msgspec.msgpack.encode(message)
     except OverflowError:
         return
-    node.receive(data[:1] + wire.keyed_digest(KEY, data) + data[1:], 1.0)
+    node.receive(data[:1] + wire.keyed_digest(FLEET_KEY, data) + data[1:], 1.0)
     assert not node.members.records
 
 
 @given(st.integers(0, 10**6), st.data())
 def test_one_changed_bit_drops_the_frame(seed: int, data: st.DataObject) -> None:
-    sealed = wire.seal(frame(seq=seed), KEY)
+    sealed = wire.seal(frame(seq=seed), FLEET_KEY)
     at = data.draw(st.integers(8, 8 * len(sealed) - 1))
     changed = bytearray(sealed)
     changed[at // 8] ^= 1 << at % 8
     with pytest.raises(FrameDropped, match="digest"):
-        wire.unseal(bytes(changed), [KEY])
+        wire.unseal(bytes(changed), [FLEET_KEY])
 
 
 def test_old_and_new_key_are_taken_while_keys_change() -> None:
@@ -223,66 +223,74 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_copies_agree_under_loss_doubling_corruption_and_a_cut(seed: int) -> None:
-    net = Network(6, seed, faults=Faults(loss=0.1, double=0.1, corrupt=0.05, most=0.15))
-    net.run(10.0, net.agree)
-    net.halves(["m0", "m1", "m2"])
+    net = Network(
+        6,
+        seed,
+        faults=LinkFaults(
+            loss_probability=0.1, duplicate_probability=0.1, corruption_probability=0.05, max_delay_s=0.15
+        ),
+    )
+    net.run(10.0, net.has_converged)
+    net.partition(["m0", "m1", "m2"])
     for n in range(6):
         net.write(f"m{n}", 1, "k", b"%d" % n)
     net.run(net.now + 12.0)
     net.kill("m4")
     net.run(net.now + 3.0)
-    net.add("m4")
+    net.start_machine("m4")
     net.write("m4", 1, "k", b"anew")
     net.write("m0", 1, "k", None)
     net.heal()
     healed = net.now
-    net.run(healed + 20.0, net.agree)
-    assert net.agree() and net.now < healed + 10.0
-    assert all(machine.node.counts.dropped["digest"] for machine in net.live())
+    net.run(healed + 20.0, net.has_converged)
+    assert net.has_converged() and net.now < healed + 10.0
+    assert all(machine.node.counts.dropped["digest"] for machine in net.running_machines())
 
 
 def test_a_stopped_machine_is_back_without_harm_and_a_wrong_clock_changes_nothing() -> None:
     net = Network(5, 3)
     net.machines["m1"].skew_ms = 600_000.0
-    net.run(8.0, net.agree)
-    net.stop("m2", 5.0)
+    net.run(8.0, net.has_converged)
+    net.pause("m2", 5.0)
     net.write("m1", 1, "k", b"1")
     net.write("m0", 1, "k", b"0")
     net.run(net.now + 12.0)
-    assert net.agree()
+    assert net.has_converged()
     assert all(
         machine.node.clock.last >> LOGICAL_BITS < 1_700_000_000_000 + 60_000
-        for machine in net.live()
+        for machine in net.running_machines()
         if machine.name != "m1"
     )
 
 
 def test_a_start_by_a_clock_gone_back_counts_on_from_the_earlier_one() -> None:
     net = Network(4, 5)
-    net.run(8.0, net.agree)
+    net.run(8.0, net.has_converged)
     net.write("m3", 1, "k", b"before")
     net.run(net.now + 2.0)
     net.kill("m3")
     net.machines["m3"].skew_ms = -3_600_000.0
-    net.add("m3")
+    net.start_machine("m3")
     net.write("m3", 1, "k", b"after")
-    net.run(net.now + 25.0, net.agree)
-    values = {held.entry.value for machine in net.live() for held in machine.node.store.live_entries(1)}
-    assert net.agree() and values == {b"after"}
+    net.run(net.now + 25.0, net.has_converged)
+    values = {
+        held.entry.value for machine in net.running_machines() for held in machine.node.store.live_entries(1)
+    }
+    assert net.has_converged() and values == {b"after"}
 
 
 def test_one_way_cut_and_stops_cause_no_false_death() -> None:
-    net = Network(20, 2, faults=Faults(loss=0.05))
-    net.run(20.0, net.agree)
-    net.cut = lambda one, other: (one, other) == ("m3", "m4")
+    net = Network(20, 2, faults=LinkFaults(loss_probability=0.05))
+    net.run(20.0, net.has_converged)
+    net.is_cut = lambda one, other: (one, other) == ("m3", "m4")
     end = net.now + 60.0
     while net.now < end:
-        net.stop(f"m{net.random.randrange(20)}", 0.6)
+        net.pause(f"m{net.rng.randrange(20)}", 0.6)
         net.run(net.now + 5.0)
     assert not [
         news
-        for machine in net.live()
-        for _, news in machine.news
+        for machine in net.running_machines()
+        for _, news in machine.node_events
         if getattr(getattr(news, "member", None), "state", 0) >= 2
     ]
 
@@ -296,7 +304,7 @@
         store.merge_entry(
             Entry("x", 1, n + 1, registers.HEALTH, str(n), registers.pack(registers.HANGING), 0, 6000), 0.0
         )
-    node = Node("me", "me", [KEY], [], random.Random(1), lambda: 1e12)
+    node = Node("me", "me", [FLEET_KEY], [], random.Random(1), lambda: 1e12)
     node.members.record_contact("x", "x", 1, 1, 0.0)
     believed = registers.RegisterView(store, node.members)
     assert not believed.verdicts(12, 1.0) and len(believed.verdicts(24, 1.0)) == 6
@@ -400,11 +408,11 @@
 @pytest.mark.parametrize("first", [0, 27, 120, 1059, 1472])
 def test_courses_with_all_faults_at_once_end_in_agreement_on_what_was_written(first: int) -> None:
     """Seeds 8, 27, 120, 1059 and 1472 once did not: members that were never told of each other."""
-    assert not [found for seed in range(first, first + 12) if (found := course(seed))]
+    assert not [found for seed in range(first, first + 12) if (found := run_schedule(seed))]
 
 
 def test_no_interleaving_of_two_balancers_uses_a_right_twice() -> None:
-    states, depth, broken = search(2, 6, 100_000)
+    states, depth, broken = explore(2, 6, 100_000)
     assert not broken and depth == 6 and states > 10_000
 
 
@@ -436,4 +444,4 @@
     monkeypatch: pytest.MonkeyPatch, what: str, broken_by: object
 ) -> None:
     monkeypatch.setattr(Budget, what, broken_by)
-    assert search(2, 8, 150_000)[2]
+    assert explore(2, 8, 150_000)[2]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,14 +23,14 @@
 from snowwick.lab.scale_simulated import Deaths, Played, Times, joined, longest_suspicion, play
 from snowwick.lab.workload import (
     TARGET,
-    Kind,
-    Refused,
+    EventKind,
     Row,
+    RunRefused,
     Workload,
     change_value,
     load_value,
     reference_frame,
-    reference_loop,
+    reference_frame_cpu_s,
     schedule,
 )
 
@@ -55,15 +55,17 @@
     w = Workload(members, seconds=600.0, burst_s=60.0, faults="none")
     idle, steady, burst = w.phases()
     found = Counter((one.kind, steady.start <= one.at < steady.end) for one in schedule(w))
-    assert abs(found[Kind.CHANGE, True] - 600.0 * 26_000 / 86_400) <= 1
-    assert abs(found[Kind.CHANGE, False] - 10 * 60.0 * 26_000 / 86_400) <= 1
-    assert found[Kind.LOAD, True] == 600 * members
+    assert abs(found[EventKind.CHANGE, True] - 600.0 * 26_000 / 86_400) <= 1
+    assert abs(found[EventKind.CHANGE, False] - 10 * 60.0 * 26_000 / 86_400) <= 1
+    assert found[EventKind.LOAD, True] == 600 * members
     assert not [one for one in schedule(w) if one.at < idle.end]
     assert burst.end == w.length() == 665.0
 
 
 def test_each_member_writes_its_load_registers_in_turn() -> None:
-    mine = [one for one in schedule(Workload(5, faults="none")) if one.kind is Kind.LOAD and one.member == 3]
+    mine = [
+        one for one in schedule(Workload(5, faults="none")) if one.kind is EventKind.LOAD and one.member == 3
+    ]
     assert [one.number for one in mine[:8]] == [
         (mine[0].number + n) % registers.LOAD_CHUNKS for n in range(8)
     ]
@@ -72,20 +74,26 @@
 def test_restarts_and_failures_go_by_the_members_and_are_at_least_one_each() -> None:
     large = Workload(TARGET, seconds=6_200.0, load_writes=0.0, faults="restarts")
     found = Counter(one.kind for one in schedule(large))
-    assert 150 <= found[Kind.LEAVE] <= 250  # one each 31 s
-    assert 1 <= found[Kind.FAIL] <= 8  # 36 a day
-    assert found[Kind.START] == found[Kind.LEAVE] + found[Kind.FAIL]
+    assert 150 <= found[EventKind.LEAVE] <= 250  # one each 31 s
+    assert 1 <= found[EventKind.FAIL] <= 8  # 36 a day
+    assert found[EventKind.START] == found[EventKind.LEAVE] + found[EventKind.FAIL]
     small = Counter(one.kind for one in schedule(Workload(12, faults="restarts")))
-    assert small[Kind.LEAVE] == small[Kind.FAIL] == 1 and small[Kind.START] == 2
+    assert small[EventKind.LEAVE] == small[EventKind.FAIL] == 1 and small[EventKind.START] == 2
     none = {one.kind for one in schedule(Workload(12, faults="none"))}
-    assert none <= {Kind.LOAD, Kind.CHANGE, Kind.VERDICT, Kind.TAKEN_BACK, Kind.RIGHTS}
+    assert none <= {
+        EventKind.LOAD,
+        EventKind.CHANGE,
+        EventKind.VERDICT,
+        EventKind.VERDICT_WITHDRAWN,
+        EventKind.RIGHTS,
+    }
 
 
 def test_a_zone_is_lost_and_back_and_the_regions_are_cut_for_a_minute() -> None:
     w = Workload(12)
     at = {one.kind: one.at for one in schedule(w)}
-    assert at[Kind.ZONE_BACK] - at[Kind.ZONE_LOST] == w.zone_lost_s
-    assert at[Kind.HEAL] - at[Kind.CUT] == 60.0
+    assert at[EventKind.ZONE_BACK] - at[EventKind.ZONE_LOST] == w.zone_lost_s
+    assert at[EventKind.HEAL] - at[EventKind.CUT] == 60.0
     assert {w.zone_of(n) for n in range(12)} == set(range(5))
     assert {w.region_of(n) for n in range(12)} == {0, 1}
 
@@ -106,7 +114,7 @@
         wire.MAX_FRAME_BYTES - 100 < len(sealed) <= wire.MAX_FRAME_BYTES
         and wire.unseal(sealed, [b"r" * 32]) == frame
     )
-    assert 1e-6 < reference_loop(50, 3) < 1e-2
+    assert 1e-6 < reference_frame_cpu_s(50, 3) < 1e-2
 
 
 # -- counting --------------------------------------------------------------------------------------------
@@ -145,24 +153,24 @@
 
 def test_who_is_cut_off_wholly_dies_truly() -> None:
     fleet = a_fleet()
-    fleet.halves(["m3"])
+    fleet.partition(["m3"])
     fleet.run(30.0)
     assert {name for name, _, _ in fleet.deaths.true} == set(fleet.machines) and not fleet.deaths.false
     fleet.heal()
-    fleet.run(60.0, fleet.agree, 0.2)
-    assert fleet.agree() and not fleet.deaths.false
+    fleet.run(60.0, fleet.has_converged, 0.2)
+    assert fleet.has_converged() and not fleet.deaths.false
 
 
 def test_who_is_said_dead_without_a_reason_dies_falsely() -> None:
     fleet = a_fleet()
-    Network.stop(fleet, "m3", 25.0)  # behind the back of what judges deaths
+    Network.pause(fleet, "m3", 25.0)  # behind the back of what judges deaths
     fleet.run(20.0)
     assert {name for name, _, _ in fleet.deaths.false} == {"m3"}
 
 
 def test_who_is_stopped_for_longer_than_a_suspicion_dies_truly() -> None:
     fleet = a_fleet()
-    fleet.stop("m3", 25.0)
+    fleet.pause("m3", 25.0)
     fleet.run(20.0)
     assert {name for name, _, _ in fleet.deaths.true} == {"m3"} and not fleet.deaths.false
     assert longest_suspicion(6, 0.2) == 3.0 < longest_suspicion(5700, 0.2)
@@ -182,7 +190,7 @@
         assert sum(isinstance(one, Node) for one in gc.get_objects()) == before
     finally:
         gc.enable()
-    assert fleet.agree() and not fleet.deaths.false
+    assert fleet.has_converged() and not fleet.deaths.false
 
 
 # -- a fleet that starts joined --------------------------------------------------------------------------
@@ -236,9 +244,9 @@
 def test_started_joined_equals_joined_by_itself(seed: int) -> None:
     at_once, by_itself = written(seed), written(seed)
     joined(at_once)
-    assert at_once.agree()
-    by_itself.run(60.0, by_itself.agree, 0.05)
-    assert by_itself.agree()
+    assert at_once.has_converged()
+    by_itself.run(60.0, by_itself.has_converged, 0.05)
+    assert by_itself.has_converged()
     by_itself.run(by_itself.now + 10.0)  # all is told by then
     for one in at_once.machines.values():
         assert sorted(one.node.members.probe_order) == sorted(at_once.machines.keys() - {one.name})
@@ -253,7 +261,10 @@
     for name in first:
         assert first[name][0::2] == second[name][0::2]  # type: ignore[index]
     at_once.run(20.0)
-    assert at_once.agree() and held(at_once) == {name: (row[0], None, row[2]) for name, row in first.items()}  # type: ignore[index]
+    assert at_once.has_converged() and held(at_once) == {
+        name: (row[0], None, row[2])  # type: ignore[index]
+        for name, row in first.items()
+    }
     assert all(machine.node.caught_up for machine in at_once.machines.values())
 
 
@@ -281,7 +292,7 @@
 def test_a_row_has_sane_values_and_what_starts_catches_up() -> None:
     """In a process of its own, as the command plays it: memory is right only where none was played before."""
     lines, rows = list[str](), list[Row]()
-    row = scale.simulated(SMALL, lines.append, lambda kept: rows.append(cast(Row, kept)))
+    row = scale.run_simulated(SMALL, lines.append, lambda kept: rows.append(cast(Row, kept)))
     sane(row, SMALL)
     assert row["starts"] == 2 and not row["starts_unfinished"]
     assert row["start_s"] is not None and 0.0 < row["start_s"] < 5.0
@@ -303,7 +314,7 @@
     w = replace(
         SMALL, members=10, faults="all", zone_lost_s=8.0, zone_back_s=6.0, region_cut_s=15.0, heal_s=8.0
     )
-    row = scale.simulated(w, quiet, quiet)
+    row = scale.run_simulated(w, quiet, quiet)
     sane(row, w)
     for phase in (row["zone_lost"], row["region_cut"]):
         assert phase["healed_s"] is not None and 0.0 <= phase["healed_s"] < 8.0
@@ -341,15 +352,15 @@
 
 def test_the_largest_that_is_said_to_fit_fits_and_one_more_does_not() -> None:
     w, seconds, room = Workload(5700), 600.0, 4 << 30
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RunRefused) as refused:
         scale.check([w], seconds, room)
     found = re.search(r"at most (\d+) members", str(refused.value))
     assert found is not None
     fits = replace(w, members=int(found[1]))
     scale.check([fits], seconds, room)
-    with pytest.raises(Refused):
+    with pytest.raises(RunRefused):
         scale.check([replace(w, members=fits.members + 1)], seconds, room)
-    with pytest.raises(Refused):
+    with pytest.raises(RunRefused):
         scale.check([fits, fits], seconds, room)  # one after the other takes twice as long
     twice = replace(w, members=2 * 5700)
     assert scale_simulated.estimate_bytes(twice) > 2 * scale_simulated.estimate_bytes(w)
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -29,7 +29,7 @@
     spread,
 )
 from snowwick.lab.standins import ROOT
-from snowwick.lab.workload import Refused, Workload
+from snowwick.lab.workload import RunRefused, Workload
 
 REAL, HOLLOW = 2, 6
 
@@ -271,9 +271,9 @@
 
 
 def test_more_than_the_machine_allows_is_refused() -> None:
-    with pytest.raises(Refused, match="processes"):
+    with pytest.raises(RunRefused, match="processes"):
         check(300, 200)
-    with pytest.raises(Refused, match="--hollow 2"):
+    with pytest.raises(RunRefused, match="--hollow 2"):
         check(1, 0)
     check(8, 200)
     assert estimate_bytes(8, 200) < estimate_bytes(8, 400) < 8e9
