--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,7 @@
-"""What is still owed at the instant in which something ends; docs/endings.md has the table.
+"""Races between the end of a connection and input that arrives at the same time; see docs/endings.md.
 
-Each instant is forced: bytes lie in a socket before the turn that closes it, come between a turn's look at
-the sockets and what it resumes, or just before a call.  See wire.py for the language and the hooks.
+Each race is forced: bytes are in a socket before the turn that closes it, arrive between the turn's poll and
+the actors that it resumes, or just before a socket call.  See wire.py for the scenarios and the hooks.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 @pytest.fixture
 def world() -> Iterator[World]:
-    one = World()
-    yield one
-    one.close()
+    scenario_world = World()
+    yield scenario_world
+    scenario_world.close()
 
 
 def front_of(world: World) -> Front:
@@ -36,28 +36,28 @@
     return front
 
 
-def step_of(world: World) -> Destination:
-    (step,) = [one for one in world.loop.actors if isinstance(one, Destination)]
-    return step
+def route_step_of(world: World) -> Destination:
+    (route_step,) = [actor for actor in world.loop.actors if isinstance(actor, Destination)]
+    return route_step
 
 
-def rests(world: World, who: str = "c1") -> Front:
-    """A client that has connected and asked nothing."""
-    world.play(f"{who} send PING\n{who} expect PONG")
+def open_idle_connection(world: World, name: str = "c1") -> Front:
+    """Connect a client that sends no request."""
+    world.play(f"{name} send PING\n{name} expect PONG")
     return front_of(world)
 
 
-def passes(world: World, done: Callable[[], object], most: float) -> float:
-    """Let time pass in steps, at most so many seconds, until something is so; returns how many it took."""
-    began = world.clock.now
-    while not done():
-        assert world.clock.now < began + most, "it did not happen in time"
+def advance_until(world: World, condition: Callable[[], object], max_s: float) -> float:
+    """Advance the clock in steps until a condition holds, at most ``max_s``; returns the seconds it took."""
+    started_at = world.clock.now
+    while not condition():
+        assert world.clock.now < started_at + max_s, "the condition did not hold in time"
         world.wait(50)
-    return world.clock.now - began
+    return world.clock.now - started_at
 
 
-def nothing_is_left(world: World) -> None:
-    """No socket, no request in the module, nothing that it counts at a server."""
+def assert_nothing_left(world: World) -> None:
+    """No socket is open, and the decision module has no request and counts no connection."""
     world.run_until(lambda: not world.service.fronts)
     world.run_turns()
     balancer = world.service.decider.balancer
@@ -67,52 +67,54 @@
     assert "fault" not in world.log_output.getvalue(), world.log_output.getvalue()
 
 
-# --- a front socket without a request
+# --- idle front sockets, without a request
 
 
-@pytest.mark.parametrize("why", ["time", "room"])
-def test_request_in_the_socket_in_the_turn_that_ends_a_resting_connection_is_served(
-    world: World, why: str
+@pytest.mark.parametrize("trigger", ["time", "room"])
+def test_request_pending_in_the_socket_of_an_idle_connection_that_is_being_closed_is_served(
+    world: World, trigger: str
 ) -> None:
-    front = rests(world)
+    front = open_idle_connection(world)
     world.put_unread("c1", OPEN)
-    if why == "time":
+    if trigger == "time":
         world.clock.now += 2.1
     else:
         front.post(EvictIdle())
     world.play("d1 expect OPEN 1 *\nd1 send UP r1\nc1 expect UP r1")
 
 
-def test_request_between_the_look_and_the_time_out_of_a_resting_connection_is_served(world: World) -> None:
-    """The loop had looked at the socket already, and then the time ran out."""
-    rests(world)
+def test_request_between_poll_and_timeout_of_an_idle_connection_is_served(world: World) -> None:
+    """The loop has polled the socket before the request arrives, and then the opening timeout passes."""
+    open_idle_connection(world)
     world.clock.now += 2.1
     world.call_after_poll(lambda: world.put_unread("c1", OPEN))
     world.play("d1 expect OPEN 1 *")
 
 
-@pytest.mark.parametrize("why", ["time", "room"])
-def test_request_that_comes_as_a_resting_connection_is_shut_is_never_sent_on(world: World, why: str) -> None:
-    """Its answer could not be sent any more: sent on, it would be served to nobody.  No reset either."""
-    front = rests(world)
+@pytest.mark.parametrize("trigger", ["time", "room"])
+def test_request_during_the_shutdown_of_an_idle_connection_is_never_forwarded(
+    world: World, trigger: str
+) -> None:
+    """Its answer could no longer be sent, so a destination would serve it in vain.  Nor is there a reset."""
+    front = open_idle_connection(world)
     world.call_before(front, "shutdown", lambda: world.put_unread("c1", OPEN))
-    if why == "time":
+    if trigger == "time":
         world.clock.now += 2.1
     else:
         front.post(EvictIdle())
     world.play("c1 end\nc1 close")
-    nothing_is_left(world)
+    assert_nothing_left(world)
     assert not world.destination_connections
 
 
-def test_flood_that_asks_much_and_rests_gives_its_descriptors_back() -> None:
-    """Ended connections that nobody closes must not hold what asking clients need."""
+def test_idle_connections_of_a_flood_release_their_descriptors() -> None:
+    """Connections that the balancer has ended but the client does not close must not use up descriptors."""
     world = World(limits={"sockets": 64})
     for n in range(60):
-        mute = socket.create_connection(world.service.listener.getsockname())
-        mute.sendall(b"PING\r\n" * 100)
-        world.sockets[f"m{n}"] = mute
-        mute.setblocking(False)
+        idle_client = socket.create_connection(world.service.listener.getsockname())
+        idle_client.sendall(b"PING\r\n" * 100)
+        world.sockets[f"m{n}"] = idle_client
+        idle_client.setblocking(False)
         world.received[f"m{n}"] = bytearray()
     for n in range(1, 9):
         world.play(f"wait 60\nc{n} send OPEN {n} k{n} d=1200,c=feed,t=n")
@@ -122,55 +124,55 @@
     world.close()
 
 
-# --- a request that waits for its answer
+# --- requests that wait for their answer
 
 
-def test_request_whose_client_has_gone_with_its_last_byte_is_not_sent_on(world: World) -> None:
+def test_request_of_a_client_that_closes_right_after_it_is_not_forwarded(world: World) -> None:
     with socket.create_connection(world.service.listener.getsockname()) as client:
         client.sendall(OPEN.encode() + b"\r\n")
     world.run_until(lambda: world.log_output.getvalue())
-    nothing_is_left(world)
+    assert_nothing_left(world)
     assert not world.destination_connections and " left " in world.log_output.getvalue()
 
 
-def test_bytes_on_top_of_the_opening_in_the_same_turn_are_answered_before_any_decision(world: World) -> None:
-    """In a second read of that turn: the opening alone had been taken."""
-    front = rests(world)
+def test_extra_input_after_the_opening_in_the_same_turn_is_rejected_before_any_decision(world: World) -> None:
+    """The extra input arrives with the second read of the turn; the first returns only the opening line."""
+    front = open_idle_connection(world)
     world.put_unread("c1", OPEN)
     world.call_before(front, "recv", lambda: None)
     world.call_before(front, "recv", lambda: None)
     front.sock.pending_actions.append(lambda: world.put_unread("c1", "M 1"))  # type: ignore[attr-defined]
     world.play("c1 expect ERR\nc1 end\nc1 close")
-    nothing_is_left(world)
+    assert_nothing_left(world)
     assert not world.destination_connections
 
 
-def waits(world: World, monkeypatch: pytest.MonkeyPatch) -> Front:
-    """A request that the module holds."""
+def queue_request(world: World, monkeypatch: pytest.MonkeyPatch) -> Front:
+    """Start a request that stays queued in the decision module."""
     monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
     world.play(f"c1 send {OPEN}\nc1 quiet")
     return front_of(world)
 
 
-@pytest.mark.parametrize("how", ["close", "reset", "close after the look"])
-def test_client_gone_and_its_step_in_one_turn_is_not_sent_on(
-    world: World, monkeypatch: pytest.MonkeyPatch, how: str
+@pytest.mark.parametrize("client_action", ["close", "reset", "close after the poll"])
+def test_route_step_in_the_turn_in_which_the_client_leaves_is_not_started(
+    world: World, monkeypatch: pytest.MonkeyPatch, client_action: str
 ) -> None:
-    front = waits(world, monkeypatch)
-    if how == "close after the look":
+    front = queue_request(world, monkeypatch)
+    if client_action == "close after the poll":
         world.call_after_poll(lambda: world.close_unread("c1"))
     else:
-        world.close_unread("c1", reset=how == "reset")
+        world.close_unread("c1", reset=client_action == "reset")
     front.post(RouteStep(destination_number("s-1"), 500.0))
-    nothing_is_left(world)
+    assert_nothing_left(world)
     assert not world.destination_connections
 
 
-def test_client_gone_in_the_turn_in_which_the_module_lets_it_out_leaves_nothing_behind(
+def test_client_that_leaves_while_the_decider_sends_its_route_step_leaves_nothing_behind(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The step was asked for at a front that had ended: the module waited for its end for good."""
-    front, balancer = waits(world, monkeypatch), world.service.decider.balancer
+    """The route step went to a front that had ended, and the module waited forever for the step's end."""
+    front, balancer = queue_request(world, monkeypatch), world.service.decider.balancer
     monkeypatch.undo()
     world.close_unread("c1")
     (flow,) = balancer.flows.values()
@@ -181,57 +183,59 @@
     assert balancer._start_attempt(flow, probed=True)
     for action in balancer.pending_actions:
         world.service.decider._carry_out(action)
-    nothing_is_left(world)
+    assert_nothing_left(world)
     assert not world.destination_connections
 
 
-def test_client_gone_and_its_step_failed_in_one_turn_has_no_successor(world: World) -> None:
+def test_failed_route_step_of_a_client_that_left_in_the_same_turn_is_not_retried(world: World) -> None:
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
-    world.resume_first(step_of(world))
+    world.resume_first(route_step_of(world))
     world.close_unread("d1", reset=True)
     world.close_unread("c1")
-    nothing_is_left(world)
+    assert_nothing_left(world)
     assert world.destination_connections == 1
 
 
-@pytest.mark.parametrize("how", ["close", "more"])
-def test_client_that_stirs_while_its_step_connects_is_not_sent_on(world: World, how: str) -> None:
-    """Both are ready in one turn, and the step is resumed first."""
-    rests(world)
+@pytest.mark.parametrize("client_action", ["close", "more"])
+def test_client_active_while_its_route_step_connects_is_not_forwarded(
+    world: World, client_action: str
+) -> None:
+    """Client and route step are ready in the same turn, and the route step is resumed first."""
+    open_idle_connection(world)
     world.put_unread("c1", OPEN)
     while not any(isinstance(one, Destination) for one in world.loop.actors):
         world.loop.run_once(0.0)
-    if how == "close":
+    if client_action == "close":
         world.close_unread("c1")
     else:
         world.put_unread("c1", "M 1")
-    world.resume_first(step_of(world))
-    if how == "more":
+    world.resume_first(route_step_of(world))
+    if client_action == "more":
         world.play("c1 expect ERR\nc1 end\nc1 close")
-    nothing_is_left(world)
+    assert_nothing_left(world)
     assert world.destination_connections == 1 and not world.received["d1"] and "d1" in world.closed, (
-        "the opening was written"
+        "the opening line was written"
     )
 
 
-def test_bytes_and_up_in_one_turn_are_answered_as_garbled(world: World) -> None:
-    """What lies in the socket before the answer is written was sent before the answer."""
+def test_client_input_in_the_turn_of_the_up_is_rejected(world: World) -> None:
+    """Input that is in the socket before the answer is written was sent before the answer."""
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
-    world.resume_first(step_of(world))
+    world.resume_first(route_step_of(world))
     world.put_unread("d1", "UP r1")
     world.put_unread("c1", "M 1")
     world.play("c1 expect ERR\nc1 end\nd1 end\nc1 close\nd1 close")
-    nothing_is_left(world)
+    assert_nothing_left(world)
 
 
-# --- an attempt
+# --- route steps
 
 
-@pytest.mark.parametrize("when", ["before the look", "after the look"])
-def test_up_in_the_turn_of_its_time_out_counts(world: World, when: str) -> None:
+@pytest.mark.parametrize("arrival", ["before the poll", "after the poll"])
+def test_up_in_the_turn_of_the_timeout_counts(world: World, arrival: str) -> None:
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
-    world.clock.now += 0.61  # half of the time is one attempt's
-    if when == "before the look":
+    world.clock.now += 0.61  # a route step gets half of the client's wait
+    if arrival == "before the poll":
         world.put_unread("d1", "UP r1")
     else:
         world.call_after_poll(lambda: world.put_unread("d1", "UP r1"))
@@ -239,64 +243,72 @@
     assert world.destination_connections == 1
 
 
-def test_up_in_the_turn_in_which_the_client_is_overdue_counts(world: World) -> None:
-    """The front was resumed before the attempt that had read its UP."""
+def test_up_in_the_turn_of_the_clients_deadline_counts(world: World) -> None:
+    """The front is resumed at its deadline before the route step, whose socket has the UP."""
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
     world.put_unread("d1", "UP r1")
     world.service.decider.timers.clear()
     front, ready = front_of(world), world.loop.ready
 
-    def front_first() -> None:
+    def resume_front_first() -> None:
         ready.remove(front)
         ready.appendleft(front)
 
-    world.call_after_poll(front_first)
+    world.call_after_poll(resume_front_first)
     world.clock.now += 1.21
     world.play("c1 expect UP r1")
 
 
-@pytest.mark.parametrize("spoilt", ["UP", "UP ", "UP r1 ", "UP r\x01", "up r1", "UPr1", "BYE", "MOVE"])
-def test_spoilt_answer_ends_the_attempt_and_closes_it_before_the_next(world: World, spoilt: str) -> None:
+@pytest.mark.parametrize("answer", ["UP", "UP ", "UP r1 ", "UP r\x01", "up r1", "UPr1", "BYE", "MOVE"])
+def test_malformed_answer_ends_the_route_step_and_closes_it_before_the_next(
+    world: World, answer: str
+) -> None:
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
-    world.put_unread("d1", spoilt)
-    first = step_of(world)
+    world.put_unread("d1", answer)
+    first_step = route_step_of(world)
     closed: list[int] = []
-    world.call_before(first, "close", lambda: closed.append(world.destination_connections))
+    world.call_before(first_step, "close", lambda: closed.append(world.destination_connections))
     world.run_until(lambda: world.destination_connections == 2)
-    assert closed == [1], "the next was begun before this one was closed"
+    assert closed == [1], "the next route step started before this one was closed"
     world.play("d1 end\nc1 quiet\nd2 expect OPEN 1 *\nd2 send UP r2\nc1 expect UP r2")
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_half_an_up_at_the_end_is_none(world: World, end: str) -> None:
+def test_incomplete_up_at_the_end_of_the_stream_does_not_count(world: World, end: str) -> None:
     world.play(
         f"c1 send {OPEN}\nd1 expect OPEN 1 *\nd1 part UP r1\nd1 {end}\n"
         "d2 expect OPEN 1 *\nc1 quiet\nd2 send UP r2\nc1 expect UP r2"
     )
 
 
-def test_line_that_never_ends_ends_the_attempt(world: World) -> None:
+def test_overlong_line_ends_the_route_step(world: World) -> None:
     world.play(
         f"c1 send {OPEN}\nd1 expect OPEN 1 *\nd1 raw 'x' * 9000\nd1 end\n"
         "d2 expect OPEN 1 *\nc1 quiet\nd2 send UP r2\nc1 expect UP r2"
     )
 
 
-def test_lines_without_end_before_the_answer_are_given_up_with_the_attempts_time(world: World) -> None:
+def test_endless_lines_before_the_answer_end_with_the_timeout_of_the_route_step(world: World) -> None:
     world.play(f"c1 send {OPEN}\nd1 expect OPEN 1 *")
     for _ in range(6):
         world.play("d1 raw 'LOAD 1\\r\\n' * 300 + 'LOAD 1'\nc1 quiet\nwait 100")
     world.play("wait 10\nd1 end\nd2 expect OPEN 1 *\nd2 send UP r2\nc1 expect UP r2")
 
 
-@pytest.mark.parametrize("said", ["", "M 1", "M 1\r\nM"], ids=["before a line", "after one", "in one"])
-def test_server_that_hangs_after_its_up_loses_its_client_within_seven_seconds(
-    world: World, said: str
+@pytest.mark.parametrize(
+    "server_output", ["", "M 1", "M 1\r\nM"], ids=["before a line", "after one", "in one"]
+)
+def test_client_of_a_destination_that_hangs_after_up_is_moved_within_seven_seconds(
+    world: World, server_output: str
 ) -> None:
     world.service.delay_monitor.report = lambda _: None
     world.play(UP + "c1 send M 1\nd1 expect M 1\nc1 send M 2\nd1 expect M 2")
-    if said:
-        world.play(f"d1 part {said[:-1]}" if said.endswith("M") and len(said) > 1 else f"d1 send {said}")
+    if server_output:
+        world.play(
+            f"d1 part {server_output[:-1]}"
+            if server_output.endswith("M") and len(server_output) > 1
+            else f"d1 send {server_output}"
+        )
         world.run_turns()
     world.received["c1"].clear()
     for _ in range(13):
@@ -304,33 +316,33 @@
     world.play("c1 expect MOVE\nc1 end\nd1 end")
 
 
-# --- a connection that stands
+# --- established connections
 
 
-def test_client_that_ends_and_server_that_resets_in_one_turn_leave_nothing(world: World) -> None:
+def test_client_close_and_destination_reset_in_one_turn_leave_nothing(world: World) -> None:
     world.play(UP)
     world.close_unread("c1")
     world.close_unread("d1", reset=True)
-    nothing_is_left(world)
+    assert_nothing_left(world)
 
 
-def test_last_line_of_a_server_is_passed_on_though_a_line_to_it_fails(world: World) -> None:
-    """BYE lay unread in the socket as the write to it failed, and the client was reset without it."""
+def test_last_line_of_a_destination_is_relayed_although_a_write_to_it_fails(world: World) -> None:
+    """The write failed while a BYE was unread in the socket, and the client was reset without the BYE."""
     world.play(UP)
     world.put_unread("c1", "M 1")
 
-    def leaves() -> None:
+    def send_bye_and_reset() -> None:
         world.put_unread("d1", "BYE")
         world.close_unread("d1", reset=True)
 
-    world.call_after_poll(leaves)
+    world.call_after_poll(send_bye_and_reset)
     world.play("c1 expect BYE")
     world.run_until(lambda: "c1" in world.closed)
-    nothing_is_left(world)
+    assert_nothing_left(world)
 
 
-def test_move_is_not_lost_where_the_client_sends_as_the_grace_ends(world: World) -> None:
-    """A close over unread bytes is a reset, and it may overtake the MOVE."""
+def test_move_is_not_lost_if_the_client_sends_at_the_close_deadline(world: World) -> None:
+    """Closing with unread input sends a reset, which may overtake the MOVE."""
     world.play(UP)
     front, client = front_of(world), world.sockets.pop("c1")
     front.post(MoveAway("test"))
@@ -343,14 +355,14 @@
     )
     client.sendall(b"M 1\r\n")
     world.clock.now += 0.6
-    nothing_is_left(world)
-    assert closed == [0], "bytes were left unread"
+    assert_nothing_left(world)
+    assert closed == [0], "the socket was closed with unread input"
     assert client.recv(100) == b"MOVE\r\n"
     client.close()
 
 
-def test_move_behind_a_full_buffer_is_written_within_the_second(world: World) -> None:
-    """A client that reads slowly was cut off half a second after its MOVE, which was still waiting."""
+def test_move_behind_a_full_buffer_is_written_within_a_second(world: World) -> None:
+    """A slow client was disconnected half a second after its MOVE, which was still unsent."""
     world.play(UP)
     front, client, server = front_of(world), world.sockets.pop("c1"), world.sockets["d1"]
     line, sent = b"M " + b"x" * 4000 + b"\r\n", 0
@@ -360,31 +372,31 @@
         world.loop.run_once(0.0)
     front.post(MoveAway("test"))
     world.wait(600)
-    got = bytearray()
+    received = bytearray()
 
-    def read() -> bool:
+    def read_available() -> bool:
         with contextlib.suppress(BlockingIOError):
             while data := client.recv(1 << 20):
-                got.extend(data)
+                received.extend(data)
             return True
         return False
 
-    world.run_until(read)
-    assert got.endswith(b"\r\nMOVE\r\n") and {len(one) for one in got.split(b"\r\n")[:-2]} == {4002}
+    world.run_until(read_available)
+    assert received.endswith(b"\r\nMOVE\r\n") and {len(one) for one in received.split(b"\r\n")[:-2]} == {4002}
     client.close()
 
 
-def test_move_comes_between_two_lines_though_one_is_half_passed_on(world: World) -> None:
+def test_move_is_sent_between_lines_although_a_line_is_incomplete(world: World) -> None:
     world.play(UP + "d1 part M 1\nc1 part M")
     front_of(world).post(MoveAway("test"))
     world.play("c1 expect MOVE\nc1 end\nd1 end")
     world.put_unread("d1", " late")
     world.play("d1 close\nc1 close")
-    nothing_is_left(world)
+    assert_nothing_left(world)
 
 
-def test_answer_is_not_closed_away_to_make_room(world: World) -> None:
-    """The row of those without a request held who had just been answered too."""
+def test_connection_with_a_fresh_answer_is_not_evicted(world: World) -> None:
+    """The list of idle connections to evict also held those that had just been answered."""
     world.play(f"c1 send {OPEN} x\nc1 expect ERR")
     front = front_of(world)
     front.post(EvictIdle())
@@ -395,80 +407,80 @@
     world.run_until(lambda: not world.service.fronts)
 
 
-# --- the end of the program
+# --- shutdown
 
 
-class Ending(Actor):
-    """The planned end, as SIGTERM begins it."""
+class Shutdown(Actor):
+    """Runs the graceful shutdown, as SIGTERM does."""
 
     def __init__(self, service: Service) -> None:
         super().__init__(service.loop)
-        self.service, self.over = service, False
+        self.service, self.finished = service, False
         self.start()
 
     def run(self) -> Coroutine:
         yield from self.service.drain()
-        self.over = True
+        self.finished = True
 
 
-def test_connection_that_only_the_system_has_accepted_is_answered_before_the_end(
+def test_connection_in_the_backlog_is_answered_before_shutdown(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end came as soon as no front was left: what waited to be accepted was reset."""
+    """Shutdown ended as soon as no front was left, and connections in the backlog were reset."""
     monkeypatch.setattr(world.service, "make_room", lambda: False)
-    ending = Ending(world.service)
+    shutdown = Shutdown(world.service)
     world.play("wait 300")
     world.send("c1", "OPEN 2 k2 d=1200,c=feed,t=n")
-    passes(world, lambda: world.received["c1"], 0.5)
+    advance_until(world, lambda: world.received["c1"], 0.5)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
-    passes(world, lambda: ending.over, 1.0)
+    advance_until(world, lambda: shutdown.finished, 1.0)
     assert not world.destination_connections
 
 
-def test_resting_connection_that_asks_in_the_turn_of_the_end_is_answered(world: World) -> None:
-    ending = Ending(world.service)
-    front = rests(world)
-    passes(world, lambda: world.clock.now >= 1001.3, 2.0)
+def test_idle_connection_that_sends_a_request_in_the_turn_of_shutdown_is_answered(world: World) -> None:
+    shutdown = Shutdown(world.service)
+    front = open_idle_connection(world)
+    advance_until(world, lambda: world.clock.now >= 1001.3, 2.0)
     assert not front.mailbox
     front.post(ShuttingDown())
     world.put_unread("c1", OPEN)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
-    passes(world, lambda: ending.over, 1.0)
+    advance_until(world, lambda: shutdown.finished, 1.0)
     assert not world.destination_connections
 
 
-def test_resting_connection_is_ended_in_order_before_the_end(world: World) -> None:
-    """It was closed with the program, over whatever it had just sent."""
-    ending = Ending(world.service)
-    front = rests(world)
+def test_idle_connection_is_closed_in_order_before_shutdown(world: World) -> None:
+    """It was closed with the process, although it might just have sent a request."""
+    shutdown = Shutdown(world.service)
+    front = open_idle_connection(world)
     world.call_before(front, "shutdown", lambda: world.put_unread("c1", OPEN))
-    passes(world, lambda: "c1" in world.closed, 1.5)
-    assert not ending.over and not world.received["c1"]
-    passes(world, lambda: ending.over, 1.0)
+    advance_until(world, lambda: "c1" in world.closed, 1.5)
+    assert not shutdown.finished and not world.received["c1"]
+    advance_until(world, lambda: shutdown.finished, 1.0)
     assert not world.destination_connections
 
 
-@pytest.mark.parametrize("ran,answer", [(False, "BUSY *"), (True, "ERR")])
-def test_request_that_still_waits_at_the_end_is_answered(
-    monkeypatch: pytest.MonkeyPatch, ran: bool, answer: str
+@pytest.mark.parametrize("may_have_run,answer", [(False, "BUSY *"), (True, "ERR")])
+def test_pending_request_is_answered_at_shutdown(
+    monkeypatch: pytest.MonkeyPatch, may_have_run: bool, answer: str
 ) -> None:
-    """Where a class waits longer than the time until SIGKILL, who waited in the buffer got nothing."""
+    """With a class deadline beyond the time until SIGKILL, requests in the waiting buffer got no answer."""
     classes = [{"name": "feed", "aim": 300.0, "deadline": 9000.0, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
-    if not ran:
+    if not may_have_run:
         monkeypatch.setattr(world.service.decider.balancer, "_choose_backend", lambda flow: None)
-    world.play("c1 send OPEN 1 k1 d=9000,c=feed,t=n\nc1 quiet" + "\nd1 expect OPEN *" * ran)
-    ending = Ending(world.service)
-    assert passes(world, lambda: world.received["c1"], 3.5) >= 3.0
-    assert not ending.over
+    world.play("c1 send OPEN 1 k1 d=9000,c=feed,t=n\nc1 quiet" + "\nd1 expect OPEN *" * may_have_run)
+    shutdown = Shutdown(world.service)
+    assert advance_until(world, lambda: world.received["c1"], 3.5) >= 3.0
+    assert not shutdown.finished
     world.play(f"c1 expect {answer}\nc1 end\nc1 close")
-    passes(world, lambda: ending.over, 0.5)
+    advance_until(world, lambda: shutdown.finished, 0.5)
     world.close()
 
 
 @pytest.mark.parametrize("deadline", [100.0, 300.0, 600.0, 1200.0])
-def test_all_are_moved_before_the_end_however_short_the_deadline(deadline: float) -> None:
-    """The moves took a second whatever the settings said, and the end came sooner."""
+def test_all_connections_are_moved_before_shutdown_however_short_the_deadline(deadline: float) -> None:
+    """Moving all clients took a second whatever the settings, and the program ended earlier."""
     classes = [{"name": "feed", "aim": 50.0, "deadline": deadline, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     for n in range(1, 9):
@@ -476,20 +488,20 @@
             f"c{n} send OPEN {n} k{n} d={deadline:.0f},c=feed,t=n\nd{n} expect OPEN *\n"
             f"d{n} send UP r\nc{n} expect UP r"
         )
-    ending = Ending(world.service)
-    passes(world, lambda: ending.over, 2.0)
+    shutdown = Shutdown(world.service)
+    advance_until(world, lambda: shutdown.finished, 2.0)
     for n in range(1, 9):
         world.play(f"c{n} expect MOVE\nc{n} end")
     world.close()
 
 
-def test_up_in_the_last_turns_of_the_end_is_moved() -> None:
-    """All others had been moved long before."""
+def test_connection_established_in_the_last_turns_of_shutdown_is_moved() -> None:
+    """All other connections were moved long before."""
     classes = [{"name": "feed", "aim": 300.0, "deadline": 3000.0, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     world.play("c1 send OPEN 1 k1 d=3000,c=feed,t=n\nd1 expect OPEN 1 *")
-    ending = Ending(world.service)
-    passes(world, lambda: world.clock.now >= 1001.3, 2.0)
+    shutdown = Shutdown(world.service)
+    advance_until(world, lambda: world.clock.now >= 1001.3, 2.0)
     world.play("d1 send UP r1\nc1 expect UP r1\nwait 50\nwait 50\nc1 expect MOVE\nc1 end")
-    assert not ending.over
+    assert not shutdown.finished
     world.close()
