--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -20,7 +20,14 @@
 
 from benchmarks.figures import Figure, options, report
 from snowwick.broker.contract import Contracts, parse
-from snowwick.lab.standins import ROOT, ClientSide, Crowd, Tally, settings, start
+from snowwick.lab.standins import (
+    ROOT,
+    ClientStatistics,
+    LoadClient,
+    TeamClients,
+    make_settings,
+    start_with_destinations,
+)
 from snowwick.log import Log
 from snowwick.net import lines
 from snowwick.net.contracts import ContractStage
@@ -66,34 +73,39 @@
 
 
 def play(
-    address: tuple[str, int], crowds: list[tuple[Crowd, int]], phases: list[tuple[str, float]], seed: int
-) -> dict[str, dict[str, Tally]]:
+    address: tuple[str, int],
+    crowds: list[tuple[TeamClients, int]],
+    phases: list[tuple[str, float]],
+    seed: int,
+) -> dict[str, dict[str, ClientStatistics]]:
     """Run the crowds through phases: before each, ``quiet`` and ``loud`` are awake if its name says so.
 
     A phase's name is words; ``skip`` leaves its tallies out.
     """
-    loop, found = Loop(Log(sink=io.StringIO())), dict[str, dict[str, Tally]]()
+    loop, found = Loop(Log(sink=io.StringIO())), dict[str, dict[str, ClientStatistics]]()
     for crowd, count in crowds:
         for n in range(count):
-            ClientSide(loop, address, crowd, f"{crowd.tenant}-{n}", seed * 1000 + n).start()
+            LoadClient(loop, address, crowd, f"{crowd.tenant}-{n}", seed * 1000 + n).start()
     for name, seconds in phases:
         for crowd, _ in crowds:
-            crowd.awake = crowd.tenant in name.split()
-            crowd.tally = Tally(up=crowd.tally.up)
+            crowd.active = crowd.tenant in name.split()
+            crowd.statistics = ClientStatistics(established=crowd.statistics.established)
         end = loop.clock() + seconds
         while (now := loop.clock()) < end:
             loop.run_once(0.05)
             for crowd, _ in crowds:
-                crowd.tally.standing += crowd.tally.up * (loop.clock() - now) / seconds
-        found[name] = {crowd.tenant: crowd.tally for crowd, _ in crowds}
+                crowd.statistics.mean_established += (
+                    crowd.statistics.established * (loop.clock() - now) / seconds
+                )
+        found[name] = {crowd.tenant: crowd.statistics for crowd, _ in crowds}
     loop.close()
     return found
 
 
-def two_teams(contracts: str, seconds: float, seed: int) -> dict[str, dict[str, Tally]]:
+def two_teams(contracts: str, seconds: float, seed: int) -> dict[str, dict[str, ClientStatistics]]:
     """Quiet alone, beside the other at ten times its budget, asleep, and waking up again."""
-    stack = start(["quiet", "loud"], contracts)
-    crowds = [(Crowd("quiet", 5.0), 60), (Crowd("loud", 5.0), 10 * LOUD)]
+    stack = start_with_destinations(["quiet", "loud"], contracts)
+    crowds = [(TeamClients("quiet", 5.0), 60), (TeamClients("loud", 5.0), 10 * LOUD)]
     try:
         return play(
             stack.address,
@@ -113,10 +125,10 @@
         stack.stop()
 
 
-def steady(seconds: float, seed: int) -> dict[str, dict[str, Tally]]:
+def steady(seconds: float, seed: int) -> dict[str, dict[str, ClientStatistics]]:
     """Crowds that honour what they are told, in steady overload of connections, and of a rate."""
-    stack = start(["quiet", "loud"], STEADY, longest_ms=20000.0)
-    crowds = [(Crowd("quiet", 3.0), 120), (Crowd("loud", 1.0), 100)]
+    stack = start_with_destinations(["quiet", "loud"], STEADY, longest_ms=20000.0)
+    crowds = [(TeamClients("quiet", 3.0), 120), (TeamClients("loud", 1.0), 100)]
     try:
         return play(stack.address, crowds, [("skip quiet loud", 14.0), ("quiet loud", seconds)], seed)
     finally:
@@ -150,7 +162,7 @@
 
         self.now, self.count, self.asked = 0.0, count, 0
         config = check(
-            {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings(["t0"], 600.0)}
+            {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": make_settings(["t0"], 600.0)}
         )
         loop = Loop(Log(sink=io.StringIO()), lambda: self.now)
         pool_deciders = PoolDeciders(
@@ -201,7 +213,11 @@
         path = Path(folder) / "config.json"
         path.write_text(
             json.dumps(
-                {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings(["quiet"], 600.0)}
+                {
+                    "listen": "127.0.0.1:0",
+                    "discovery": "127.0.0.1:1",
+                    "settings": make_settings(["quiet"], 600.0),
+                }
             )
         )
         with subprocess.Popen(
@@ -256,7 +272,7 @@
         ]
         held, free, told = [
             {
-                phase: {team: Tally(**tally) for team, tally in rows.items()}
+                phase: {team: ClientStatistics(**tally) for team, tally in rows.items()}
                 for phase, rows in json.loads(part.result().stdout).items()
             }
             for part in parts
@@ -265,19 +281,29 @@
     alone, both = held["alone quiet"]["quiet"], held["both quiet loud"]["quiet"]
     woken, idle = held["woken quiet loud"]["quiet"], held["idle loud"]["loud"]
     figures = {
-        "quiet_service_beside_tenfold": Figure(both.service / alone.service, 0.95, "higher"),
+        "quiet_service_beside_tenfold": Figure(
+            both.service_fraction / alone.service_fraction, 0.95, "higher"
+        ),
         "quiet_setups_beside_tenfold": Figure(
-            both.in_time / max(1, both.setups + both.refused) / (alone.in_time / max(1, alone.setups)),
+            both.setups_in_time
+            / max(1, both.setups + both.refused)
+            / (alone.setups_in_time / max(1, alone.setups)),
             0.95,
             "higher",
         ),
-        "quiet_service_after_waking": Figure(woken.service / alone.service, 0.95, "higher"),
-        "idle_room_used": Figure((idle.standing - LOUD) / (FLEET - LOUD), 0.9, "higher"),
+        "quiet_service_after_waking": Figure(woken.service_fraction / alone.service_fraction, 0.95, "higher"),
+        "idle_room_used": Figure((idle.mean_established - LOUD) / (FLEET - LOUD), 0.9, "higher"),
         "let_in_when_told_connections": Figure(
-            told["quiet loud"]["quiet"].right / max(1, told["quiet loud"]["quiet"].told), 0.8, "higher"
+            told["quiet loud"]["quiet"].accepted_scheduled_retries
+            / max(1, told["quiet loud"]["quiet"].scheduled_retries),
+            0.8,
+            "higher",
         ),
         "let_in_when_told_rate": Figure(
-            told["quiet loud"]["loud"].right / max(1, told["quiet loud"]["loud"].told), 0.8, "higher"
+            told["quiet loud"]["loud"].accepted_scheduled_retries
+            / max(1, told["quiet loud"]["loud"].scheduled_retries),
+            0.8,
+            "higher",
         ),
         "stage_us_10_teams": Figure(few, 15.0, "lower"),
         "stage_10000_teams_over_10": Figure(many / few, 1.3, "lower"),
@@ -286,14 +312,14 @@
     if more is not None:
         figures["resident_mb_more_without_contracts"] = Figure(more, 1.0, "lower")
     beside = {
-        "quiet_service_alone": alone.service,
-        "quiet_service_beside": both.service,
-        "quiet_service_beside_without_contracts": free["both quiet loud"]["quiet"].service,
-        "quiet_service_alone_without_contracts": free["alone quiet"]["quiet"].service,
+        "quiet_service_alone": alone.service_fraction,
+        "quiet_service_beside": both.service_fraction,
+        "quiet_service_beside_without_contracts": free["both quiet loud"]["quiet"].service_fraction,
+        "quiet_service_alone_without_contracts": free["alone quiet"]["quiet"].service_fraction,
         "loud_refused": float(held["both quiet loud"]["loud"].refused),
         "loud_moved_while_quiet_wakes": float(held["wakes quiet loud"]["loud"].moved),
-        "come_back_tries_connections": float(told["quiet loud"]["quiet"].told),
-        "come_back_tries_rate": float(told["quiet loud"]["loud"].told),
+        "come_back_tries_connections": float(told["quiet loud"]["quiet"].scheduled_retries),
+        "come_back_tries_rate": float(told["quiet loud"]["loud"].scheduled_retries),
     }
     report(figures, beside, chosen.json)
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 
 from benchmarks.figures import Figure, options, report
-from snowwick.lab.standing import HELD, LINES, Standing, start
-from snowwick.lab.standins import listen, where
+from snowwick.lab.connection_load import LINES_PER_S, MAX_HOLD_S, ProgramUnderLoad, start_program
+from snowwick.lab.standins import listen_on_loopback, loopback_address
 
 FEW, MANY = 100, 4000  # standing connections
 RAMP = 4.0  # s until as many waits stand as will
@@ -30,10 +30,10 @@
 def bare(node: str) -> None:
     """The least that relays: accept, connect to the node, pass on what comes until an end ends."""
     host, _, port = node.rpartition(":")
-    door, epoll = listen(), select.epoll()
+    door, epoll = listen_on_loopback(), select.epoll()
     epoll.register(door, select.EPOLLIN)
     other: dict[int, socket.socket] = {}
-    print(f"serving on {where(door)}", file=sys.stderr, flush=True)
+    print(f"serving on {loopback_address(door)}", file=sys.stderr, flush=True)
     while True:
         for fd, _ in epoll.poll():
             if fd == door.fileno():
@@ -50,16 +50,18 @@
             its.send(data)
 
 
-def begin(count: int, folder: Path, plain: bool) -> Standing:
+def begin(count: int, folder: Path, plain: bool) -> ProgramUnderLoad:
     """A program, or the bare relay, with so many connections that stand."""
-    side = start(
+    side = start_program(
         folder / f"{count}{plain}",
         max(count, MANY),
-        words=lambda node: ["benchmarks.relay", "--bare", node] if plain else ["snowwick", "serve"],
+        program_arguments=lambda node: (
+            ["benchmarks.relay", "--bare", node] if plain else ["snowwick", "serve"]
+        ),
     )
     try:
         for _ in range(count):
-            side.open(1)
+            side.open_connections(1)
     except BaseException:
         side.__exit__()
         raise
@@ -79,20 +81,24 @@
         sides = [stack.enter_context(begin(count, folder, plain)) for count, plain in kinds]
         began = time.perf_counter()
         for end in [RAMP + n * window for n in range(rounds + 1)]:
-            before = [(side.cpu(), side.sent) for side in sides]
+            before = [(side.cpu_s(), side.lines_sent) for side in sides]
             while (now := time.perf_counter() - began) < end:
                 for side in sides:
-                    side.turn(int(LINES * now))
+                    side.exchange_lines(int(LINES_PER_S * now))
                 time.sleep(0.001)
             costs.append(
                 [
-                    (side.cpu() - cpu) / (side.sent - sent)
+                    (side.cpu_s() - cpu) / (side.lines_sent - sent)
                     for side, (cpu, sent) in zip(sides, before, strict=True)
                 ]
             )
         for side, (count, _) in zip(sides, kinds, strict=True):
-            left = min(2 * count, (HELD + 1.0) * LINES + count)  # held, or come back and not yet read
-            assert side.back >= side.sent - left, f"{side.sent} lines sent, {side.back} came back"
+            left = min(
+                2 * count, (MAX_HOLD_S + 1.0) * LINES_PER_S + count
+            )  # held, or come back and not yet read
+            assert side.lines_received >= side.lines_sent - left, (
+                f"{side.lines_sent} lines sent, {side.lines_received} came back"
+            )
     few, many, bare_few, bare_many = (statistics.median(column) for column in zip(*costs[1:], strict=True))
     growth = statistics.median((b / d) / (a / c) for a, b, c, d in costs[1:])
     report(
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -106,26 +106,27 @@
     much more memory it has than one without a fleet."""
     with Fleet(folder, count) as fleet:
         fleet.start()
-        fleet.until(fleet.joined)
+        fleet.wait_until(fleet.all_joined)
         memory = [_memory(fleet, n) for n in range(count)]
         cpu, began = [_cpu(fleet, n) for n in range(count)], time.monotonic()
-        fleet.turn(5.0)
+        fleet.run_for(5.0)
         idle = statistics.median((_cpu(fleet, n) - cpu[n]) / (time.monotonic() - began) for n in range(count))
-        fleet.halves(range(count // 2))
+        fleet.partition(range(count // 2))
         for n in range(count):
-            fleet.ask(n)
-        fleet.turn(cut)
+            fleet.connect_client(n)
+        fleet.run_for(cut)
         fleet.heal()
-        took = fleet.until(
+        took = fleet.wait_until(
             lambda: (
-                fleet.joined() and all(fleet.status(n)["held_elsewhere"] == count - 1 for n in range(count))
+                fleet.all_joined()
+                and all(fleet.status(n)["held_elsewhere"] == count - 1 for n in range(count))
             )
         )
-        fleet.answered()
+        fleet.wait_for_answers()
     (folder / "without").mkdir()
-    with Fleet(folder / "without", 1, fleet=False) as alone:
+    with Fleet(folder / "without", 1, fleet_enabled=False) as alone:
         alone.start()
-        alone.turn(1.0)
+        alone.run_for(1.0)
         return took, idle, (statistics.median(memory) - _memory(alone, 0)) / 1e6
 
 
@@ -147,17 +148,17 @@
 def lost(folder: Path, count: int, talk: bool) -> int:
     """Route steps that come to nothing at a hanging server until all have left it."""
     folder.mkdir()
-    with Fleet(folder, count, nodes=4, fleet=talk, deadline=600.0) as fleet:
+    with Fleet(folder, count, destination_count=4, fleet_enabled=talk, deadline_ms=600.0) as fleet:
         fleet.start()
         if talk:
-            fleet.until(fleet.joined)
-        fleet.turn(1.0)
-        fleet.nodes[0].mode = "hang"
+            fleet.wait_until(fleet.all_joined)
+        fleet.run_for(1.0)
+        fleet.destinations[0].mode = "hang"
         for turn in range(60):
-            fleet.ask(turn % count, key=f"c{turn}", keep=1.0)
-            fleet.turn(0.1)
-        fleet.answered()
-        return len(fleet.nodes[0].opened)
+            fleet.connect_client(turn % count, key=f"c{turn}", keep_s=1.0)
+            fleet.run_for(0.1)
+        fleet.wait_for_answers()
+        return len(fleet.destinations[0].opening_times)
 
 
 def main() -> None:
--- a/snowwick/lab/skewed.py
+++ b/snowwick/lab/clock_skew.py
@@ -1,4 +1,4 @@
-"""Runs the program with a wall clock that is wrong: ``python -m snowwick.lab.skewed SECONDS serve ...``."""
+"""Runs the program with a clock offset: ``python -m snowwick.lab.clock_skew SECONDS serve ...``."""
 
 from __future__ import annotations
 
--- a/snowwick/lab/standing.py
+++ b/snowwick/lab/connection_load.py
@@ -20,23 +20,30 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from snowwick.lab.standins import ROOT, listen, settings, where
+from snowwick.lab.standins import ROOT, listen_on_loopback, loopback_address, make_settings
 
-LINES = 500  # a second, over all connections of a program: few enough that each comes alone, at any size
-HELD = 2.5  # s that a line is held at most: the program takes 3 for silence
+LINES_PER_S = (
+    500  # a second, over all connections of a program: few enough that each comes alone, at any size
+)
+MAX_HOLD_S = 2.5  # s that a line is held at most: the program takes 3 for silence
 LINE = b"M 1\r\n"
-ANSWER = 5.0  # s that an accept or an answer may take while connections are opened
-ENDING = (signal.SIGINT, signal.SIGTERM)  # wait while a program is started: it must not be forgotten
-SPARE = 256  # descriptors of the program beside those of the connections: its own, and room to accept
+ANSWER_TIMEOUT_S = 5.0  # s that an accept or an answer may take while connections are opened
+DEFERRED_SIGNALS = (
+    signal.SIGINT,
+    signal.SIGTERM,
+)  # wait while a program is started: it must not be forgotten
+SPARE_DESCRIPTORS = (
+    256  # descriptors of the program beside those of the connections: its own, and room to accept
+)
 
 
-def longest_hold(connections: int) -> float:
+def hold_limit_s(connections: int) -> float:
     """Seconds that a node holds a line at most: not beyond the next line of the same connection."""
-    return min(HELD, connections / LINES)
+    return min(MAX_HOLD_S, connections / LINES_PER_S)
 
 
 @dataclass
-class Standing:
+class ProgramUnderLoad:
     """One program with its connections; a context that ends the program by its id.
 
     A line is counted where this process writes or reads it: ``sent`` by clients, ``answered`` by nodes,
@@ -45,47 +52,47 @@
     """
 
     process: subprocess.Popen[str]
-    front: tuple[str, int]
-    doors: list[socket.socket]  # the nodes' listening sockets; last discovery's, which answers nothing
+    front_address: tuple[str, int]
+    listeners: list[socket.socket]  # the nodes' listening sockets; last discovery's, which answers nothing
     clients: list[socket.socket] = field(default_factory=list)
-    ends: list[socket.socket] = field(default_factory=list)  # of the nodes
-    nodes: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
-    held: list[tuple[float, int, socket.socket, bytes]] = field(default_factory=list)
+    destination_sockets: list[socket.socket] = field(default_factory=list)  # of the nodes
+    destination_selector: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
+    held_lines: list[tuple[float, int, socket.socket, bytes]] = field(default_factory=list)
     random: random.Random = field(default_factory=lambda: random.Random(1))
-    sent: int = 0
-    answered: int = 0
-    delivered: int = 0
-    back: int = 0
+    lines_sent: int = 0
+    lines_answered: int = 0
+    lines_delivered: int = 0
+    lines_received: int = 0
 
-    def __enter__(self) -> Standing:
+    def __enter__(self) -> ProgramUnderLoad:
         return self
 
     def __exit__(self, *_: object) -> None:
         self.process.kill()
         self.process.wait()
-        self.nodes.close()
-        for sock in (*self.clients, *self.ends, *self.doors):
+        self.destination_selector.close()
+        for sock in (*self.clients, *self.destination_sockets, *self.listeners):
             sock.close()
 
-    def cpu(self) -> float:
+    def cpu_s(self) -> float:
         """Seconds of processor that the program has used, as the scheduler counts them."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
-    def open(self, count: int) -> None:
+    def open_connections(self, count: int) -> None:
         """Open so many more, all at once; TimeoutError or AssertionError where one does not stand."""
         fresh = []
         for _ in range(count):
             number = len(self.clients)
-            client = socket.create_connection(self.front, ANSWER)
+            client = socket.create_connection(self.front_address, ANSWER_TIMEOUT_S)
             self.clients.append(client)
             fresh.append(client)
             client.sendall(b"OPEN %d k%d c=feed,t=n,d=1200\r\n" % (number, number))
-        with selectors.DefaultSelector() as doors:
-            for door in self.doors[:-1]:
-                doors.register(door, selectors.EVENT_READ, door)
+        with selectors.DefaultSelector() as listeners:
+            for door in self.listeners[:-1]:
+                listeners.register(door, selectors.EVENT_READ, door)
             left = count
             while left:
-                ready = doors.select(ANSWER)
+                ready = listeners.select(ANSWER_TIMEOUT_S)
                 if not ready:
                     raise TimeoutError(f"{left} of {count} openings did not come to a node")
                 for key, _ in ready:
@@ -98,53 +105,53 @@
 
     def _take(self, end: socket.socket) -> None:
         """A connection that the program makes to a node."""
-        self.ends.append(end)
-        end.settimeout(ANSWER)
+        self.destination_sockets.append(end)
+        end.settimeout(ANSWER_TIMEOUT_S)
         opening = end.recv(4096)
         assert opening.startswith(b"OPEN"), f"a node was sent {opening!r}"
         end.sendall(b"UP r\r\n")
         end.setblocking(False)
-        self.nodes.register(end, selectors.EVENT_READ)
+        self.destination_selector.register(end, selectors.EVENT_READ)
 
-    def turn(self, due: int) -> None:
+    def exchange_lines(self, due: int) -> None:
         """Send lines until so many have been sent, and send back those that the node has held long enough."""
-        while self.sent < due:
-            client = self.clients[self.sent % len(self.clients)]
+        while self.lines_sent < due:
+            client = self.clients[self.lines_sent % len(self.clients)]
             self._read(client)
             client.send(LINE)
-            self.sent += 1
+            self.lines_sent += 1
         now = time.perf_counter()
-        for key, _ in self.nodes.select(0):
+        for key, _ in self.destination_selector.select(0):
             sock = key.fileobj
             assert isinstance(sock, socket.socket)
-            hold = self.random.random() * longest_hold(len(self.clients))
-            heapq.heappush(self.held, (now + hold, sock.fileno(), sock, _some(sock)))
-        while self.held and self.held[0][0] <= now:
-            _, _, sock, data = heapq.heappop(self.held)
+            hold = self.random.random() * hold_limit_s(len(self.clients))
+            heapq.heappush(self.held_lines, (now + hold, sock.fileno(), sock, _some(sock)))
+        while self.held_lines and self.held_lines[0][0] <= now:
+            _, _, sock, data = heapq.heappop(self.held_lines)
             sock.send(data)
-            self.answered += data.count(LINE)
+            self.lines_answered += data.count(LINE)
 
-    def deliver(self, due: int) -> None:
+    def send_unrequested_lines(self, due: int) -> None:
         """Have the nodes send lines that nobody asked for until so many have been sent."""
-        while self.delivered < due:
-            turn = self.delivered % len(self.ends)
-            self.ends[turn].send(LINE)
-            self.delivered += 1
-            self._read(self.clients[turn])
+        while self.lines_delivered < due:
+            index = self.lines_delivered % len(self.destination_sockets)
+            self.destination_sockets[index].send(LINE)
+            self.lines_delivered += 1
+            self._read(self.clients[index])
 
     def _read(self, client: socket.socket) -> None:
         with contextlib.suppress(BlockingIOError):
-            self.back += _some(client).count(LINE)
+            self.lines_received += _some(client).count(LINE)
 
-    def all_back(self, patience: float = HELD + ANSWER) -> None:
+    def wait_for_all_lines(self, patience: float = MAX_HOLD_S + ANSWER_TIMEOUT_S) -> None:
         """Turn until every line is at its client; AssertionError where it is not after ``patience`` s."""
-        end, due = time.perf_counter() + patience, self.sent + self.delivered
-        while self.back < due and time.perf_counter() < end:
-            self.turn(self.sent)
+        end, due = time.perf_counter() + patience, self.lines_sent + self.lines_delivered
+        while self.lines_received < due and time.perf_counter() < end:
+            self.exchange_lines(self.lines_sent)
             for client in self.clients:
                 self._read(client)
             time.sleep(0.01)
-        assert self.back == due, f"{due} lines sent, {self.back} came back"
+        assert self.lines_received == due, f"{due} lines sent, {self.lines_received} came back"
 
 
 def _some(sock: socket.socket) -> bytes:
@@ -154,42 +161,43 @@
     return data
 
 
-def start(
+def start_program(
     folder: Path,
     connections: int,
-    nodes: int = 1,
-    words: Callable[[str], list[str]] = lambda node: ["snowwick", "serve"],
-) -> Standing:
+    destination_count: int = 1,
+    program_arguments: Callable[[str], list[str]] = lambda node: ["snowwick", "serve"],
+) -> ProgramUnderLoad:
     """Start ``python -m WORDS`` with room for so many connections before so many nodes; none is open yet.
 
     ``words`` is given the first node's address.  The files are written to ``folder``, a program each.
     RuntimeError with the program's log where it does not serve.
     """
-    doors = [listen() for _ in range(nodes + 1)]
+    listeners = [listen_on_loopback() for _ in range(destination_count + 1)]
     path, log = folder / "config.json", folder / "log"
     folder.mkdir(exist_ok=True)
     servers = [
-        {"id": f"s-{n}", "addr": where(door), "state": "in_service"} for n, door in enumerate(doors[:-1])
+        {"id": f"s-{n}", "addr": loopback_address(door), "state": "in_service"}
+        for n, door in enumerate(listeners[:-1])
     ]
-    setup = settings(["n"], 600.0)
+    setup = make_settings(["n"], 600.0)
     setup["familyInfo"]["messageAim"] = [60_000.0]  # what is held must not count as slow
     path.write_text(
         json.dumps(
             {
                 "listen": "127.0.0.1:0",
-                "discovery": where(doors[-1]),
+                "discovery": loopback_address(listeners[-1]),
                 "seed": "bench",
-                "limits": {"sockets": 2 * connections + SPARE},
+                "limits": {"sockets": 2 * connections + SPARE_DESCRIPTORS},
                 "known": {"version": 0, "full": True, "servers": servers},
                 "settings": setup,
             }
         )
     )
-    blocked = signal.pthread_sigmask(signal.SIG_BLOCK, ENDING)
+    blocked = signal.pthread_sigmask(signal.SIG_BLOCK, DEFERRED_SIGNALS)
     try:
         with log.open("w") as sink:
             process = subprocess.Popen(
-                [sys.executable, "-m", *words(where(doors[0]))],
+                [sys.executable, "-m", *program_arguments(loopback_address(listeners[0]))],
                 cwd=ROOT,
                 text=True,
                 stdin=subprocess.DEVNULL,
@@ -197,7 +205,7 @@
                 env={**os.environ, "GW_CONFIG": str(path)},
                 preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_SETMASK, blocked),
             )
-        standing = Standing(process, ("", 0), doors)
+        standing = ProgramUnderLoad(process, ("", 0), listeners)
     except BaseException:
         signal.pthread_sigmask(signal.SIG_SETMASK, blocked)
         raise
@@ -211,5 +219,5 @@
         standing.__exit__()
         raise
     host, _, port = log.read_text().split("serving on ")[1].split()[0].rpartition(":")
-    standing.front = host, int(port)
+    standing.front_address = host, int(port)
     return standing
--- a/snowwick/lab/data_path.py
+++ b/snowwick/lab/data_path.py
@@ -37,7 +37,14 @@
 from pathlib import Path
 from typing import Any
 
-from snowwick.lab.standing import LINE, LINES, SPARE, Standing, longest_hold, start
+from snowwick.lab.connection_load import (
+    LINE,
+    LINES_PER_S,
+    SPARE_DESCRIPTORS,
+    ProgramUnderLoad,
+    hold_limit_s,
+    start_program,
+)
 
 SIZES = (250, 500, 1000, 2000, 4000, 8000)
 QUICK = (50, 100, 200, 400, 800, 1600)
@@ -112,7 +119,7 @@
 def most() -> tuple[int, int]:
     """Connections that the descriptors of this process allow, and that half of the machine's memory does."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    by_descriptors = (soft - SPARE) // 2 if soft != resource.RLIM_INFINITY else sys.maxsize
+    by_descriptors = (soft - SPARE_DESCRIPTORS) // 2 if soft != resource.RLIM_INFINITY else sys.maxsize
     return by_descriptors, machine_memory() // 2 // EACH
 
 
@@ -160,16 +167,16 @@
         return (time.thread_time() - began) / REPEATS
 
 
-def open_all(standing: Standing, size: int) -> tuple[float, float]:
+def open_all(standing: ProgramUnderLoad, size: int) -> tuple[float, float]:
     """Open so many connections; s of processor a setup in the second half, and setups a second in all."""
     together = max(1, min(TOGETHER, size // 8))
     began = time.perf_counter()
     half, cpu = 0, 0.0
     while (there := len(standing.clients)) < size:
         if not half and there >= size // 2:
-            half, cpu = there, standing.cpu()
-        standing.open(min(together, size - there))
-    return (standing.cpu() - cpu) / (size - half), size / (time.perf_counter() - began)
+            half, cpu = there, standing.cpu_s()
+        standing.open_connections(min(together, size - there))
+    return (standing.cpu_s() - cpu) / (size - half), size / (time.perf_counter() - began)
 
 
 @dataclass
@@ -182,7 +189,7 @@
 
 
 def windows(
-    standing: Standing,
+    standing: ProgramUnderLoad,
     go: Callable[[int], None],
     done: Callable[[], int],
     rate: float,
@@ -198,11 +205,11 @@
     costs, multiples, lines = [], [], 0
     began, before = time.perf_counter(), reference()
     for n in range(count + 1):
-        cpu, first = standing.cpu(), done()
+        cpu, first = standing.cpu_s(), done()
         while (now := time.perf_counter() - began) < warm + n * window:
             go(int(rate * now))
             time.sleep(0.001)
-        cost, passed = standing.cpu() - cpu, done() - first
+        cost, passed = standing.cpu_s() - cpu, done() - first
         after = reference()
         if n:
             costs.append(cost / passed)
@@ -215,37 +222,37 @@
 def measure(folder: Path, size: int, plan: Plan) -> tuple[Row, Beside]:
     """One size, from the start of its program to its end."""
     before = kernel_memory()
-    with start(folder / str(size), size, NODES) as standing:
+    with start_program(folder / str(size), size, NODES) as standing:
         setup_s, setups = open_all(standing, size)
         # Until each connection has carried a line and as many waits stand as will.
-        warm = size / LINES + longest_hold(size)
+        warm = size / LINES_PER_S + hold_limit_s(size)
         both = windows(
             standing,
-            standing.turn,
-            lambda: standing.sent + standing.answered,
-            LINES,
+            standing.exchange_lines,
+            lambda: standing.lines_sent + standing.lines_answered,
+            LINES_PER_S,
             warm,
             plan.windows,
             plan.window,
         )
-        standing.all_back()
+        standing.wait_for_all_lines()
         alone = windows(
             standing,
-            standing.deliver,
-            lambda: standing.delivered,
-            2 * LINES,
+            standing.send_unrequested_lines,
+            lambda: standing.lines_delivered,
+            2 * LINES_PER_S,
             0.2,
             plan.deliveries,
             plan.window,
         )
-        standing.all_back()
+        standing.wait_for_all_lines()
         memory, pss = settled_memory(standing.process.pid)
         buffers, slabs = (now - then for now, then in zip(kernel_memory(), before, strict=True))
-        cpu, began = standing.cpu(), time.perf_counter()
+        cpu, began = standing.cpu_s(), time.perf_counter()
         time.sleep(plan.window)
-        idle = (standing.cpu() - cpu) / (time.perf_counter() - began)
+        idle = (standing.cpu_s() - cpu) / (time.perf_counter() - began)
     return (
-        Row(size, memory, pss, both.line_s, both.multiple, setup_s, both.lines, 2.0 * LINES),
+        Row(size, memory, pss, both.line_s, both.multiple, setup_s, both.lines, 2.0 * LINES_PER_S),
         Beside(setups, alone.line_s, idle, buffers, slabs),
     )
 
--- a/snowwick/lab/hollow.py
+++ b/snowwick/lab/member_host.py
@@ -1,6 +1,6 @@
 """Hollow members: many of a fleet's links in one process, without clients, beside real balancers.
 
-    python -m snowwick.lab.hollow
+    python -m snowwick.lab.member_host
 
 is started by the rig (``snowwick.lab.rig.Hollow``) with a stream socket as its standard input, on which it
 gets orders and gives answers, one JSON object a line.  The first order, ``make``, says who its members are.
@@ -57,7 +57,7 @@
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.pool import PoolConfig
 
-LONGEST_MS = 3_600_000  # that a histogram holds
+MAX_HISTOGRAM_MS = 3_600_000  # that a histogram holds
 LOOK = 1.0  # s between looks at how old the loads are that one member holds
 
 
@@ -211,7 +211,7 @@
             for held in link.node.store.live_entries(registers.LOAD):
                 if held.entry.owner != link.node.name:
                     age = int(wall - timestamp_ms(held.entry.timestamp))
-                    self.process.ages.record_value(min(LONGEST_MS, max(1, age)))
+                    self.process.ages.record_value(min(MAX_HISTOGRAM_MS, max(1, age)))
 
 
 class Process(Actor):
@@ -227,7 +227,7 @@
         self.real: frozenset[str] = frozenset()  # whose loads are watched
         self.changes: list[tuple[str, int, float]] = []  # written here: by whom, its number, Unix time in s
         self.deaths: set[tuple[str, int]] = set()  # who was found dead by any, and under which incarnation
-        self.ages = HdrHistogram(1, LONGEST_MS, 3)
+        self.ages = HdrHistogram(1, MAX_HISTOGRAM_MS, 3)
 
     def run(self) -> Coroutine:
         self.sock.setblocking(False)
@@ -273,7 +273,7 @@
             self.links[f"m{n}"] = HollowLink(self, file, f"m{n}", random.Random(f"hollow{n}{time.time_ns()}"))
         return {
             "addresses": {name: link.node.members.local.address for name, link in self.links.items()},
-            "memory": anonymous(os.getpid()),
+            "memory": anonymous_memory_bytes(os.getpid()),
         }
 
     def on_start(self, seeds: list[str], routes: dict[str, str], apart: float) -> dict[str, Any]:
@@ -335,7 +335,7 @@
         return {
             "at": time.monotonic(),
             "processor": time.process_time(),
-            "memory": anonymous(os.getpid()),
+            "memory": anonymous_memory_bytes(os.getpid()),
             "bytes_out": sum(one.bytes_out for one in counts),
             "bytes_in": sum(one.bytes_in for one in counts),
             "datagrams_out": sum(one.frames_out for one in counts),
@@ -352,7 +352,7 @@
         }
 
 
-def anonymous(pid: int) -> int:
+def anonymous_memory_bytes(pid: int) -> int:
     """A process's resident bytes that no file is behind (Anonymous of smaps_rollup, proc_pid_smaps(5)).
 
     Pages of files, as of the interpreter, are shared with all other processes, and their part in each changes
--- a/snowwick/lab/scale_real.py
+++ b/snowwick/lab/scale_real.py
@@ -54,8 +54,8 @@
 from hdrh.histogram import HdrHistogram
 
 from snowwick.fleet.node import STATUS_PART_BYTES
-from snowwick.lab.hollow import LONGEST_MS, anonymous
-from snowwick.lab.rig import Failed, Fleet
+from snowwick.lab.member_host import MAX_HISTOGRAM_MS, anonymous_memory_bytes
+from snowwick.lab.rig import Fleet, RunFailed
 from snowwick.lab.workload import Refused, Workload, reference_loop
 
 PER_PROCESS = 25  # hollow members of a process: more, and one core carries them no more
@@ -173,7 +173,7 @@
     """p50, p99 and worst of times in s, to three digits."""
     if not times:
         return {f"{name}_p50_s": None, f"{name}_p99_s": None, f"{name}_worst_s": None}
-    histogram = HdrHistogram(1, LONGEST_MS * 10, 3)
+    histogram = HdrHistogram(1, MAX_HISTOGRAM_MS * 10, 3)
     for one in times:
         histogram.record_value(max(1, round(1e4 * one)))
     return {
@@ -283,29 +283,29 @@
             if time.monotonic() >= self.next_clients:
                 self.next_clients = time.monotonic() + CLIENT
                 for n in range(self.real):
-                    if not self.fleet.balancers[n].ended:
-                        self.fleet.ask(n, keep=KEEP)
-            self.fleet.watch()
+                    if not self.fleet.balancers[n].ended_on_purpose:
+                        self.fleet.connect_client(n, keep_s=KEEP)
+            self.fleet.check_processes()
             self.fleet.loop.run_once(0.02)
 
     def start(self) -> None:
         fleet, left = self.fleet, self.hollow
         while left:
-            fleet.add_hollow(min(PER_PROCESS, left))
+            fleet.add_member_host(min(PER_PROCESS, left))
             left -= min(PER_PROCESS, left)
-        self.sizes = [len(one.addresses) for one in fleet.hollow]
-        self.empty = [answer["memory"] for answer in fleet.orders(fleet.hollow, "counts")]
+        self.sizes = [len(one.member_addresses) for one in fleet.member_hosts]
+        self.empty = [answer["memory"] for answer in fleet.run_commands(fleet.member_hosts, "counts")]
         fleet.start()
-        self.serving = [anonymous(self.pid(n)) for n in range(self.real)]
-        fleet.start_hollow(JOINS)
+        self.serving = [anonymous_memory_bytes(self.pid(n)) for n in range(self.real)]
+        fleet.start_lightweight_members(JOINS)
         began = time.monotonic()
         self.wait(began + self.hollow / JOINS)
         until = time.monotonic() + JOINED
         while (lacking := self.lacking()) and time.monotonic() < until:
             self.wait(time.monotonic() + ASKED)
         if lacking:
-            dead = sum(len(one["deaths"]) for one in fleet.orders(fleet.hollow, "counts"))
-            raise Failed(
+            dead = sum(len(one["deaths"]) for one in fleet.run_commands(fleet.member_hosts, "counts"))
+            raise RunFailed(
                 f"{lacking} of {self.members} members did not see all others {JOINED:g} s after the "
                 f"last had started, {dead} were said dead: too many for this machine or period"
             )
@@ -322,7 +322,7 @@
 
     def lacking(self) -> int:
         """Members that do not see all others."""
-        agree = self.fleet.orders(self.fleet.hollow, "agree")
+        agree = self.fleet.run_commands(self.fleet.member_hosts, "agree")
         count: int = sum(alive != self.members for one in agree for alive in one["alive"].values())
         # The real ones are asked last: each answer is many datagrams.
         return count or sum(len(seen) != self.members for seen in map(self.seen, range(self.real)))
@@ -333,7 +333,7 @@
 
     def counts(self) -> tuple[list[Count], list[Count], list[dict[str, float]], list[dict[str, Any]]]:
         """Of hollow processes, of real members, what asking these cost, and the hollow ones' full answers."""
-        answers = self.fleet.orders(self.fleet.hollow, "counts")
+        answers = self.fleet.run_commands(self.fleet.member_hosts, "counts")
         asked = [count_real(self.fleet, n) for n in range(self.real)]
         return (
             [count_hollow(one) for one in answers],
@@ -352,7 +352,9 @@
             seconds=self.workload.seconds + TAIL,
         )
         play_from = time.monotonic() + ASKED
-        self.fleet.orders(self.fleet.hollow, "play", workload=asdict(w), first=self.real, began=play_from)
+        self.fleet.run_commands(
+            self.fleet.member_hosts, "play", workload=asdict(w), first=self.real, began=play_from
+        )
         self.wait(play_from)
         first = self.counts()
         self.wait(play_from + w.idle_s)
@@ -373,7 +375,7 @@
             "busiest": max(row["core"] for row in hollow),
         }
         grown = [now["memory"] - then for now, then in zip(after[3], self.empty, strict=True)]
-        real_grown = [anonymous(self.pid(n)) - then for n, then in enumerate(self.serving)]
+        real_grown = [anonymous_memory_bytes(self.pid(n)) - then for n, then in enumerate(self.serving)]
         self.of_real |= {"played_s": self.row["played_s"], "memory": fmean(real_grown)}
         self.row["memory"] = (sum(grown) + sum(real_grown)) / self.members
         self.row["memory_of_hollow"] = sum(grown) / self.hollow
@@ -388,7 +390,7 @@
             for reason, count in answer["dropped"].items():
                 dropped[reason] = dropped.get(reason, 0) + count
         self.row["dropped"] = dropped
-        ages = HdrHistogram(1, LONGEST_MS, 3)
+        ages = HdrHistogram(1, MAX_HISTOGRAM_MS, 3)
         for answer in after[3]:
             ages.add(HdrHistogram.decode(base64.b64decode(answer["ages"])))
         # When loads should have come is not known here: a balancer writes its own when they change.
@@ -433,7 +435,7 @@
         """Times of the changes that were written between two Unix times."""
         end = time.monotonic() + DRAIN
         while True:
-            answers = self.fleet.orders(self.fleet.hollow, "counts")
+            answers = self.fleet.run_commands(self.fleet.member_hosts, "counts")
             there = arrived(answers)
             changes = [
                 (owner, seq, at)
@@ -463,10 +465,10 @@
         """Hollow members' changes, until all real ones show them."""
         times = []
         for number in range(MARKS):
-            process = self.fleet.hollow[number % len(self.fleet.hollow)]
-            member = list(process.addresses)[number % len(process.addresses)]
+            process = self.fleet.member_hosts[number % len(self.fleet.member_hosts)]
+            member = list(process.member_addresses)[number % len(process.member_addresses)]
             text = f"mark-{number}"
-            at = self.fleet.order(process, "write", member=member, key="zz", text=text)["at"]
+            at = self.fleet.run_command(process, "write", member=member, key="zz", text=text)["at"]
             waiting = list(range(self.real))
             while not (there := self.shown(waiting, member, text)) and time.time() < at + THERE:
                 self.wait(time.monotonic() + 0.01)
@@ -494,7 +496,7 @@
         seconds, came, said = list[float](), list[float](), list[float]()
         for n in range(min(RESTARTS, self.real)):
             one = self.fleet.balancers[n]
-            self.fleet.signal(n, signal.SIGKILL)
+            self.fleet.send_signal(n, signal.SIGKILL)
             self.wait(time.monotonic() + 1.0)
             self.fleet.start(n)
             began, asked, other = time.monotonic(), 0.0, (n + 1) % self.real
--- a/snowwick/net/host.py
+++ b/snowwick/net/host.py
@@ -1,7 +1,7 @@
 """The interface that a fleet link needs from the balancer it belongs to.
 
 A separate module, so that the link and the balancer do not import each other, and so that the link also runs
-in a host that is not a balancer (snowwick/lab/hollow.py).
+in a host that is not a balancer (snowwick/lab/member_host.py).
 """
 
 from __future__ import annotations
--- a/tests/test_data_path.py
+++ b/tests/test_data_path.py
@@ -15,7 +15,7 @@
 import pytest
 
 from snowwick.lab import data_path
-from snowwick.lab.standing import Standing, start
+from snowwick.lab.connection_load import ProgramUnderLoad, start_program
 from snowwick.lab.standins import ROOT
 
 KEYS = {"connections", "memory", "pss", "line_s", "line_reference", "setup_s", "lines", "lines_a_second"}
@@ -108,8 +108,8 @@
 def test_program_that_dies_is_a_failure_and_no_row(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def die(standing: Standing, size: int) -> tuple[float, float]:
-        standing.open(size)
+    def die(standing: ProgramUnderLoad, size: int) -> tuple[float, float]:
+        standing.open_connections(size)
         standing.process.kill()
         standing.process.wait()
         return 0.001, 1.0
@@ -129,16 +129,21 @@
 
 
 def test_lines_are_counted_both_ways_and_none_is_lost(tmp_path: Path) -> None:
-    with start(tmp_path / "one", 16, nodes=2) as standing:
-        standing.open(10)
-        standing.open(6)
-        assert len(standing.ends) == len(standing.clients) == 16
-        standing.turn(40)
-        standing.deliver(30)
-        standing.all_back()
-        assert (standing.sent, standing.answered, standing.delivered, standing.back) == (40, 40, 30, 70)
-        standing.back -= 1
+    with start_program(tmp_path / "one", 16, destination_count=2) as standing:
+        standing.open_connections(10)
+        standing.open_connections(6)
+        assert len(standing.destination_sockets) == len(standing.clients) == 16
+        standing.exchange_lines(40)
+        standing.send_unrequested_lines(30)
+        standing.wait_for_all_lines()
+        assert (
+            standing.lines_sent,
+            standing.lines_answered,
+            standing.lines_delivered,
+            standing.lines_received,
+        ) == (40, 40, 30, 70)
+        standing.lines_received -= 1
         with pytest.raises(AssertionError, match="70 lines sent, 69 came back"):
-            standing.all_back(0.1)
+            standing.wait_for_all_lines(0.1)
         pid = standing.process.pid
     assert not Path(f"/proc/{pid}").exists()
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -16,7 +16,7 @@
 import pytest
 
 from snowwick.fleet.members import ALIVE
-from snowwick.lab.rig import Failed, Fleet
+from snowwick.lab.rig import Fleet, RunFailed
 from snowwick.lab.scale_real import (
     Count,
     arrived,
@@ -36,7 +36,7 @@
 
 def all_agree(fleet: Fleet, members: int = REAL + HOLLOW) -> bool:
     """Does each see each, and do all hollow ones hold the same?"""
-    answers = fleet.orders([one for one in fleet.hollow if not one.ended], "agree")
+    answers = fleet.run_commands([one for one in fleet.member_hosts if not one.ended_on_purpose], "agree")
     alive = {count for one in answers for count in one["alive"].values()}
     roots = {root for one in answers for root in one["roots"].values()}
     return (
@@ -51,7 +51,7 @@
 
 def said_dead(fleet: Fleet) -> list[str]:
     """Who was found dead by any member."""
-    found = [name for one in fleet.orders(fleet.hollow, "counts") for name, _ in one["deaths"]]
+    found = [name for one in fleet.run_commands(fleet.member_hosts, "counts") for name, _ in one["deaths"]]
     return found + ["?" for one in fleet.balancers if "is dead" in one.log]
 
 
@@ -60,10 +60,10 @@
     """Two real members beside six hollow ones in two processes, proxies between the kinds; all agree."""
     with Fleet(folder, REAL) as fleet:
         for _ in range(2):
-            fleet.add_hollow(HOLLOW // 2, proxied=True)
+            fleet.add_member_host(HOLLOW // 2, proxied=True)
         fleet.start()
-        fleet.start_hollow()
-        fleet.until(lambda: all_agree(fleet))
+        fleet.start_lightweight_members()
+        fleet.wait_until(lambda: all_agree(fleet))
         yield fleet
 
 
@@ -76,79 +76,83 @@
 @pytest.fixture
 def fleet(shared: Fleet) -> Fleet:
     """One for all tests that leave it whole, as each finds it."""
-    shared.until(lambda: all_agree(shared))
+    shared.wait_until(lambda: all_agree(shared))
     return shared
 
 
 def test_a_change_of_a_hollow_member_is_known_at_the_real_ones_and_the_other_way(fleet: Fleet) -> None:
-    one = fleet.hollow[0]
-    name = next(iter(one.addresses))
-    fleet.order(one, "write", member=name, key="zz", text="another")
-    fleet.until(lambda: all(fleet.status(n)["revisions"].get(name) == "another" for n in range(REAL)))
-    fleet.answered(fleet.ask(0))
-    fleet.until(
+    one = fleet.member_hosts[0]
+    name = next(iter(one.member_addresses))
+    fleet.run_command(one, "write", member=name, key="zz", text="another")
+    fleet.wait_until(lambda: all(fleet.status(n)["revisions"].get(name) == "another" for n in range(REAL)))
+    fleet.wait_for_answers(fleet.connect_client(0))
+    fleet.wait_until(
         lambda: all(
             any(owner == "b0" for owner, *_ in answer["arrivals"])
-            for answer in fleet.orders(fleet.hollow, "counts")
+            for answer in fleet.run_commands(fleet.member_hosts, "counts")
         )
     )
-    fleet.until(lambda: all_agree(fleet))
+    fleet.wait_until(lambda: all_agree(fleet))
 
 
 def test_processes_that_end_by_themselves_are_noticed(tmp_path: Path) -> None:
     with beside(tmp_path) as fleet:
-        real, hollow = fleet.balancers[0].process, fleet.hollow[1]
+        real, hollow = fleet.balancers[0].process, fleet.member_hosts[1]
         assert real is not None
         hollow.process.send_signal(signal.SIGKILL)
-        with pytest.raises(Failed, match="hollow process 1 has ended with -9"):
-            fleet.turn(5.0)
-        hollow.ended = True
+        with pytest.raises(RunFailed, match="hollow process 1 has ended with -9"):
+            fleet.run_for(5.0)
+        hollow.ended_on_purpose = True
         real.send_signal(signal.SIGKILL)  # past the rig, which takes the signals that it sends for wanted
-        with pytest.raises(Failed, match="b0 has ended with -9"):
-            fleet.until(lambda: False)
-    assert all(one.process.poll() is not None for one in fleet.hollow)
+        with pytest.raises(RunFailed, match="b0 has ended with -9"):
+            fleet.wait_until(lambda: False)
+    assert all(one.process.poll() is not None for one in fleet.member_hosts)
     assert all(one.process is not None and one.process.poll() is not None for one in fleet.balancers)
 
 
 def test_a_real_member_stopped_for_two_seconds_gives_no_false_death(fleet: Fleet) -> None:
-    fleet.signal(0, signal.SIGSTOP)
-    fleet.turn(2.0)
-    fleet.signal(0, signal.SIGCONT)
-    fleet.until(lambda: all_agree(fleet))
+    fleet.send_signal(0, signal.SIGSTOP)
+    fleet.run_for(2.0)
+    fleet.send_signal(0, signal.SIGCONT)
+    fleet.wait_until(lambda: all_agree(fleet))
     assert not said_dead(fleet)
 
 
 def test_a_one_way_cut_and_loss_between_the_kinds_give_no_false_death(fleet: Fleet) -> None:
     for n in range(REAL):
-        fleet.back[n].loss = 0.1
-    for (n, _), link in fleet.out.items():
+        fleet.proxies_to_balancers[n].loss_probability = 0.1
+    for (n, _), link in fleet.proxies_to_members.items():
         link.cut = n == 0
-    carried = sum(link.frames for link in fleet.out.values())
-    fleet.turn(2.5)
-    assert sum(link.frames for link in fleet.out.values()) > carried  # b1's go this way
-    one = fleet.hollow[0]
-    name = list(one.addresses)[1]
-    fleet.order(one, "write", member=name, key="zz", text="through")
-    fleet.until(lambda: all(fleet.status(n)["revisions"].get(name) == "through" for n in range(REAL)))
-    for link in [*fleet.out.values(), *fleet.back.values()]:
-        link.cut, link.loss = False, 0.0
-    fleet.until(lambda: all_agree(fleet))
+    carried = sum(link.datagrams_forwarded for link in fleet.proxies_to_members.values())
+    fleet.run_for(2.5)
+    assert (
+        sum(link.datagrams_forwarded for link in fleet.proxies_to_members.values()) > carried
+    )  # b1's go this way
+    one = fleet.member_hosts[0]
+    name = list(one.member_addresses)[1]
+    fleet.run_command(one, "write", member=name, key="zz", text="through")
+    fleet.wait_until(lambda: all(fleet.status(n)["revisions"].get(name) == "through" for n in range(REAL)))
+    for link in [*fleet.proxies_to_members.values(), *fleet.proxies_to_balancers.values()]:
+        link.cut, link.loss_probability = False, 0.0
+    fleet.wait_until(lambda: all_agree(fleet))
     assert not said_dead(fleet)
 
 
 def test_a_real_member_killed_and_started_anew_is_with_the_hollow_ones_again(fleet: Fleet) -> None:
     def seen() -> list[dict[str, Any]]:
         return [
-            fleet.order(one, "sees", member=name, of="b0") for one in fleet.hollow for name in one.addresses
+            fleet.run_command(one, "sees", member=name, of="b0")
+            for one in fleet.member_hosts
+            for name in one.member_addresses
         ]
 
     before = max(one["incarnation"] for one in seen())
-    fleet.signal(0, signal.SIGKILL)
+    fleet.send_signal(0, signal.SIGKILL)
     fleet.start(0)
-    fleet.until(lambda: "caught up after" in fleet.balancers[0].log)
+    fleet.wait_until(lambda: "caught up after" in fleet.balancers[0].log)
     # Until they have heard of the new start the killed one may still stand there, or be suspected.
-    fleet.until(lambda: all(one["state"] == ALIVE and one["incarnation"] > before for one in seen()))
-    fleet.until(lambda: all_agree(fleet))
+    fleet.wait_until(lambda: all(one["state"] == ALIVE and one["incarnation"] > before for one in seen()))
+    fleet.wait_until(lambda: all_agree(fleet))
 
 
 RUN = """
@@ -197,7 +201,9 @@
             assert process.poll() is None and time.monotonic() < until, out.read_text()
             time.sleep(0.05)
         started = children(process.pid)
-        hollow = {one for one in started if "snowwick.lab.hollow" in Path(f"/proc/{one}/cmdline").read_text()}
+        hollow = {
+            one for one in started if "snowwick.lab.member_host" in Path(f"/proc/{one}/cmdline").read_text()
+        }
         assert len(started) == 3 and len(hollow) == 1  # and two real ones
         if what == "SIGINT":
             process.send_signal(signal.SIGINT)
