--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -1,4 +1,4 @@
-"""The contract stage on sockets: what is held is given back however a request ends; pools; reloads."""
+"""The contract stage on sockets: leases are released however a request ends; pools; reloads."""
 
 from __future__ import annotations
 
@@ -47,25 +47,32 @@
 ).replace('["m"]\npool = "all"', '["m"]\npool = "b"')
 
 
-def asks(n: int, tenant: str = "n") -> str:
+def request(n: int, tenant: str = "n") -> str:
+    """Client ``n`` sends its opening line."""
     return f"c{n} send OPEN {n} k{n} d=1200,c=feed,t={tenant},g=g{n}\n"
 
 
-def up(n: int, tenant: str = "n", at: int | None = None) -> str:
-    at = at or n
-    return asks(n, tenant) + f"d{at} expect OPEN {n} *\nd{at} send UP r\nc{n} expect UP r\n"
+def established(n: int, tenant: str = "n", destination: int | None = None) -> str:
+    """The same, and a destination accepts: its connection ``destination``, by default also ``n``."""
+    destination = destination or n
+    return (
+        request(n, tenant) + f"d{destination} expect OPEN {n} *\nd{destination} send UP r\nc{n} expect UP r\n"
+    )
 
 
-def stage(world: World) -> ContractStage:
+def contract_stage(world: World) -> ContractStage:
     assert world.service.contract_stage is not None
     return world.service.contract_stage
 
 
-def held(world: World) -> dict[str, float]:
-    return {name: team.connection_share.in_use for name, team in stage(world).admission.teams.items()}
+def connections_in_use(world: World) -> dict[str, float]:
+    """By team."""
+    return {
+        name: team.connection_share.in_use for name, team in contract_stage(world).admission.teams.items()
+    }
 
 
-def listed(world: World, **kinds: str) -> dict[str, Any]:
+def list_message(world: World, **kinds: str) -> dict[str, Any]:
     return {
         "version": 1,
         "full": True,
@@ -78,85 +85,96 @@
 
 @pytest.fixture
 def world() -> Iterator[World]:
-    one = World(CONTRACTS, settings=TEAMS)
-    yield one
-    one.close()
+    world = World(CONTRACTS, settings=TEAMS)
+    yield world
+    world.close()
 
 
 @pytest.fixture
-def pools() -> Iterator[World]:
-    one = World(POOLS, settings=TEAMS)
-    one.service.pool_deciders.apply_update(
-        one.service.pool.config.apply(listed(one, s_1="k1", s_2="k2"), None)
+def world_with_pools() -> Iterator[World]:
+    world = World(POOLS, settings=TEAMS)
+    world.service.pool_deciders.apply_update(
+        world.service.pool.config.apply(list_message(world, s_1="k1", s_2="k2"), None)
     )
-    yield one
-    one.close()
+    yield world
+    world.close()
 
 
 @pytest.mark.parametrize(
     "scenario,reason",
     [
-        pytest.param(asks(1) + "d1 expect *\nc1 close\nd1 end\nd1 close", "left", id="leaves while waiting"),
         pytest.param(
-            asks(1) + "d1 expect *\nc1 reset\nd1 end\nd1 close", "front-reset", id="resets while waiting"
+            request(1) + "d1 expect *\nc1 close\nd1 end\nd1 close", "left", id="leaves while waiting"
+        ),
+        pytest.param(
+            request(1) + "d1 expect *\nc1 reset\nd1 end\nd1 close", "front-reset", id="resets while waiting"
         ),
         pytest.param(
-            asks(1) + "d1 expect *\nd1 close\nd2 expect *\nd2 close\nwait 595\nc1 expect BUSY *\n"
+            request(1) + "d1 expect *\nd1 close\nd2 expect *\nd2 close\nwait 595\nc1 expect BUSY *\n"
             "c1 end\nc1 close",
             "busy",
             id="every route step fails",
         ),
         pytest.param(
-            asks(1) + "d1 expect *\nc1 send M\nc1 expect ERR\nc1 end\nc1 close", "garbled", id="says too much"
+            request(1) + "d1 expect *\nc1 send M\nc1 expect ERR\nc1 end\nc1 close",
+            "garbled",
+            id="client sends before its answer",
         ),
-        pytest.param(up(1) + "c1 close\nd1 end\nd1 close", "client-ended", id="client ends"),
-        pytest.param(up(1) + "c1 reset\nd1 end\nd1 close", "front-reset", id="client resets"),
-        pytest.param(up(1) + "d1 reset\nc1 end\nc1 close", "destination-reset", id="destination resets"),
+        pytest.param(established(1) + "c1 close\nd1 end\nd1 close", "client-ended", id="client ends"),
+        pytest.param(established(1) + "c1 reset\nd1 end\nd1 close", "front-reset", id="client resets"),
         pytest.param(
-            up(1) + "d1 send BYE\nd1 close\nc1 expect BYE\nc1 end\nc1 close", "destination-ok", id="bye"
+            established(1) + "d1 reset\nc1 end\nc1 close", "destination-reset", id="destination resets"
         ),
         pytest.param(
-            up(1) + "d1 send MOVE\nd1 close\nc1 expect MOVE\nc1 end\nc1 close",
+            established(1) + "d1 send BYE\nd1 close\nc1 expect BYE\nc1 end\nc1 close",
+            "destination-ok",
+            id="destination sends BYE",
+        ),
+        pytest.param(
+            established(1) + "d1 send MOVE\nd1 close\nc1 expect MOVE\nc1 end\nc1 close",
             "destination-cancelled",
             id="moved by its destination",
         ),
         pytest.param(
-            up(1) + "d1 raw 'x' * 9000\nc1 expect MOVE\nc1 end\nd1 end\nc1 close",
+            established(1) + "d1 raw 'x' * 9000\nc1 expect MOVE\nc1 end\nd1 end\nc1 close",
             "garbled-destination",
-            id="destination talks nonsense",
+            id="destination sends malformed line",
         ),
         pytest.param(
             "c1 send OPEN 1 k d=1200,c=feed,t=n,at=s-1\nd1 expect *\nd1 send UP r\nc1 expect UP r\n"
             "d1 reset\nc1 end\nc1 close",
             "destination-reset",
-            id="kept connection",
+            id="resumed connection",
         ),
         pytest.param(
             "c1 send OPEN 1 k d=1200,c=feed,t=n,at=s-9\nc1 expect ERR\nc1 end\nc1 close",
             "kept-connect_failed",
-            id="kept connection that is lost",
+            id="resumed connection that fails",
         ),
     ],
 )
-def test_what_is_held_is_given_back_once_however_it_ends(world: World, scenario: str, reason: str) -> None:
+def test_lease_is_released_once_however_a_connection_ends(world: World, scenario: str, reason: str) -> None:
     world.play(scenario)
     world.run_until(lambda: not world.service.fronts)
     world.run_turns()
-    assert held(world) == {"x": 0, "y": 0} and stage(world).admission.connection_budget.total_in_use == 0
+    assert (
+        connections_in_use(world) == {"x": 0, "y": 0}
+        and contract_stage(world).admission.connection_budget.total_in_use == 0
+    )
     assert f" {reason} " in world.log_output.getvalue() and "team=x" in world.log_output.getvalue()
     assert not world.loop.open_sockets
 
 
-def test_what_is_held_is_free_as_soon_as_its_destination_has_ended(world: World) -> None:
-    """A client that is slow to close would hold its team's room; a kept connection counts like any other."""
+def test_lease_is_released_when_the_destination_ends_the_connection(world: World) -> None:
+    """Otherwise a client that is slow to close would use up its team's limit. This one is resumed."""
     world.play("c1 send OPEN 1 k d=1200,c=feed,t=n,at=s-1\nd1 expect *\nd1 send UP r\nc1 expect UP r")
-    assert held(world) == {"x": 1, "y": 0}
+    assert connections_in_use(world) == {"x": 1, "y": 0}
     world.play("d1 send BYE\nd1 close\nc1 expect BYE\nc1 end")
-    assert world.service.fronts and held(world) == {"x": 0, "y": 0}
+    assert world.service.fronts and connections_in_use(world) == {"x": 0, "y": 0}
 
 
-def test_a_fault_in_the_front_gives_back_too(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    world.play(up(1))
+def test_fault_in_the_front_releases_the_lease(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    world.play(established(1))
     (front,) = world.service.fronts
 
     def fault(_: object) -> None:
@@ -164,68 +182,84 @@
 
     monkeypatch.setattr(front, "on_message", fault)
     world.play("d1 send M\nc1 end\nd1 end")
-    assert held(world) == {"x": 0, "y": 0} and "on purpose" in world.log_output.getvalue()
+    assert connections_in_use(world) == {"x": 0, "y": 0} and "on purpose" in world.log_output.getvalue()
 
 
-def test_borrowers_are_moved_newest_first_when_the_owner_asks(world: World) -> None:
-    world.play("".join(up(n) for n in range(1, 10)))  # six borrowed; one of y's four is the reserve
-    world.play(asks(10) + "c10 expect BUSY [1-9]*\nc10 end")
-    world.play(up(11, "m", 10) + "wait 60\nc9 expect MOVE\nc9 end\nd9 end\nc8 quiet\nc10 close\nwait 1")
+def test_borrowed_connections_are_reclaimed_newest_first_when_the_owner_needs_them(world: World) -> None:
+    world.play(
+        "".join(established(n) for n in range(1, 10))
+    )  # x borrows five; one of y's four is the reserve
+    world.play(request(10) + "c10 expect BUSY [1-9]*\nc10 end")
+    world.play(
+        established(11, "m", 10) + "wait 60\nc9 expect MOVE\nc9 end\nd9 end\nc8 quiet\nc10 close\nwait 1"
+    )
     assert " over-connections " in world.log_output.getvalue()
-    world.play("c9 close\nwait 600\n" + asks(12) + "c12 expect BUSY [1-9]*\nc12 end")  # no ping-pong
-    assert "reclaimed" in world.log_output.getvalue() and held(world) == {"x": 8, "y": 1}
+    world.play(
+        "c9 close\nwait 600\n" + request(12) + "c12 expect BUSY [1-9]*\nc12 end"
+    )  # the freed connection is not lent again at once
+    assert "reclaimed" in world.log_output.getvalue() and connections_in_use(world) == {"x": 8, "y": 1}
 
 
-def test_a_contract_bounds_the_wait_and_names_who_has_none(world: World) -> None:
-    world.play(asks(1) + "d1 expect OPEN 1 k1 d=[1-5][0-9][0-9],*\nwait 595\nc1 expect BUSY *\nc1 end")
-    world.play(asks(2, "free") + "c2 expect BUSY *\nc2 end\nc2 close\nwait 1")
+def test_contract_limits_the_wait_and_a_tenant_without_one_is_refused(world: World) -> None:
+    world.play(request(1) + "d1 expect OPEN 1 k1 d=[1-5][0-9][0-9],*\nwait 595\nc1 expect BUSY *\nc1 end")
+    world.play(request(2, "free") + "c2 expect BUSY *\nc2 end\nc2 close\nwait 1")
     assert " no-contract " in world.log_output.getvalue()
 
 
-def test_a_team_s_requests_go_to_its_pool_only(pools: World) -> None:
-    """With every destination of one pool gone its requests are answered at once, the other pool's served."""
-    numbers = {name: pools.service.destination_number(name) for name in ("s-1", "s-2")}
-    pools.play("".join(up(n, "mn"[n % 2]) for n in range(1, 7)))
-    where = {
-        (front.request.tenant, front.destination_number) for front in pools.service.fronts if front.request
+def test_requests_of_a_team_go_to_its_pool_only(world_with_pools: World) -> None:
+    """If a pool has no destination left, its requests are refused at once and the other pool's are served."""
+    numbers = {name: world_with_pools.service.destination_number(name) for name in ("s-1", "s-2")}
+    world_with_pools.play("".join(established(n, "mn"[n % 2]) for n in range(1, 7)))
+    destinations = {
+        (front.request.tenant, front.destination_number)
+        for front in world_with_pools.service.fronts
+        if front.request
     }
-    assert where == {("n", numbers["s-1"]), ("m", numbers["s-2"])}
-    gone = {
+    assert destinations == {("n", numbers["s-1"]), ("m", numbers["s-2"])}
+    without_second = {
         "version": 2,
         "full": False,
-        "servers": [World.list_entry("s-2", pools.destination_listener, "terminated")],
+        "servers": [World.list_entry("s-2", world_with_pools.destination_listener, "terminated")],
     }
-    pools.service.pool_deciders.apply_update(pools.service.pool.config.apply(gone))
-    pools.play(asks(7, "m") + "c7 expect BUSY *\nc7 end\nc7 close\n" + up(8, "n", 7))
-    assert " no-destinations " in pools.log_output.getvalue() and held(pools) == {"x": 4, "y": 3}
+    world_with_pools.service.pool_deciders.apply_update(
+        world_with_pools.service.pool.config.apply(without_second)
+    )
+    world_with_pools.play(request(7, "m") + "c7 expect BUSY *\nc7 end\nc7 close\n" + established(8, "n", 7))
+    assert " no-destinations " in world_with_pools.log_output.getvalue() and connections_in_use(
+        world_with_pools
+    ) == {"x": 4, "y": 3}
 
 
-def test_a_destination_that_changes_its_kind_changes_pools(pools: World) -> None:
-    pools.play(up(1, "m") + up(2, "n"))
-    rows = {
+def test_destination_that_changes_its_kind_changes_its_pool(world_with_pools: World) -> None:
+    world_with_pools.play(established(1, "m") + established(2, "n"))
+    changed = {
         "version": 2,
         "full": False,
         "servers": [
-            World.list_entry("s-2", pools.destination_listener, kind="k1"),
-            World.list_entry("s-3", pools.destination_listener, kind="k2"),
+            World.list_entry("s-2", world_with_pools.destination_listener, kind="k1"),
+            World.list_entry("s-3", world_with_pools.destination_listener, kind="k2"),
         ],
     }
-    pools.service.pool_deciders.apply_update(pools.service.pool.config.apply(rows))
+    world_with_pools.service.pool_deciders.apply_update(world_with_pools.service.pool.config.apply(changed))
     for _ in range(6):
-        pools.wait(500)
-    pools.play("c1 expect MOVE\nc1 end\nc2 quiet\nc1 close\n" + up(3, "m"))
-    (third,) = (front for front in pools.service.fronts if front.request and front.request.opening.id == "3")
-    assert third.destination_number == pools.service.destination_number("s-3")
+        world_with_pools.wait(500)
+    world_with_pools.play("c1 expect MOVE\nc1 end\nc2 quiet\nc1 close\n" + established(3, "m"))
+    (third,) = (
+        front
+        for front in world_with_pools.service.fronts
+        if front.request and front.request.opening.id == "3"
+    )
+    assert third.destination_number == world_with_pools.service.destination_number("s-3")
 
 
-def test_reload_under_traffic_takes_a_whole_file_or_nothing(world: World) -> None:
-    world.play("".join(up(n) for n in range(1, 5)) + up(5, "m"))
-    before = stage(world).contracts
+def test_reload_under_traffic_applies_the_whole_file_or_nothing(world: World) -> None:
+    world.play("".join(established(n) for n in range(1, 5)) + established(5, "m"))
+    before = contract_stage(world).contracts
     world.contracts_text = CONTRACTS.replace("connections = 4", "connections = -4", 1)
     world.raw_config["discovery"] = "127.0.0.1:9"
     world.service.reload()
     assert "teams.x.guarantee.connections: expected" in world.log_output.getvalue()
-    assert stage(world).contracts is before and world.service.config.discovery != ("127.0.0.1", 9)
+    assert contract_stage(world).contracts is before and world.service.config.discovery != ("127.0.0.1", 9)
     world.contracts_text = CONTRACTS.replace(
         "guarantee = { connections = 4 }", "guarantee = { connections = 1 }\nceiling = { connections = 2 }", 1
     )
@@ -235,36 +269,47 @@
         world.wait(60)
     world.play(
         "c4 expect MOVE\nc3 expect MOVE\nc2 quiet\nc1 quiet\nc5 quiet\nc3 close\nc4 close\n"
-        + asks(6)
+        + request(6)
         + "c6 expect BUSY *\nc6 end"
     )
-    assert held(world) == {"x": 2, "y": 1}
+    assert connections_in_use(world) == {"x": 2, "y": 1}
     world.contracts_text = world.contracts_text[: world.contracts_text.index("[teams.y]")]
     world.service.reload()
     for _ in range(20):
         world.wait(60)
-    world.play("c5 expect MOVE\nc5 end\n" + asks(7, "m") + "c7 expect BUSY *\nc7 end\nc1 send M\nd1 expect M")
-    assert held(world) == {"x": 2} and stage(world).admission.connection_budget.total_in_use == 2
+    world.play(
+        "c5 expect MOVE\nc5 end\n" + request(7, "m") + "c7 expect BUSY *\nc7 end\nc1 send M\nd1 expect M"
+    )
+    assert (
+        connections_in_use(world) == {"x": 2}
+        and contract_stage(world).admission.connection_budget.total_in_use == 2
+    )
 
 
-def test_reload_that_gives_a_team_another_pool_moves_it_there(pools: World) -> None:
-    pools.play(up(1) + up(2, "m"))
-    pools.contracts_text = POOLS.replace('pool = "b"', 'pool = "c"').replace("pools.b", "pools.c")
-    pools.service.reload()
+def test_reload_that_assigns_a_team_to_another_pool_moves_its_connections(world_with_pools: World) -> None:
+    world_with_pools.play(established(1) + established(2, "m"))
+    world_with_pools.contracts_text = POOLS.replace('pool = "b"', 'pool = "c"').replace("pools.b", "pools.c")
+    world_with_pools.service.reload()
     for _ in range(30):
-        pools.wait(60)
-    pools.play(
-        "c2 expect MOVE\nc2 end\nc2 close\n" + up(3, "m") + "c1 quiet\n" + asks(4) + "d4 expect OPEN 4 *"
+        world_with_pools.wait(60)
+    world_with_pools.play(
+        "c2 expect MOVE\nc2 end\nc2 close\n"
+        + established(3, "m")
+        + "c1 quiet\n"
+        + request(4)
+        + "d4 expect OPEN 4 *"
     )
-    pools.service.pool_deciders.apply_update(
-        pools.service.pool.config.apply(listed(pools, s_1="k1", s_2="k2"))
+    world_with_pools.service.pool_deciders.apply_update(
+        world_with_pools.service.pool.config.apply(list_message(world_with_pools, s_1="k1", s_2="k2"))
     )
-    pools.run_turns()
-    assert set(pools.service.pool_deciders.by_pool) == {"all", "c"} and held(pools) == {"x": 2, "y": 1}
+    world_with_pools.run_turns()
+    assert set(world_with_pools.service.pool_deciders.by_pool) == {"all", "c"} and connections_in_use(
+        world_with_pools
+    ) == {"x": 2, "y": 1}
 
 
-def test_a_drain_goes_on_through_a_reload(tmp_path: Path) -> None:
-    """SIGTERM, then SIGHUP with a broken file: all are moved, nothing is reread, the end is orderly."""
+def test_drain_continues_through_a_reload(tmp_path: Path) -> None:
+    """After SIGTERM, a SIGHUP with a broken file reloads nothing, and the process still exits in order."""
     servers, path, file = open_listener(), tmp_path / "config.json", tmp_path / "contracts.toml"
     servers.settimeout(5.0)
     known = {"version": 1, "full": True, "servers": [World.list_entry("s-1", servers)]}
@@ -287,17 +332,17 @@
         assert process.wait(10.0) == 0
 
 
-def test_a_faulty_file_ends_the_start_with_its_key_path(tmp_path: Path) -> None:
+def test_faulty_contracts_file_ends_the_start_and_names_its_key_path(tmp_path: Path) -> None:
     path, file = tmp_path / "config.json", tmp_path / "contracts.toml"
     path.write_text(json.dumps({**GOOD, "settings": TEAMS}))
     file.write_text(CONTRACTS.replace('"m"', '"unheard-of"'))
     with program(path, SNOWWICK_CONTRACTS=str(file)) as process:
-        _, said = process.communicate(timeout=20.0)
-    assert process.returncode == 2 and said.count("\n") == 1
-    assert "teams.y.tenants: the settings have no tenant 'unheard-of'" in said
+        _, stderr = process.communicate(timeout=20.0)
+    assert process.returncode == 2 and stderr.count("\n") == 1
+    assert "teams.y.tenants: the settings have no tenant 'unheard-of'" in stderr
 
 
-def test_hangup_signal_rereads_the_contracts_of_the_running_program(tmp_path: Path) -> None:
+def test_hangup_signal_reloads_the_contracts_of_the_running_process(tmp_path: Path) -> None:
     path, file = tmp_path / "config.json", tmp_path / "contracts.toml"
     path.write_text(json.dumps({**GOOD, "settings": TEAMS}))
     file.write_text(CONTRACTS)
@@ -306,16 +351,16 @@
         assert process.stderr is not None
         log = process.stderr
 
-        def hang_up(text: str) -> str:
+        def reload_with(text: str) -> str:
             file.write_text(text)
             process.send_signal(signal.SIGHUP)
             return next(line for line in iter(log.readline, "") if "contracts of" in line or "stays" in line)
 
-        assert "contracts of 1 teams" in hang_up(CONTRACTS[: CONTRACTS.index("[teams.y]")])
-        assert "fleet.connections: is missing" in hang_up(CONTRACTS.replace("connections = 10", ""))
+        assert "contracts of 1 teams" in reload_with(CONTRACTS[: CONTRACTS.index("[teams.y]")])
+        assert "fleet.connections: is missing" in reload_with(CONTRACTS.replace("connections = 10", ""))
         with socket.create_connection((host, int(port)), 5.0) as client:
             client.sendall(b"OPEN 1 k1 d=1200,c=feed,t=m\r\n")
-            assert client.recv(4096).startswith(b"BUSY ")  # the first file counts still: y has no contract
+            assert client.recv(4096).startswith(b"BUSY ")  # the first reload still counts: y has no contract
         process.terminate()
         assert "no-contract" in log.read()
         assert process.wait(10.0) == 0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Nothing of one configuration, pool or customer is seen by another."""
+"""Configurations, pools and customers are isolated from each other."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 }
 
 
-def test_pool_that_a_reload_gives_other_tenants_counts_their_quotas_from_then_on() -> None:
-    """Its module kept the quotas of the former contract, and so its guess of what servers hold."""
+def test_reload_that_changes_the_tenants_of_a_pool_updates_its_quotas() -> None:
+    """The pool's module kept the quotas of the old contract and so its estimate of the servers' capacity."""
     world = World(POOLS, settings=QUOTAS)
-    rows = [
+    servers = [
         world.list_entry("s-1", world.destination_listener, kind="k1"),
         world.list_entry("s-2", world.destination_listener, kind="k2"),
     ]
     world.service.pool_deciders.apply_update(
-        world.service.pool.config.apply({"version": 2, "full": True, "servers": rows})
+        world.service.pool.config.apply({"version": 2, "full": True, "servers": servers})
     )
     world.run_turns()
-    modules = {name: one.balancer for name, one in world.service.pool_deciders.by_pool.items()}
-    assert {name: one.total_quota for name, one in modules.items()} == {"all": 100.0, "b": 30.0}
-    unit = modules["b"].capacity_per_weight
-    assert unit < math.inf
+    modules = {name: decider.balancer for name, decider in world.service.pool_deciders.by_pool.items()}
+    assert {name: module.total_quota for name, module in modules.items()} == {"all": 100.0, "b": 30.0}
+    capacity = modules["b"].capacity_per_weight
+    assert capacity < math.inf
     world.contracts_text = POOLS.replace('["m"]', '["m", "free"]')
     world.service.reload()
     world.run_turns()
-    assert {name: one.total_quota for name, one in modules.items()} == {"all": 100.0, "b": 37.0}
-    assert {one.name for one in modules["b"].settings.tenants} == {"m", "free"}
-    assert modules["b"].capacity_per_weight == unit * 37.0 / 30.0
+    assert {name: module.total_quota for name, module in modules.items()} == {"all": 100.0, "b": 37.0}
+    assert {tenant.name for tenant in modules["b"].settings.tenants} == {"m", "free"}
+    assert modules["b"].capacity_per_weight == capacity * 37.0 / 30.0
     world.close()
 
 
-def test_two_programs_in_one_process_see_only_their_own_settings() -> None:
-    """Tenants, classes and lists of one customer, and the caches behind them, are its own."""
-    one, other = (
+def test_two_services_in_one_process_use_only_their_own_settings() -> None:
+    """Tenants, classes, lists and caches are not shared."""
+    first, second = (
         World(),
         World(
             settings={
@@ -56,22 +56,24 @@
             }
         ),
     )
-    one.play(
+    first.play(
         "c1 send OPEN 1 k1 d=1200,c=feed,t=n,g=g1\nd1 expect OPEN 1 *\nd1 send UP r\nc1 expect UP r\n"
         "c2 send OPEN 2 k1 d=900,c=tv,t=z\nc2 expect ERR"
     )
-    other.play(
+    second.play(
         "c1 send OPEN 1 k1 d=900,c=tv,t=z,g=g1\nd1 expect OPEN 1 *\nd1 send UP r\nc1 expect UP r\n"
         "c2 send OPEN 2 k1 d=900,c=feed,t=n\nc2 expect ERR"
     )
-    mine, theirs = one.service.decider.balancer, other.service.decider.balancer
-    assert mine.classes.keys() == {"feed"} and theirs.classes.keys() == {"tv"}
-    assert not {id(x) for x in mine.groups.values()} & {id(x) for x in theirs.groups.values()}
-    one.close()
-    other.close()
+    first_module, second_module = first.service.decider.balancer, second.service.decider.balancer
+    assert first_module.classes.keys() == {"feed"} and second_module.classes.keys() == {"tv"}
+    assert not {id(group) for group in first_module.groups.values()} & {
+        id(group) for group in second_module.groups.values()
+    }
+    first.close()
+    second.close()
 
 
-def test_instance_that_is_attached_again_with_other_settings_keeps_nothing() -> None:
+def test_instance_attached_again_with_other_settings_keeps_no_state() -> None:
     adapter = Adapter()
 
     def attach(name: str, effect: str) -> None:
@@ -89,13 +91,13 @@
 
 
 def test_balancers_share_no_mutable_state() -> None:
-    """Defaults and class attributes: what one learns must not show in the next."""
-    one = BalancerHarness()
+    """Guards against mutable defaults and class attributes: one balancer's state must not reach another."""
+    first = BalancerHarness()
     for n in range(20):
-        for send in one.send_request(n, f"g{n}"):
-            if isinstance(send, i.Send):
-                one.establish(send)
-    two = BalancerHarness()
-    assert not two.balancer.flows and not two.balancer.groups and two.balancer.open_connections == 0
-    assert all(not b.flows for b in two.balancer.backends.values())
-    assert BASE_SETTINGS.tenants == () and [b.backend for b in ready_entries(1)] == [1]
+        for action in first.send_request(n, f"g{n}"):
+            if isinstance(action, i.Send):
+                first.establish(action)
+    second = BalancerHarness()
+    assert not second.balancer.flows and not second.balancer.groups and second.balancer.open_connections == 0
+    assert all(not backend.flows for backend in second.balancer.backends.values())
+    assert BASE_SETTINGS.tenants == () and [entry.backend for entry in ready_entries(1)] == [1]
