--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -1,4 +1,4 @@
-"""The fleet's cores: frames, the gate, the clock, registers, members, rights.  No sockets, no processes."""
+"""The fleet protocol without sockets: frames, replay filter, clock, registers, members and rights."""
 
 from __future__ import annotations
 
@@ -23,16 +23,17 @@
 
 
 def frame(
-    seq: int = 1, boot: int = 7, incarnation: int = 1, to_boot: int = 9, body: wire.Body | None = None
+    seq: int = 1, boot: int = 7, incarnation: int = 1, receiver_boot: int = 9, body: wire.Body | None = None
 ) -> Frame:
-    return Frame("a", "1.2.3.4:5", incarnation, boot, seq, "b", to_boot, body or wire.Gossip())
+    """A frame from member a to member b."""
+    return Frame("a", "1.2.3.4:5", incarnation, boot, seq, "b", receiver_boot, body or wire.Gossip())
 
 
 # -- frames ----------------------------------------------------------------------------------------------
 
 
 @given(st.binary(max_size=wire.MAX_FRAME_BYTES + 10))
-def test_no_datagram_raises(data: bytes) -> None:
+def test_no_datagram_raises_an_exception(data: bytes) -> None:
     node = Node("b", "b", [KEY], [], random.Random(1), lambda: 1e12)
     node.receive(data, 1.0)
     assert sum(node.counts.dropped.values()) == 1
@@ -45,7 +46,7 @@
         max_leaves=40,
     )
 )
-def test_no_message_under_the_right_key_raises(message: object) -> None:
+def test_no_message_under_a_valid_key_raises_an_exception(message: object) -> None:
     node = Node("b", "b", [KEY], [], random.Random(1), lambda: 1e12)
     try:
         data = bytes([wire.VERSION]) + msgspec.msgpack.encode(message)
@@ -58,57 +59,63 @@
 @given(st.integers(0, 10**6), st.data())
 def test_one_changed_bit_drops_the_frame(seed: int, data: st.DataObject) -> None:
     sealed = wire.seal(frame(seq=seed), KEY)
-    at = data.draw(st.integers(8, 8 * len(sealed) - 1))
+    bit = data.draw(st.integers(8, 8 * len(sealed) - 1))
     changed = bytearray(sealed)
-    changed[at // 8] ^= 1 << at % 8
+    changed[bit // 8] ^= 1 << bit % 8
     with pytest.raises(FrameDropped, match="digest"):
         wire.unseal(bytes(changed), [KEY])
 
 
-def test_old_and_new_key_are_taken_while_keys_change() -> None:
+def test_old_and_new_key_are_accepted_while_keys_are_replaced() -> None:
     old, new = b"o" * 32, b"n" * 32
     assert wire.unseal(wire.seal(frame(), old), [new, old]).sender == "a"
     with pytest.raises(FrameDropped, match="digest"):
         wire.unseal(wire.seal(frame(), old), [new])
 
 
-def test_a_frame_counts_once_and_only_for_this_start() -> None:
-    gate = ReplayFilter("b", 9)
-    gate.check(frame(5))
-    gate.check(frame(3))  # overtaken is no replay
-    for again in (frame(5), frame(3), frame(6, to_boot=8), frame(6, boot=6), frame(6, to_boot=0)):
+def test_a_frame_is_accepted_once_and_only_for_this_start() -> None:
+    replay_filter = ReplayFilter("b", 9)
+    replay_filter.check(frame(5))
+    replay_filter.check(frame(3))  # a frame out of order is no replay
+    for replayed in (
+        frame(5),
+        frame(3),
+        frame(6, receiver_boot=8),
+        frame(6, boot=6),
+        frame(6, receiver_boot=0),
+    ):
         with pytest.raises(FrameDropped, match="replayed"):
-            gate.check(again)
-    gate.check(frame(1, boot=8, incarnation=2))  # the sender has started anew
+            replay_filter.check(replayed)
+    replay_filter.check(frame(1, boot=8, incarnation=2))  # the sender has restarted
     with pytest.raises(FrameDropped, match="replayed"):
-        gate.check(frame(6))
+        replay_filter.check(frame(6))
 
 
-def test_what_comes_with_a_greeting_does_not_count() -> None:
-    greeting = frame(to_boot=0, body=Ping(1))
-    greeting.members.append(wire.Member("c", "c", 1, 0, 1))
-    ReplayFilter("b", 9).check(greeting)
-    assert not greeting.members
+def test_updates_in_a_ping_without_a_boot_number_are_ignored() -> None:
+    ping = frame(receiver_boot=0, body=Ping(1))
+    ping.members.append(wire.Member("c", "c", 1, 0, 1))
+    ReplayFilter("b", 9).check(ping)
+    assert not ping.members
 
 
 @given(st.lists(st.integers(1, 600), max_size=60))
-def test_no_number_is_taken_twice(numbers: list[int]) -> None:
-    window, taken = ReplayWindow(1, 1), set[int]()
+def test_no_sequence_number_is_accepted_twice(numbers: list[int]) -> None:
+    window, accepted = ReplayWindow(1, 1), set[int]()
     for number in numbers:
         if window.accept(number):
-            assert number not in taken
-            taken.add(number)
+            assert number not in accepted
+            accepted.add(number)
 
 
 # -- the clock -------------------------------------------------------------------------------------------
 
 
-def test_a_clock_minutes_ahead_moves_no_other() -> None:
-    mine = HybridClock()
-    assert not mine.observe((1_000_000 + 600_000) << LOGICAL_BITS, 1_000_000.0)
-    assert mine.next_timestamp(1_000_000.0) >> LOGICAL_BITS == 1_000_000
-    assert mine.observe((1_000_000 + MAX_AHEAD_MS) << LOGICAL_BITS, 1_000_000.0)
-    assert mine.next_timestamp(1_000_000.0) > (1_000_000 + MAX_AHEAD_MS) << LOGICAL_BITS
+def test_a_clock_minutes_ahead_advances_no_other_clock() -> None:
+    clock = HybridClock()
+    assert not clock.observe((1_000_000 + 600_000) << LOGICAL_BITS, 1_000_000.0)
+    assert clock.next_timestamp(1_000_000.0) >> LOGICAL_BITS == 1_000_000
+    assert clock.observe((1_000_000 + MAX_AHEAD_MS) << LOGICAL_BITS, 1_000_000.0)
+    assert clock.next_timestamp(1_000_000.0) > (1_000_000 + MAX_AHEAD_MS) << LOGICAL_BITS
 
 
 # -- registers -------------------------------------------------------------------------------------------
@@ -126,16 +133,17 @@
 
 
 def consistent(entries: list[Entry]) -> list[Entry]:
-    """An owner writes one entry under one number."""
-    return list({(e.owner, e.epoch, e.seq): e for e in entries}.values())
+    """The entries with one entry for each sequence number, as an owner writes them."""
+    return list({(entry.owner, entry.epoch, entry.seq): entry for entry in entries}.values())
 
 
-def view(store: Store) -> object:
+def live(store: Store) -> object:
+    """The live entries of a store."""
     return {
-        (name, key, held.entry.seq, held.entry.epoch)
+        (name, key, stored.entry.seq, stored.entry.epoch)
         for name, owner in store.owners.items()
-        for key, held in owner.entries.items()
-        if held.entry.value is not None
+        for key, stored in owner.entries.items()
+        if stored.entry.value is not None
     }
 
 
@@ -143,75 +151,76 @@
 @settings(max_examples=150)
 def test_merge_is_commutative_and_idempotent(entries: list[Entry]) -> None:
     entries = consistent(entries)
-    views = []
+    results = []
     for order in list(permutations(entries))[:24]:
         store = Store("me", 1)
         for entry in [*order, *order]:
             store.merge_entry(entry, 0.0)
-        views.append(view(store))
-    assert all(one == views[0] for one in views)
+        results.append(live(store))
+    assert all(result == results[0] for result in results)
 
 
 @given(st.lists(ENTRY, max_size=6), st.lists(ENTRY, max_size=6))
-def test_two_copies_that_pull_from_each_other_become_the_same(
-    first: list[Entry], second: list[Entry]
-) -> None:
-    rows = consistent([*first, *second])
+def test_two_stores_that_pull_from_each_other_become_equal(first: list[Entry], second: list[Entry]) -> None:
+    entries = consistent([*first, *second])
     one, other = Store("me", 1), Store("you", 1)
-    for entry in rows:
+    for entry in entries:
         (one if entry in first else other).merge_entry(entry, 0.0)
     for _ in range(4):
-        for taker, giver in ((one, other), (other, one)):
-            for row in giver.summaries():
-                pull(taker, giver, row)
-    assert {e for e in one.owners if e in "xyz"} == {e for e in other.owners if e in "xyz"}
-    assert view(one) == view(other)
+        for target, source in ((one, other), (other, one)):
+            for summary in source.summaries():
+                pull(target, source, summary)
+    assert {owner for owner in one.owners if owner in "xyz"} == {
+        owner for owner in other.owners if owner in "xyz"
+    }
+    assert live(one) == live(other)
 
 
-def pull(taker: Store, giver: Store, row: OwnerSummary) -> None:
-    wanted = taker.pull_start(row)
-    if wanted is None:
+def pull(target: Store, source: Store, summary: OwnerSummary) -> None:
+    """Pull an owner's missing entries from one store into another, in small batches."""
+    start = target.pull_start(summary)
+    if start is None:
         return
-    after, whole = wanted
+    after, full = start
     seqs, more = set[int](), True
     while more:
-        found = giver.entries_after(row.owner, row.epoch, after, 40, 0.0)
+        found = source.entries_after(summary.owner, summary.epoch, after, 40, 0.0)
         assert found is not None
-        now, upto, more, entries = found
-        taker.merge_batch(now, after, upto, entries, 0.0)
+        current, up_to, more, entries = found
+        target.merge_batch(current, after, up_to, entries, 0.0)
         seqs |= {entry.seq for entry in entries}
-        after = upto
-    if whole:
-        taker.keep_only(row.owner, seqs)
+        after = up_to
+    if full:
+        target.keep_only(summary.owner, seqs)
 
 
-def test_what_was_removed_stays_away_when_tombstones_have_expired() -> None:
-    owner, away = Store("x", 1), Store("y", 1)
+def test_a_removed_register_does_not_come_back_after_its_tombstone_has_expired() -> None:
+    owner, absent = Store("x", 1), Store("y", 1)
     for key in ("k", "l"):
         owner.write(1, key, b"v", 0, 0.0)
-    pull(away, owner, owner.summaries()[0])
+    pull(absent, owner, owner.summaries()[0])
     owner.write(1, "k", None, 0, 1.0)
     owner.expire_tombstones(1.0 + TOMBSTONE_S)
     owner.expire_tombstones(2.0 + 2 * TOMBSTONE_S)
     assert len(owner.owners["x"].entries) == 1
     third = Store("z", 1)
     pull(third, owner, owner.summaries()[0])
-    pull(third, away, away.owners["x"].summary("x"))  # who was away offers what it still has
-    assert [held.entry.key for held in third.live_entries(1)] == ["l"]
+    pull(third, absent, absent.owners["x"].summary("x"))  # the absent member still has the removed register
+    assert [stored.entry.key for stored in third.live_entries(1)] == ["l"]
     for _ in range(2):
-        pull(away, third, third.owners["x"].summary("x"))
-    assert [held.entry.key for held in away.live_entries(1)] == ["l"]
+        pull(absent, third, third.owners["x"].summary("x"))
+    assert [stored.entry.key for stored in absent.live_entries(1)] == ["l"]
 
 
-def test_a_higher_epoch_voids_what_its_owner_said_before() -> None:
+def test_a_higher_epoch_replaces_all_entries_of_its_owner() -> None:
     store = Store("me", 1)
     store.merge_entry(Entry("x", 1, 5, 1, "k", b"v", 0), 0.0)
     store.merge_entry(Entry("x", 2, 1, 1, "l", b"w", 0), 0.0)
     assert not store.merge_entry(Entry("x", 1, 6, 1, "k", b"v", 0), 0.0)
-    assert [held.entry.key for held in store.live_entries(1)] == ["l"]
+    assert [stored.entry.key for stored in store.live_entries(1)] == ["l"]
 
 
-def test_registers_are_bounded() -> None:
+def test_the_number_of_registers_of_an_owner_is_limited() -> None:
     store = Store("me", 1, max_entries=10)
     for n in range(50):
         store.merge_entry(Entry("x", 1, n + 1, 1, f"k{n}", b"v", 0), 0.0)
@@ -222,7 +231,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_copies_agree_under_loss_doubling_corruption_and_a_cut(seed: int) -> None:
+def test_copies_agree_after_loss_duplication_corruption_and_a_partition(seed: int) -> None:
     net = Network(6, seed, faults=Faults(loss=0.1, double=0.1, corrupt=0.05, most=0.15))
     net.run(10.0, net.agree)
     net.halves(["m0", "m1", "m2"])
@@ -235,13 +244,13 @@
     net.write("m4", 1, "k", b"anew")
     net.write("m0", 1, "k", None)
     net.heal()
-    healed = net.now
-    net.run(healed + 20.0, net.agree)
-    assert net.agree() and net.now < healed + 10.0
+    healed_at = net.now
+    net.run(healed_at + 20.0, net.agree)
+    assert net.agree() and net.now < healed_at + 10.0
     assert all(machine.node.counts.dropped["digest"] for machine in net.live())
 
 
-def test_a_stopped_machine_is_back_without_harm_and_a_wrong_clock_changes_nothing() -> None:
+def test_a_stopped_machine_recovers_and_a_wrong_clock_has_no_effect() -> None:
     net = Network(5, 3)
     net.machines["m1"].skew_ms = 600_000.0
     net.run(8.0, net.agree)
@@ -257,7 +266,7 @@
     )
 
 
-def test_a_start_by_a_clock_gone_back_counts_on_from_the_earlier_one() -> None:
+def test_a_restart_after_the_clock_went_back_continues_from_the_earlier_start() -> None:
     net = Network(4, 5)
     net.run(8.0, net.agree)
     net.write("m3", 1, "k", b"before")
@@ -267,11 +276,11 @@
     net.add("m3")
     net.write("m3", 1, "k", b"after")
     net.run(net.now + 25.0, net.agree)
-    values = {held.entry.value for machine in net.live() for held in machine.node.store.live_entries(1)}
+    values = {stored.entry.value for machine in net.live() for stored in machine.node.store.live_entries(1)}
     assert net.agree() and values == {b"after"}
 
 
-def test_one_way_cut_and_stops_cause_no_false_death() -> None:
+def test_a_one_way_cut_and_short_stops_cause_no_false_death() -> None:
     net = Network(20, 2, faults=Faults(loss=0.05))
     net.run(20.0, net.agree)
     net.cut = lambda one, other: (one, other) == ("m3", "m4")
@@ -280,17 +289,17 @@
         net.stop(f"m{net.random.randrange(20)}", 0.6)
         net.run(net.now + 5.0)
     assert not [
-        news
+        event
         for machine in net.live()
-        for _, news in machine.news
-        if getattr(getattr(news, "member", None), "state", 0) >= 2
+        for _, event in machine.news
+        if getattr(getattr(event, "member", None), "state", 0) >= 2
     ]
 
 
-# -- what follows from the registers ---------------------------------------------------------------------
+# -- reading the registers -------------------------------------------------------------------------------
 
 
-def test_one_sick_balancer_cannot_empty_healthy_servers() -> None:
+def test_verdicts_of_a_balancer_that_reports_many_destinations_are_ignored() -> None:
     store = Store("me", 1)
     for n in range(6):
         store.merge_entry(
@@ -298,12 +307,12 @@
         )
     node = Node("me", "me", [KEY], [], random.Random(1), lambda: 1e12)
     node.members.record_contact("x", "x", 1, 1, 0.0)
-    believed = registers.RegisterView(store, node.members)
-    assert not believed.verdicts(12, 1.0) and len(believed.verdicts(24, 1.0)) == 6
-    assert not believed.verdicts(24, 7.0)  # too old
+    register_view = registers.RegisterView(store, node.members)
+    assert not register_view.verdicts(12, 1.0) and len(register_view.verdicts(24, 1.0)) == 6
+    assert not register_view.verdicts(24, 7.0)  # expired
 
 
-def test_who_is_served_believes_nobody_and_ends_the_verdict() -> None:
+def test_a_balancer_that_is_served_ignores_and_contradicts_a_verdict() -> None:
     health, verdicts = HealthTracker("me"), {1: ({"x"}, set[str]()), 2: ({"x"}, {"y"})}
     assert health.update_avoided(verdicts, 10.0) == [1]
     health.record_served(1, 10.0)
@@ -312,20 +321,20 @@
     }
 
 
-def test_balancers_try_a_bad_server_again_one_after_another() -> None:
-    back = []
+def test_balancers_retry_a_bad_destination_at_different_times() -> None:
+    retried_at = []
     for n in range(8):
         health = HealthTracker(f"b{n}")
         health.update_avoided({1: ({"x"}, set())}, 0.0)
-        back.append(next(t / 10 for t in range(100) if not health.update_avoided({}, t / 10)))
-    assert len(set(back)) >= 6
+        retried_at.append(next(t / 10 for t in range(100) if not health.update_avoided({}, t / 10)))
+    assert len(set(retried_at)) >= 6
 
 
-def test_balancers_with_other_contracts_keep_to_the_stricter() -> None:
-    mine = Revision("f", "c1", {"fleet.connections": 100.0, "teams.a.connections": 50.0})
+def test_the_stricter_limits_apply_between_balancers_with_other_contracts() -> None:
+    own = Revision("f", "c1", {"fleet.connections": 100.0, "teams.a.connections": 50.0})
     other = Revision("f", "c2", {"fleet.connections": 80.0, "teams.a.connections": 60.0})
-    assert stricter_limits(mine, {"x": other}) == {"fleet.connections": 80.0}
-    assert stricter_limits(mine, {"x": Revision("f", "c1", {"fleet.connections": 1.0})}) == {}
+    assert stricter_limits(own, {"x": other}) == {"fleet.connections": 80.0}
+    assert stricter_limits(own, {"x": Revision("f", "c1", {"fleet.connections": 1.0})}) == {}
 
 
 # -- rights ----------------------------------------------------------------------------------------------
@@ -333,74 +342,82 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_rights_are_never_used_twice(seed: int) -> None:
-    """Three balancers, registers that come late, in any mix, or not for long; crashes and starts anew."""
+    """Three balancers whose registers arrive late, in any combination or not for a while, and that crash.
+
+    At each step the limits of all three together must be within the budget.
+    """
     rng = random.Random(seed)
-    names, part = ["a", "b", "c"], 20.0
+    names, share = ["a", "b", "c"], 20.0
     boots = dict.fromkeys(names, 1)
-    budgets = {name: Budget(name, part, True, 0.0) for name in names}
-    asks: dict[str, tuple[int, object]] = {}
-    seen: dict[tuple[str, str], tuple[int, object]] = {}  # (reader, writer): the ask as it has come
-    grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # (lender, borrower): boot of the lender, register
-    came: dict[tuple[str, str], tuple[int, Grant]] = {}
+    budgets = {name: Budget(name, share, True, 0.0) for name in names}
+    requests: dict[str, tuple[int, object]] = {}
+    read_requests: dict[tuple[str, str], tuple[int, object]] = {}  # by (reader, writer)
+    grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # by (lender, borrower): lender's boot and grant
+    read_grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # the same, as read by the borrower
     used = dict.fromkeys(names, 0.0)
-    peak, now = 0.0, 0.0
+    highest_limit, now = 0.0, 0.0
     cut: set[tuple[str, str]] = set()
     for _ in range(900):
         now += 0.1
         if rng.random() < 0.01:
-            cut = {(x, y) for x in names for y in names if x != y and rng.random() < 0.4}
+            cut = {
+                (sender, reader)
+                for sender in names
+                for reader in names
+                if sender != reader and rng.random() < 0.4
+            }
         if rng.random() < 0.004:
-            name = rng.choice(names)  # dies, and starts anew knowing nothing
+            name = rng.choice(names)  # crashes and restarts without any state
             boots[name] += 1
-            budgets[name], used[name] = Budget(name, part, True, now + LEASE_S), 0.0
-            seen = {key: row for key, row in seen.items() if key[0] != name}
-            came = {key: row for key, row in came.items() if key[1] != name}
-            asks.pop(name, None)
+            budgets[name], used[name] = Budget(name, share, True, now + LEASE_S), 0.0
+            read_requests = {key: row for key, row in read_requests.items() if key[0] != name}
+            read_grants = {key: row for key, row in read_grants.items() if key[1] != name}
+            requests.pop(name, None)
             grants = {key: row for key, row in grants.items() if key[0] != name}
         for name in names:
-            one = budgets[name]
+            budget = budgets[name]
             wanted = 55.0 if (int(now / 20) + names.index(name)) % 3 == 0 else rng.uniform(0.0, 12.0)
-            one.record_demand(wanted, now)
-            most = one.target(now)
-            used[name] = min(wanted, most) if used[name] <= most else max(most, used[name] - 1.0)
-            used[name] = min(used[name], one.limit(now)) if used[name] <= one.limit(now) else used[name]
+            budget.record_demand(wanted, now)
+            target = budget.target(now)
+            used[name] = min(wanted, target) if used[name] <= target else max(target, used[name] - 1.0)
+            used[name] = min(used[name], budget.limit(now)) if used[name] <= budget.limit(now) else used[name]
             for other in names:
                 if other != name and (other, name) not in cut and rng.random() < 0.3:
-                    if other in asks:
-                        seen[name, other] = asks[other]
+                    if other in requests:
+                        read_requests[name, other] = requests[other]
                     if (other, name) in grants:
-                        came[other, name] = grants[other, name]
+                        read_grants[other, name] = grants[other, name]
             for lender in names:
-                if (lender, name) in came:
-                    boot, grant = came[lender, name]
-                    one.receive_grant(lender, boot, grant, boots[name], now)
+                if (lender, name) in read_grants:
+                    boot, grant = read_grants[lender, name]
+                    budget.receive_grant(lender, boot, grant, boots[name], now)
             if rng.random() < 0.1:
-                known = {other: boots[other] for other in names if other != name}
-                asks[name] = boots[name], one.make_request(used[name], known, now)
-            mine = {other: row for (reader, other), row in seen.items() if reader == name}
-            for to, grant in one.grant_requests(mine, used[name], now).items():  # type: ignore[arg-type]
-                grants[name, to] = boots[name], grant
+                other_boots = {other: boots[other] for other in names if other != name}
+                requests[name] = boots[name], budget.make_request(used[name], other_boots, now)
+            known = {other: row for (reader, other), row in read_requests.items() if reader == name}
+            for borrower, grant in budget.grant_requests(known, used[name], now).items():  # type: ignore[arg-type]
+                grants[name, borrower] = boots[name], grant
         limits = [budgets[name].limit(now) for name in names]
-        assert sum(limits) <= 3 * part + 1e-6, (now, limits)
-        peak = max(peak, max(limits))
-    assert peak > part  # rights did move
+        assert sum(limits) <= 3 * share + 1e-6, (now, limits)
+        highest_limit = max(highest_limit, max(limits))
+    assert highest_limit > share  # rights have moved
 
 
-def test_a_starting_balancer_is_cautious_until_all_know_of_its_start() -> None:
+def test_a_starting_balancer_assumes_most_is_lent_until_all_confirm_its_start() -> None:
     budget = Budget("a", 20.0, True, LEASE_S)
     assert budget.limit(1.0) == pytest.approx(20.0 * (1.0 - MAX_LENT_FRACTION))
     other = Budget("b", 20.0, True, 0.0)
-    ask = other.make_request(0.0, {"a": 2}, 1.0)
-    budget.confirm_start({"b": ask.holdings}, 3, 1)
+    request = other.make_request(0.0, {"a": 2}, 1.0)
+    budget.confirm_start({"b": request.holdings}, 3, 1)
     assert budget.limit(1.0) < 20.0
-    budget.confirm_start({"b": ask.holdings}, 2, 1)
+    budget.confirm_start({"b": request.holdings}, 2, 1)
     assert budget.limit(1.0) == 20.0
 
 
 @pytest.mark.parametrize("first", [0, 27, 120, 1059, 1472])
-def test_courses_with_all_faults_at_once_end_in_agreement_on_what_was_written(first: int) -> None:
-    """Seeds 8, 27, 120, 1059 and 1472 once did not: members that were never told of each other."""
-    assert not [found for seed in range(first, first + 12) if (found := course(seed))]
+def test_runs_with_all_faults_at_once_end_in_agreement_on_what_was_written(first: int) -> None:
+    """With seeds 8, 27, 120, 1059 and 1472 some members never learned of each other in earlier versions."""
+    assert not [fault for seed in range(first, first + 12) if (fault := course(seed))]
 
 
 def test_no_interleaving_of_two_balancers_uses_a_right_twice() -> None:
@@ -408,32 +425,34 @@
     assert not broken and depth == 6 and states > 10_000
 
 
-def heard_from_now(budget: Budget, lender: str, boot: int, grant: Grant, mine: int, now: float) -> None:
-    """The lease counted from when its grant came, not from when it was asked for."""
+def lease_from_arrival(
+    budget: Budget, lender: str, lender_boot: int, grant: Grant, boot: int, now: float
+) -> None:
+    """Counts the lease from when its grant arrived, not from when it was requested."""
     budget.request_times[grant.request_number] = now
-    hear(budget, lender, boot, grant, mine, now)
+    receive_grant(budget, lender, lender_boot, grant, boot, now)
 
 
-hear = Budget.receive_grant
+receive_grant = Budget.receive_grant
 
 
 @pytest.mark.parametrize(
-    "what, broken_by",
+    "method, replacement",
     [
-        ("receive_grant", heard_from_now),
-        ("_settle_grants", lambda budget, name, boot, ask: budget.outstanding.pop((name, boot), None)),
+        ("receive_grant", lease_from_arrival),
+        ("_settle_grants", lambda budget, name, boot, request: budget.outstanding.pop((name, boot), None)),
         (
             "lent_amount",
             lambda budget, now: (
-                sum(max(one.amount for one in outs) for outs in budget.outstanding.values() if outs)
+                sum(max(grant.amount for grant in grants) for grants in budget.outstanding.values() if grants)
                 if now < 3.0
                 else 0.0
             ),
         ),
     ],
 )
-def test_the_search_finds_a_core_that_is_broken_on_purpose(
-    monkeypatch: pytest.MonkeyPatch, what: str, broken_by: object
+def test_the_search_finds_a_deliberately_broken_budget(
+    monkeypatch: pytest.MonkeyPatch, method: str, replacement: object
 ) -> None:
-    monkeypatch.setattr(Budget, what, broken_by)
+    monkeypatch.setattr(Budget, method, replacement)
     assert search(2, 8, 150_000)[2]
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -1,4 +1,4 @@
-"""The fleet file's checks and the commands that read it."""
+"""The validation of the fleet file, and the commands that read it."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 
 
 def folder(path: Path, mode: int = 0o600, key: bytes = b"sixteen bytes at least") -> Path:
+    """A folder with a key file."""
     (path / "key").write_bytes(key)
     (path / "key").chmod(mode)
     return path
@@ -34,13 +35,13 @@
         (("[links]", "[share]\nhealthy = true\n[links]"), "share.healthy: unknown key"),
     ],
 )
-def test_faults_name_their_key(tmp_path: Path, change: tuple[str, str], fault: str) -> None:
+def test_each_fault_starts_with_its_key_path(tmp_path: Path, change: tuple[str, str], fault: str) -> None:
     with pytest.raises(FleetFileError) as caught:
         parse(GOOD.replace(*change), folder(tmp_path))
-    assert any(one.startswith(fault) for one in caught.value.faults), caught.value.faults
+    assert any(line.startswith(fault) for line in caught.value.faults), caught.value.faults
 
 
-def test_a_key_that_others_may_read_or_that_is_short_is_refused(tmp_path: Path) -> None:
+def test_a_key_file_that_others_can_read_or_that_is_short_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(
         FleetFileError, match=r"links.key_file: .* is accessible to group or others; run chmod 600 on it"
     ):
@@ -49,28 +50,28 @@
         parse(GOOD, folder(tmp_path, key=b"short"))
 
 
-def test_the_example_is_whole_and_the_command_checks_it(tmp_path: Path) -> None:
+def test_the_example_is_valid_and_the_check_command_reads_it(tmp_path: Path) -> None:
     (folder(tmp_path) / "key").rename(tmp_path / "fleet.key")
     file = tmp_path / "fleet.toml"
     file.write_text((ROOT / "deploy" / "fleet.toml").read_text())
     assert load(file).links.period_ms == 200
     good, bad = [
         subprocess.run(
-            [sys.executable, "-m", "snowwick", "fleet", "check", str(one)],
+            [sys.executable, "-m", "snowwick", "fleet", "check", str(path)],
             cwd=ROOT,
             capture_output=True,
             text=True,
         )
-        for one in (file, tmp_path / "none")
+        for path in (file, tmp_path / "none")
     ]
     assert good.returncode == 0 and "2 seeds, 1 keys" in good.stdout
     assert bad.returncode == 2 and "cannot read" in bad.stderr
 
 
-def test_without_a_file_nothing_of_the_fleet_is_loaded() -> None:
-    words = (
+def test_no_fleet_module_is_loaded_without_a_fleet_file() -> None:
+    program = (
         "import sys, snowwick.__main__, snowwick.net.service; "
         "print([m for m in sys.modules if 'fleet' in m or 'msgspec' in m or 'snowwick.lab' in m])"
     )
-    said = subprocess.run([sys.executable, "-c", words], cwd=ROOT, capture_output=True, text=True)
-    assert said.stdout.strip() == "[]", said.stderr
+    result = subprocess.run([sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True)
+    assert result.stdout.strip() == "[]", result.stderr
--- a/tests/test_fleet_net.py
+++ b/tests/test_fleet_net.py
@@ -1,4 +1,4 @@
-"""Several real balancers with faults between them."""
+"""Several real balancer processes with faults on the links between them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from snowwick.lab.rig import Fleet
 
 
-def test_cut_in_two_halves_and_healed_all_copies_agree(tmp_path: Path) -> None:
+def test_copies_agree_after_a_partition_has_healed(tmp_path: Path) -> None:
     with Fleet(tmp_path, 4) as fleet:
         fleet.start()
         fleet.until(fleet.joined)
@@ -19,37 +19,37 @@
         fleet.heal()
         assert fleet.until(fleet.joined) < 3.0
         fleet.until(lambda: all(fleet.status(n)["held_elsewhere"] == 3 for n in range(4)))
-        assert all(one.finals[0].startswith(b"UP") for one in answers)
+        assert all(answer.finals[0].startswith(b"UP") for answer in answers)
 
 
-def test_one_way_cut_leaves_no_false_death(tmp_path: Path) -> None:
+def test_no_member_is_declared_dead_by_a_one_way_cut(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.start()
         fleet.until(fleet.joined)
         fleet.cut((0, 1))
         fleet.turn(3.0)
-        assert fleet.joined() and "is dead" not in "".join(one.log for one in fleet.balancers)
+        assert fleet.joined() and "is dead" not in "".join(balancer.log for balancer in fleet.balancers)
 
 
-def test_a_hanging_server_found_by_one_is_left_by_all(tmp_path: Path) -> None:
+def test_all_balancers_avoid_a_hanging_destination_that_one_has_found(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3, nodes=2) as fleet:
         fleet.start()
         fleet.until(fleet.joined)
         fleet.until(lambda: all(fleet.status(n)["list_version"] >= 3 for n in range(3)))
-        bad = fleet.nodes[0]
-        bad.mode = "hang"
-        for n in range(8):  # by their keys about half go there
+        hanging = fleet.nodes[0]
+        hanging.mode = "hang"
+        for n in range(8):  # their keys send about half of them to the hanging destination
             fleet.ask(0, key=f"c{n}")
         fleet.answered()
         fleet.until(lambda: all(fleet.status(n)["kept_away_from"] for n in (1, 2)))
-        before = len(bad.opened)
-        late = [fleet.ask(n, key=f"d{k}") for n in (1, 2) for k in range(8)]
-        fleet.answered(*late)
-        assert all(one.finals[0].startswith(b"UP") for one in late)
-        assert len(bad.opened) == before
+        opened_before = len(hanging.opened)
+        answers = [fleet.ask(n, key=f"d{client}") for n in (1, 2) for client in range(8)]
+        fleet.answered(*answers)
+        assert all(answer.finals[0].startswith(b"UP") for answer in answers)
+        assert len(hanging.opened) == opened_before
 
 
-def test_killed_and_returned_it_catches_up(tmp_path: Path) -> None:
+def test_a_killed_balancer_catches_up_after_its_restart(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.start()
         fleet.until(fleet.joined)
@@ -63,29 +63,32 @@
         fleet.answered(fleet.ask(2))
 
 
-def test_a_newer_list_known_to_one_is_obeyed_by_all_and_sent_to_by_none(tmp_path: Path) -> None:
-    """Discovery is down for two: what the third's list says to leave is left, what is new is not used."""
+def test_a_newer_list_at_one_balancer_drains_destinations_at_all_and_adds_none(tmp_path: Path) -> None:
+    """Two balancers get no new list from discovery; the third one's list drains one destination and adds one.
+
+    The two drain the destination as well, but do not use the added one.
+    """
     with Fleet(tmp_path, 3, nodes=2) as fleet:
         fleet.start()
         fleet.until(lambda: fleet.joined() and all(fleet.status(n)["list_version"] >= 3 for n in range(3)))
         version = fleet.discovery.version
         fleet.discovery.stale = {"b1": version, "b2": version}
-        gone = fleet.nodes[0]
-        fleet.discovery.put(gone.id, gone.address, "terminating")
-        fresh = fleet.node("s-new")
+        drained = fleet.nodes[0]
+        fleet.discovery.put(drained.id, drained.address, "terminating")
+        added = fleet.node("s-new")
         fleet.until(
             lambda: all(
                 "another balancer has a newer list than version" in fleet.balancers[n].log for n in (1, 2)
             )
         )
-        before = len(gone.opened)
-        some = [fleet.ask(n, key=f"d{k}") for n in (1, 2) for k in range(6)]
-        fleet.answered(*some)
-        assert all(one.finals[0].startswith(b"UP s-1") for one in some)
-        assert len(gone.opened) == before and not fresh.opened
+        opened_before = len(drained.opened)
+        answers = [fleet.ask(n, key=f"d{client}") for n in (1, 2) for client in range(6)]
+        fleet.answered(*answers)
+        assert all(answer.finals[0].startswith(b"UP s-1") for answer in answers)
+        assert len(drained.opened) == opened_before and not added.opened
 
 
-def test_corrupting_doubling_and_reordering_links_change_nothing_for_clients(tmp_path: Path) -> None:
+def test_corrupted_duplicated_and_reordered_frames_do_not_affect_clients(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         for link in fleet.links.values():
             link.corrupt, link.double, link.loss, link.delay = 0.2, 0.2, 0.1, 0.15
@@ -96,10 +99,10 @@
         fleet.answered()
         fleet.until(lambda: all(fleet.status(n)["held_elsewhere"] == 6 for n in range(3)))
         assert all(fleet.status(n)["dropped"]["digest"] for n in range(3))
-        assert "fault" not in "".join(one.log for one in fleet.balancers)
+        assert "fault" not in "".join(balancer.log for balancer in fleet.balancers)
 
 
-def test_one_with_a_wrong_key_stays_outside_and_serves(tmp_path: Path) -> None:
+def test_a_balancer_with_a_wrong_key_stays_outside_the_fleet_and_serves(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.key(2, b"another key altogether")
         fleet.start()
@@ -109,7 +112,7 @@
         fleet.answered(*[fleet.ask(n) for n in range(3)])
 
 
-def test_the_younger_of_two_with_one_name_leaves_and_serves_alone(tmp_path: Path) -> None:
+def test_the_younger_of_two_balancers_with_one_name_leaves_the_fleet_and_serves(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.start(0, 1)
         fleet.until(lambda: fleet.joined(0, 1))
@@ -121,7 +124,7 @@
         fleet.answered(*[fleet.ask(n) for n in range(3)])
 
 
-def test_stopped_for_five_seconds_and_a_clock_ten_minutes_ahead(tmp_path: Path) -> None:
+def test_a_balancer_stopped_for_five_seconds_rejoins_beside_a_clock_ten_minutes_ahead(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.start(0, 1)
         fleet.start(2, skew=600.0)
@@ -136,11 +139,11 @@
         fleet.until(lambda: [fleet.status(n)["held_elsewhere"] for n in range(3)] == [2, 2, 2])
 
 
-def test_all_restarted_one_after_another(tmp_path: Path) -> None:
+def test_a_rolling_restart_moves_connections_and_breaks_none(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.start()
         fleet.until(fleet.joined)
-        kept = [fleet.ask(n) for n in range(3)]
+        connections = [fleet.ask(n) for n in range(3)]
         fleet.answered()
         for n in range(3):
             fleet.signal(n, signal.SIGTERM)
@@ -148,12 +151,12 @@
             fleet.until(lambda process=process: process.poll() is not None)  # type: ignore[misc]
             fleet.start(n)
             fleet.until(fleet.joined)
-        assert all(one.moved and not one.broken for one in kept)
+        assert all(connection.moved and not connection.broken for connection in connections)
         assert all("is left" in fleet.balancers[0].log or n == 0 for n in range(3))
         fleet.answered(*[fleet.ask(n) for n in range(3)])
 
 
-def test_keys_are_changed_without_a_break(tmp_path: Path) -> None:
+def test_keys_are_replaced_without_dropping_frames(tmp_path: Path) -> None:
     with Fleet(tmp_path, 2) as fleet:
         for n in range(2):
             fleet.key(n, b"the key of this fleet", "old")
@@ -187,41 +190,53 @@
 """
 
 
-def test_a_budget_goes_where_it_is_asked_for_and_is_never_passed(tmp_path: Path) -> None:
-    """Asked for at one balancer only, then, across a cut, at the other; counted at the nodes."""
+def test_a_budget_moves_to_the_balancer_that_needs_it_and_is_never_exceeded(tmp_path: Path) -> None:
+    """Clients connect to one balancer only, then, during a partition, to the other one.
+
+    The connections are counted at the destination, so that the budget is checked over both balancers.
+    """
     with Fleet(tmp_path, 2, nodes=1, contracts=CONTRACTS) as fleet:
         fleet.start()
         fleet.until(fleet.joined)
         (node,) = fleet.nodes
-        most = 0
+        most_connections = 0
 
-        def crowd(n: int, wanted: int) -> bool:
-            """Clients come and come again until so many stand there."""
-            nonlocal most
-            mine = [one for one in fleet.answers if one.front == n and not one.ended]
-            if len(mine) < wanted:
+        def connect_until(n: int, wanted: int) -> bool:
+            """Open one more connection at balancer ``n``; whether ``wanted`` are established there."""
+            nonlocal most_connections
+            open_here = [answer for answer in fleet.answers if answer.front == n and not answer.ended]
+            if len(open_here) < wanted:
                 fleet.ask(n)
                 fleet.turn(0.05)
-            most = max(most, node.standing)
-            assert most <= 20
-            return sum(bool(one.finals and one.finals[0].startswith(b"UP")) for one in mine) >= wanted
+            most_connections = max(most_connections, node.standing)
+            assert most_connections <= 20
+            return (
+                sum(bool(answer.finals and answer.finals[0].startswith(b"UP")) for answer in open_here)
+                >= wanted
+            )
 
-        fleet.until(lambda: crowd(0, 18))
+        fleet.until(lambda: connect_until(0, 18))
         fleet.halves([0])
-        fleet.until(lambda: crowd(1, 10), 30.0)
-        fleet.until(lambda: crowd(0, 10) and not crowd(0, 11), 30.0)
-        assert most > 16
-        ended = [one for one in fleet.answers if one.finals and one.finals[0].startswith(b"UP") and one.ended]
-        assert ended and all(one.moved for one in ended)
-
-
-def test_of_two_contracts_the_stricter_limit_holds_at_both(tmp_path: Path) -> None:
+        fleet.until(lambda: connect_until(1, 10), 30.0)
+        fleet.until(lambda: connect_until(0, 10) and not connect_until(0, 11), 30.0)
+        assert most_connections > 16
+        ended = [
+            answer
+            for answer in fleet.answers
+            if answer.finals and answer.finals[0].startswith(b"UP") and answer.ended
+        ]
+        assert ended and all(answer.moved for answer in ended)
+
+
+def test_the_stricter_of_two_contracts_applies_at_both_balancers(tmp_path: Path) -> None:
     with Fleet(tmp_path, 2, nodes=1, contracts=CONTRACTS) as fleet:
         (fleet.balancers[1].folder / "contracts.toml").write_text(
             CONTRACTS.replace("connections = 20", "connections = 8")
         )
         fleet.start()
-        fleet.until(lambda: fleet.joined() and all("other contracts" in one.log for one in fleet.balancers))
+        fleet.until(
+            lambda: fleet.joined() and all("other contracts" in balancer.log for balancer in fleet.balancers)
+        )
         fleet.until(
             lambda: sum(fleet.status(n)["rights"].get("fleet.connections", 99.0) for n in range(2)) <= 8.0
         )
