--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -17,9 +17,9 @@
 from snowwick.fleet.rights import LEASE_S, MAX_LENT_FRACTION, Budget, Grant
 from snowwick.fleet.store import TOMBSTONE_S, Store
 from snowwick.fleet.wire import Entry, Frame, FrameDropped, OwnerSummary, Ping, ReplayFilter, ReplayWindow
-from snowwick.lab.interleavings import search
-from snowwick.lab.network import KEY, Faults, Network
-from snowwick.lab.search import course
+from snowwick.lab.interleavings import explore
+from snowwick.lab.network import FLEET_KEY, LinkFaults, Network
+from snowwick.lab.search import run_schedule
 
 
 def frame(
@@ -34,7 +34,7 @@
 
 @given(st.binary(max_size=wire.MAX_FRAME_BYTES + 10))
 def test_no_datagram_raises_an_exception(data: bytes) -> None:
-    node = Node("b", "b", [KEY], [], random.Random(1), lambda: 1e12)
+    node = Node("b", "b", [FLEET_KEY], [], random.Random(1), lambda: 1e12)
     node.receive(data, 1.0)
     assert sum(node.counts.dropped.values()) == 1
 
@@ -47,23 +47,23 @@
     )
 )
 def test_no_message_under_a_valid_key_raises_an_exception(message: object) -> None:
-    node = Node("b", "b", [KEY], [], random.Random(1), lambda: 1e12)
+    node = Node("b", "b", [FLEET_KEY], [], random.Random(1), lambda: 1e12)
     try:
         data = bytes([wire.VERSION]) + msgspec.msgpack.encode(message)
     except OverflowError:
         return
-    node.receive(data[:1] + wire.keyed_digest(KEY, data) + data[1:], 1.0)
+    node.receive(data[:1] + wire.keyed_digest(FLEET_KEY, data) + data[1:], 1.0)
     assert not node.members.records
 
 
 @given(st.integers(0, 10**6), st.data())
 def test_one_changed_bit_drops_the_frame(seed: int, data: st.DataObject) -> None:
-    sealed = wire.seal(frame(seq=seed), KEY)
+    sealed = wire.seal(frame(seq=seed), FLEET_KEY)
     bit = data.draw(st.integers(8, 8 * len(sealed) - 1))
     changed = bytearray(sealed)
     changed[bit // 8] ^= 1 << bit % 8
     with pytest.raises(FrameDropped, match="digest"):
-        wire.unseal(bytes(changed), [KEY])
+        wire.unseal(bytes(changed), [FLEET_KEY])
 
 
 def test_old_and_new_key_are_accepted_while_keys_are_replaced() -> None:
@@ -232,66 +232,76 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_copies_agree_after_loss_duplication_corruption_and_a_partition(seed: int) -> None:
-    net = Network(6, seed, faults=Faults(loss=0.1, double=0.1, corrupt=0.05, most=0.15))
-    net.run(10.0, net.agree)
-    net.halves(["m0", "m1", "m2"])
+    net = Network(
+        6,
+        seed,
+        faults=LinkFaults(
+            loss_probability=0.1, duplicate_probability=0.1, corruption_probability=0.05, max_delay_s=0.15
+        ),
+    )
+    net.run(10.0, net.has_converged)
+    net.partition(["m0", "m1", "m2"])
     for n in range(6):
         net.write(f"m{n}", 1, "k", b"%d" % n)
     net.run(net.now + 12.0)
     net.kill("m4")
     net.run(net.now + 3.0)
-    net.add("m4")
+    net.start_machine("m4")
     net.write("m4", 1, "k", b"anew")
     net.write("m0", 1, "k", None)
     net.heal()
     healed_at = net.now
-    net.run(healed_at + 20.0, net.agree)
-    assert net.agree() and net.now < healed_at + 10.0
-    assert all(machine.node.counts.dropped["digest"] for machine in net.live())
+    net.run(healed_at + 20.0, net.has_converged)
+    assert net.has_converged() and net.now < healed_at + 10.0
+    assert all(machine.node.counts.dropped["digest"] for machine in net.running_machines())
 
 
 def test_a_stopped_machine_recovers_and_a_wrong_clock_has_no_effect() -> None:
     net = Network(5, 3)
     net.machines["m1"].skew_ms = 600_000.0
-    net.run(8.0, net.agree)
-    net.stop("m2", 5.0)
+    net.run(8.0, net.has_converged)
+    net.pause("m2", 5.0)
     net.write("m1", 1, "k", b"1")
     net.write("m0", 1, "k", b"0")
     net.run(net.now + 12.0)
-    assert net.agree()
+    assert net.has_converged()
     assert all(
         machine.node.clock.last >> LOGICAL_BITS < 1_700_000_000_000 + 60_000
-        for machine in net.live()
+        for machine in net.running_machines()
         if machine.name != "m1"
     )
 
 
 def test_a_restart_after_the_clock_went_back_continues_from_the_earlier_start() -> None:
     net = Network(4, 5)
-    net.run(8.0, net.agree)
+    net.run(8.0, net.has_converged)
     net.write("m3", 1, "k", b"before")
     net.run(net.now + 2.0)
     net.kill("m3")
     net.machines["m3"].skew_ms = -3_600_000.0
-    net.add("m3")
+    net.start_machine("m3")
     net.write("m3", 1, "k", b"after")
-    net.run(net.now + 25.0, net.agree)
-    values = {stored.entry.value for machine in net.live() for stored in machine.node.store.live_entries(1)}
-    assert net.agree() and values == {b"after"}
+    net.run(net.now + 25.0, net.has_converged)
+    values = {
+        stored.entry.value
+        for machine in net.running_machines()
+        for stored in machine.node.store.live_entries(1)
+    }
+    assert net.has_converged() and values == {b"after"}
 
 
 def test_a_one_way_cut_and_short_stops_cause_no_false_death() -> None:
-    net = Network(20, 2, faults=Faults(loss=0.05))
-    net.run(20.0, net.agree)
-    net.cut = lambda one, other: (one, other) == ("m3", "m4")
+    net = Network(20, 2, faults=LinkFaults(loss_probability=0.05))
+    net.run(20.0, net.has_converged)
+    net.is_cut = lambda one, other: (one, other) == ("m3", "m4")
     end = net.now + 60.0
     while net.now < end:
-        net.stop(f"m{net.random.randrange(20)}", 0.6)
+        net.pause(f"m{net.rng.randrange(20)}", 0.6)
         net.run(net.now + 5.0)
     assert not [
         event
-        for machine in net.live()
-        for _, event in machine.news
+        for machine in net.running_machines()
+        for _, event in machine.node_events
         if getattr(getattr(event, "member", None), "state", 0) >= 2
     ]
 
@@ -305,7 +315,7 @@
         store.merge_entry(
             Entry("x", 1, n + 1, registers.HEALTH, str(n), registers.pack(registers.HANGING), 0, 6000), 0.0
         )
-    node = Node("me", "me", [KEY], [], random.Random(1), lambda: 1e12)
+    node = Node("me", "me", [FLEET_KEY], [], random.Random(1), lambda: 1e12)
     node.members.record_contact("x", "x", 1, 1, 0.0)
     register_view = registers.RegisterView(store, node.members)
     assert not register_view.verdicts(12, 1.0) and len(register_view.verdicts(24, 1.0)) == 6
@@ -417,11 +427,11 @@
 @pytest.mark.parametrize("first", [0, 27, 120, 1059, 1472])
 def test_runs_with_all_faults_at_once_end_in_agreement_on_what_was_written(first: int) -> None:
     """With seeds 8, 27, 120, 1059 and 1472 some members never learned of each other in earlier versions."""
-    assert not [fault for seed in range(first, first + 12) if (fault := course(seed))]
+    assert not [fault for seed in range(first, first + 12) if (fault := run_schedule(seed))]
 
 
 def test_no_interleaving_of_two_balancers_uses_a_right_twice() -> None:
-    states, depth, broken = search(2, 6, 100_000)
+    states, depth, broken = explore(2, 6, 100_000)
     assert not broken and depth == 6 and states > 10_000
 
 
@@ -455,4 +465,4 @@
     monkeypatch: pytest.MonkeyPatch, method: str, replacement: object
 ) -> None:
     monkeypatch.setattr(Budget, method, replacement)
-    assert search(2, 8, 150_000)[2]
+    assert explore(2, 8, 150_000)[2]
