--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -219,6 +219,7 @@
             self._send_to_member(name, wire.Ping(number, record.state == SUSPECT), now)
 
     def _send_to_member(self, name: str, body: wire.Body, now: float) -> None:
+        """Send a frame to the start of a member that is on record; unknown members are ignored."""
         record = self.members.records.get(name)
         if record is not None:
             self._send_frame(record.address, name, record.boot, body, now)
@@ -398,6 +399,7 @@
         self._send_to_member(frame.sender, wire.Ack(body.number), now)
 
     def _on_ack(self, frame: Frame, body: wire.Ack, now: float) -> None:
+        """Record the ack of the active probe, or forward the ack of an indirect probe to its requester."""
         relayed = self.members.relayed_probes.pop(body.number, None) if body.number else None
         if relayed is not None:
             self._send_to_member(relayed[0], wire.Ack(relayed[1]), now)
@@ -410,6 +412,7 @@
             self.members.probe_acked(body.number)
 
     def _on_ping_req(self, frame: Frame, body: wire.PingReq, now: float) -> None:
+        """Ping a member for the sender, and remember whom to answer until half a period from now."""
         self.members.last_probe_number += 1
         self.members.relayed_probes[self.members.last_probe_number] = (
             frame.sender,
@@ -424,6 +427,7 @@
     # -- anti-entropy ------------------------------------------------------------------------------------
 
     def _on_root_hash(self, frame: Frame, body: wire.RootHash, now: float) -> None:
+        """Answer a differing root hash with range hashes, or with all summaries where there is one range."""
         if body.hash == self.store.root_hash():
             self._mark_caught_up(now)
             return
@@ -434,6 +438,7 @@
             self._send_vector(frame.sender, self.store.summaries(), True, now, 1, [0])
 
     def _on_range_hashes(self, frame: Frame, body: wire.RangeHashes, now: float) -> None:
+        """Answer with the summaries of the owners in some of the differing ranges."""
         count = len(body.hashes)
         if not 1 <= count <= 1 << 16:
             return
@@ -470,6 +475,7 @@
         )
 
     def _on_version_vector(self, frame: Frame, body: wire.VersionVector, now: float) -> None:
+        """Send the own summaries where they are asked for, and pull what is missing here."""
         if body.wants_reply:
             listed = {summary.owner for summary in body.summaries}
             reply = [owner.summary(name) for name, owner in self.store.owners.items() if name in listed]
@@ -499,6 +505,7 @@
             self._send_to_member(peer, wire.PullRequest(summary.owner, summary.epoch, after, full), now)
 
     def _on_pull_request(self, frame: Frame, body: wire.PullRequest, now: float) -> None:
+        """Send the next entries of the requested owner."""
         room = wire.MAX_FRAME_BYTES - 260 - len(self.name) - 2 * len(body.owner)
         found = self.store.entries_after(body.owner, body.epoch, body.after, room, now)
         if found is not None:
@@ -509,6 +516,7 @@
             )
 
     def _on_pull_reply(self, frame: Frame, body: wire.PullReply, now: float) -> None:
+        """Merge the entries of an active pull and request the rest, or end the pull."""
         name, summary = body.summary.owner, body.summary
         pull = self.pulls.get(name)
         if name == self.name or not self.members.is_member(name) or pull is None or pull.peer != frame.sender:
@@ -534,6 +542,7 @@
             self._start_pull(frame.sender, summary, now)
 
     def _mark_caught_up(self, now: float) -> None:
+        """Report once that this balancer has caught up."""
         if not self.caught_up and self.started_at is not None:
             self.caught_up = True
             self.events.append(CaughtUp(now - self.started_at))
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -647,7 +647,7 @@
             ],
             [
                 "a round of probes",
-                "`members.Members._turn`",
+                "`members.Membership._next_probe_target`",
                 f"{shown(n * PERIOD, 's')} until a member has probed each other once; how often a "
                 f"given one is "
                 "probed by anybody does not depend on the size",
@@ -672,7 +672,7 @@
             ],
             [
                 "reading the registers",
-                "`net/fleet.py` (SHARE), `store.Store.standing`",
+                "`net/fleet.py` (SHARE), `store.Store.live_entries`",
                 "all of everybody's, four times a second, however rarely they are written",
                 _reading(model),
             ],
