--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""How the loop's turns carry mail."""
+"""How messages are delivered within a turn of the event loop."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 from snowwick.net.loop import MAX_MAIL_ROUNDS, Actor, Coroutine, Loop, Wait
 
 
-class Relay(Actor):
-    """Passes each message on to the next actor, as the two ends of a connection do."""
+class ForwardingActor(Actor):
+    """Forwards each message to another actor, as the two sides of a connection do."""
 
     def __init__(self, loop: Loop, sock: socket.socket | None = None) -> None:
         super().__init__(loop)
-        self.sock, self.next, self.seen = sock, self, 0
+        self.sock, self.target, self.message_count = sock, self, 0
 
     def run(self) -> Coroutine:
         while True:
             yield Wait(self.sock, read=self.sock is not None)
             for message in self.take_messages() if self.sock is None else [self.sock.recv(16)]:
-                self.seen += 1
-                if self.next is not self:
-                    self.next.post(message)
+                self.message_count += 1
+                if self.target is not self:
+                    self.target.post(message)
 
 
-def test_a_line_passes_to_the_other_side_in_the_turn_in_which_it_came() -> None:
+def test_line_reaches_the_other_side_in_the_turn_in_which_it_arrives() -> None:
     loop = Loop()
-    near, far = socket.socketpair()
-    with near, far:
-        first, second = Relay(loop, near), Relay(loop)
-        first.next = second
+    near_end, far_end = socket.socketpair()
+    with near_end, far_end:
+        first, second = ForwardingActor(loop, near_end), ForwardingActor(loop)
+        first.target = second
         for actor in (first, second):
             actor.start()
         loop.run_once(0.0)
-        far.send(b"line\r\n")
+        far_end.send(b"line\r\n")
         loop.run_once(1.0)
-        assert second.seen == 1
+        assert second.message_count == 1
         loop.close()
 
 
-def test_actors_that_write_to_each_other_without_end_do_not_keep_the_sockets_waiting() -> None:
+def test_actors_that_post_to_each_other_without_end_do_not_starve_the_sockets() -> None:
     loop = Loop()
-    one, two = Relay(loop), Relay(loop)
-    one.next, two.next = two, one
-    for actor in (one, two):
+    first, second = ForwardingActor(loop), ForwardingActor(loop)
+    first.target, second.target = second, first
+    for actor in (first, second):
         actor.start()
     loop.run_once(0.0)
-    one.post("again")
+    first.post("again")
     loop.run_once(0.0)
-    assert one.seen + two.seen == MAX_MAIL_ROUNDS
+    assert first.message_count + second.message_count == MAX_MAIL_ROUNDS
     loop.close()
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""What a wait costs beside many others, and when it ends."""
+"""The cost of a timer among many others, and when it fires."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from snowwick.net.timers import Timers
 
-LINES = 2000
+RESET_COUNT = 2000
 
 
 class Clock:
@@ -19,12 +19,12 @@
         return self.now
 
 
-def test_waits_fire_in_order_never_late_and_not_once_cancelled() -> None:
+def test_timers_fire_in_order_never_late_and_not_after_cancellation() -> None:
     clock, fired = Clock(), list[str]()
     timers: Timers[str] = Timers(clock, fired.append)
     slots = {
-        who: timers.set(until, who)
-        for who, until in [("b", 100.5), ("a", 100.25), ("c", 100.5), ("past", 90.0), ("d", 100.7)]
+        waiter: timers.set(deadline, waiter)
+        for waiter, deadline in [("b", 100.5), ("a", 100.25), ("c", 100.5), ("past", 90.0), ("d", 100.7)]
     }
     assert timers.run() == pytest.approx(0.25, abs=1e-6) and fired == ["past"]
     timers.cancel(slots["c"], "c")
@@ -36,28 +36,28 @@
     assert not timers.slots and timers.scheduler.empty()
 
 
-def test_far_wait_ends_late_by_a_slot_at_most_and_shares_its_event() -> None:
-    """Each emptied slot wakes the loop: at a thousand lines a second, a thousand times for nothing."""
+def test_distant_timer_fires_at_most_one_slot_late_and_shares_its_event() -> None:
+    """Each emptied slot wakes the loop: at 1,000 lines per second, 1,000 useless wake-ups per second."""
     clock, fired = Clock(), list[int]()
     timers: Timers[int] = Timers(clock, fired.append)
-    for who in range(1000):
-        timers.set(105.5 + 0.001 * who, who)
+    for waiter in range(1000):
+        timers.set(105.5 + 0.001 * waiter, waiter)
     assert len(timers.slots) <= 21
     for _ in range(1000):
         clock.now += 0.007
         timers.run()
-        for who in fired:
-            assert 0.0 <= clock.now - (105.5 + 0.001 * who) <= 0.0571
+        for waiter in fired:
+            assert 0.0 <= clock.now - (105.5 + 0.001 * waiter) <= 0.0571
         fired.clear()
     assert not timers.slots
 
 
-def test_wait_set_while_others_fire_is_not_lost() -> None:
+def test_timer_set_while_others_fire_is_not_lost() -> None:
     clock, fired = Clock(), list[str]()
 
-    def fire(who: str) -> None:
-        fired.append(who)
-        if who == "a":
+    def fire(waiter: str) -> None:
+        fired.append(waiter)
+        if waiter == "a":
             timers.set(100.0, "at once")
 
     timers: Timers[str] = Timers(clock, fire)
@@ -66,42 +66,46 @@
     assert timers.run() is None and fired == ["a", "b", "at once"]
 
 
-def comparisons(standing: int, monkeypatch: pytest.MonkeyPatch) -> tuple[float, float]:
-    """How often the library compares two events: for a wait cancelled and set anew, and for one fired."""
-    counted = 0
+def count_comparisons(timer_count: int, monkeypatch: pytest.MonkeyPatch) -> tuple[float, float]:
+    """Returns how often the scheduler compares events, per timer that is reset and per timer that fires."""
+    comparison_count = 0
 
     class Event(sched.Event):  # type: ignore[misc, name-defined, unused-ignore]
         def __lt__(self, other: Any) -> bool:
-            nonlocal counted
-            counted += 1
+            nonlocal comparison_count
+            comparison_count += 1
             return tuple.__lt__(self, other)
 
         def __eq__(self, other: object) -> bool:
-            nonlocal counted
-            counted += 1
+            nonlocal comparison_count
+            comparison_count += 1
             return tuple.__eq__(self, other)
 
     monkeypatch.setattr(sched, "Event", Event)
     clock, fired = Clock(), list[int]()
     timers: Timers[int] = Timers(clock, fired.append)
-    waits = {who: timers.set(clock.now + 7.0 * who / standing, who) for who in range(standing)}
-    counted = 0
-    for line in range(LINES):
-        who = (line * 7919) % standing
-        timers.cancel(waits[who], who)
-        waits[who] = timers.set(clock.now + 7.0 + 0.0005 * line, who)
-    changed, counted = counted / LINES, 0
+    slots = {
+        waiter: timers.set(clock.now + 7.0 * waiter / timer_count, waiter) for waiter in range(timer_count)
+    }
+    comparison_count = 0
+    for n in range(RESET_COUNT):
+        waiter = (n * 7919) % timer_count
+        timers.cancel(slots[waiter], waiter)
+        slots[waiter] = timers.set(clock.now + 7.0 + 0.0005 * n, waiter)
+    per_reset, comparison_count = comparison_count / RESET_COUNT, 0
     clock.now += 9.0
     timers.run()
-    assert len(fired) == standing
-    return changed, counted / standing
+    assert len(fired) == timer_count
+    return per_reset, comparison_count / timer_count
 
 
-def test_a_lines_wait_costs_the_same_however_many_stand(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The library's own cancel searched and sorted the whole queue, at 4,000 connections thousands of events.
+def test_cost_of_resetting_a_timer_does_not_depend_on_the_number_of_timers(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """``sched.cancel`` searches and sorts the whole queue, thousands of events at 4,000 connections.
 
-    Firing takes a heap's depth at most: no more events than milliseconds in the longest wait.
+    Firing costs at most the depth of the heap, which has no more events than the longest wait has ms.
     """
-    few, many = comparisons(1_000, monkeypatch), comparisons(100_000, monkeypatch)
+    few, many = count_comparisons(1_000, monkeypatch), count_comparisons(100_000, monkeypatch)
     assert many[0] <= 1.15 * few[0] + 0.01 and many[0] < 2.0, (few, many)
     assert many[1] <= few[1] < 2 * 14, (few, many)
