--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process, and its configuration."""
+"""The program as a process, its configuration and its signals."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from snowwick.config import BadConfig, check, load
 
 ROOT = Path(__file__).parent.parent
-# What the decision module may import: no sockets, files, processes, threads or clocks.
+# What the decision module may import: nothing for sockets, files, processes, threads or clocks
 DECISION_IMPORTS = {
     "__future__",
     "bisect",
@@ -35,26 +35,26 @@
     "enum",
     "hashlib",
     "math",
-    "random",  # of a seeded generator only
+    "random",  # for seeded generators only
     "typing",
 }
 GOOD: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
 
 
 class Process(subprocess.Popen[str]):
-    """Ends with a test that fails: waiting for it, as the library does, would hold the whole run up."""
+    """Killed if the test fails. The library would wait for the process and so block the test run."""
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, error_type: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        if kind is not None:
+        if error_type is not None:
             self.kill()
-        super().__exit__(kind, error, trace)
+        super().__exit__(error_type, error, trace)
 
 
-def python(*words: str, **environment: str) -> Process:
+def python(*arguments: str, **environment: str) -> Process:
     return Process(
-        [sys.executable, *words],
+        [sys.executable, *arguments],
         cwd=ROOT,
         text=True,
         env={**os.environ, **environment},
@@ -69,20 +69,20 @@
 
 
 def address_in(stream: IO[str] | None) -> str:
-    """The address at the end of the line that a program prints once it serves."""
+    """Return the address at the end of the next line, which a program prints once it serves."""
     assert stream is not None
     return stream.readline().split()[-1]
 
 
-def test_planned_end_moves_all_clients_and_answers_who_still_comes(tmp_path: Path) -> None:
-    """SIGKILL follows SIGTERM after the longest deadline and 0.7 s: who is still held then is lost."""
+def test_drain_moves_all_clients_and_answers_late_requests(tmp_path: Path) -> None:
+    """SIGKILL follows SIGTERM after the longest deadline and 0.7 s. Connections still open then are lost."""
     servers, path = open_listener(), tmp_path / "config.json"
     servers.settimeout(5.0)
     known = {"version": 1, "full": True, "servers": [World.list_entry("s-1", servers)]}
     path.write_text(json.dumps({**GOOD, "known": known}))
     with program(path) as process:
-        where = address_in(process.stderr).split(":")
-        client = socket.create_connection((where[0], int(where[1])), 5.0)
+        address_parts = address_in(process.stderr).split(":")
+        client = socket.create_connection((address_parts[0], int(address_parts[1])), 5.0)
         client.sendall(b"OPEN 1 k1 d=1200,c=feed,t=n\r\n")
         destination = servers.accept()[0]
         destination.settimeout(5.0)
@@ -91,7 +91,7 @@
         assert client.recv(4096) == b"UP r\r\n"
         process.send_signal(signal.SIGTERM)
         told = time.monotonic()
-        late = socket.create_connection((where[0], int(where[1])), 5.0)
+        late = socket.create_connection((address_parts[0], int(address_parts[1])), 5.0)
         assert client.recv(4096) == b"MOVE\r\n" and client.recv(4096) == b""
         assert destination.recv(4096) == b""
         late.sendall(b"OPEN 2 k2 d=1200,c=feed,t=n\r\n")
@@ -134,50 +134,50 @@
         check({**GOOD, **change})
 
 
-def test_environment_goes_over_the_file(tmp_path: Path) -> None:
+def test_environment_overrides_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
-    one = load({"GW_CONFIG": str(path), "GW_NAME": "n3", "GW_LISTEN": "127.0.0.2:9"})
-    assert (one.name, one.listen, one.discovery) == ("n3", ("127.0.0.2", 9), ("127.0.0.1", 1))
+    loaded = load({"GW_CONFIG": str(path), "GW_NAME": "n3", "GW_LISTEN": "127.0.0.2:9"})
+    assert (loaded.name, loaded.listen, loaded.discovery) == ("n3", ("127.0.0.2", 9), ("127.0.0.1", 1))
     with pytest.raises(BadConfig, match="GW_CONFIG"):
         load({})
 
 
-def test_bad_configuration_ends_the_program_with_one_message(tmp_path: Path) -> None:
+def test_bad_configuration_ends_the_program_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text('{"listen": "127.0.0.1:0"}')
     with program(path) as process:
-        _, said = process.communicate(timeout=20.0)
-    assert process.returncode == 2 and said.count("\n") == 1 and "settings" in said
+        _, output = process.communicate(timeout=20.0)
+    assert process.returncode == 2 and output.count("\n") == 1 and "settings" in output
 
 
-def test_taken_address_is_named(tmp_path: Path) -> None:
-    taken, path = open_listener(), tmp_path / "config.json"
-    path.write_text(json.dumps({**GOOD, "listen": address_of(taken)}))
+def test_address_in_use_is_named(tmp_path: Path) -> None:
+    occupied, path = open_listener(), tmp_path / "config.json"
+    path.write_text(json.dumps({**GOOD, "listen": address_of(occupied)}))
     with program(path) as process:
-        _, said = process.communicate(timeout=20.0)
-    taken.close()
-    assert process.returncode != 0 and said.startswith("snowwick: listen") and "Traceback" not in said
+        _, output = process.communicate(timeout=20.0)
+    occupied.close()
+    assert process.returncode != 0 and output.startswith("snowwick: listen") and "Traceback" not in output
 
 
-def serves_until_told(process: subprocess.Popen[str], where: list[str]) -> None:
-    """It answers still, and ends in order on SIGTERM, whatever SIGHUP comes on top."""
-    with socket.create_connection((where[0], int(where[1])), 5.0) as client:
+def serves_until_terminated(process: subprocess.Popen[str], address_parts: list[str]) -> None:
+    """Check that the process still answers and exits in order on SIGTERM, although a SIGHUP follows."""
+    with socket.create_connection((address_parts[0], int(address_parts[1])), 5.0) as client:
         client.sendall(b"PING\r\n")
         assert client.recv(4096) == b"PONG\r\n"
     process.send_signal(signal.SIGTERM)
     process.send_signal(signal.SIGHUP)
-    process.send_signal(signal.SIGTERM)  # again: it ends no sooner and no worse
+    process.send_signal(signal.SIGTERM)  # a second SIGTERM has no further effect
     assert process.wait(10.0) == 0
 
 
-def test_hangup_signal_rereads_the_file_and_ends_nothing(tmp_path: Path) -> None:
-    """The signal's usual effect is the end of the program: the balancer crashed at each new configuration."""
+def test_hangup_signal_reloads_the_file_and_does_not_end_the_process(tmp_path: Path) -> None:
+    """By default SIGHUP ends a process, so the balancer died at each new configuration."""
     path, other = tmp_path / "config.json", open_listener()
     path.write_text(json.dumps(GOOD))
-    # The variable held for the start: the file replaced since must go over it.
+    # The variable applies to the start only; the replaced file takes precedence after a reload.
     with program(path, GW_DISCOVERY="127.0.0.1:1") as process:
-        where = address_in(process.stderr).split(":")
+        address_parts = address_in(process.stderr).split(":")
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
@@ -189,7 +189,7 @@
         call, _ = other.accept()
         call.settimeout(5.0)
         assert call.recv(4096).startswith(b"GET /v1/endpoints HTTP/1.1\r\n")
-        serves_until_told(process, where)
+        serves_until_terminated(process, address_parts)
         call.close()
         other.close()
 
@@ -199,8 +199,8 @@
     return found is not None and bool(int(found[1], 16) & 1)
 
 
-def test_hangup_signal_while_the_program_starts_neither_ends_it_nor_is_lost(tmp_path: Path) -> None:
-    """A new configuration reaches all at once, also those that are just being restarted: they died of it."""
+def test_hangup_signal_during_the_start_neither_ends_the_process_nor_is_lost(tmp_path: Path) -> None:
+    """SIGHUP is sent to all balancers at once. Those that were just starting died of it."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     path, other = tmp_path / "config.json", open_listener()
     path.write_text(json.dumps(GOOD))
@@ -219,7 +219,7 @@
             path.write_text(json.dumps({**GOOD, "discovery": address_of(other)}))
             while "serving" not in log.read_text() and time.monotonic() < end:
                 process.send_signal(signal.SIGHUP)
-                assert process.poll() is None, f"it died: {log.read_text()}"
+                assert process.poll() is None, f"the process died: {log.read_text()}"
             other.settimeout(10.0)
             call, _ = other.accept()
             call.close()
@@ -237,47 +237,49 @@
         (json.dumps({"listen": "127.0.0.1:0"}), "settings"),
     ],
 )
-def test_reload_of_a_faulty_file_changes_nothing_and_says_why(tmp_path: Path, text: str, fault: str) -> None:
-    """A file that is being written when the signal comes is empty or cut short."""
+def test_reload_of_a_faulty_file_changes_nothing_and_names_the_fault(
+    tmp_path: Path, text: str, fault: str
+) -> None:
+    """A file that is being written when the signal arrives is empty or truncated."""
     path, discovery = tmp_path / "config.json", open_listener()
     discovery.settimeout(5.0)
     path.write_text(json.dumps({**GOOD, "discovery": address_of(discovery)}))
     with program(path) as process:
-        where = address_in(process.stderr).split(":")
-        call, _ = discovery.accept()  # a call is out when the signals come
+        address_parts = address_in(process.stderr).split(":")
+        call, _ = discovery.accept()  # a call is in progress when the signals arrive
         path.write_text(text)
         assert process.stderr is not None
         process.send_signal(signal.SIGHUP)
-        said = process.stderr.readline()
+        output = process.stderr.readline()
         process.send_signal(signal.SIGHUP)
-        assert fault in said and "the old configuration stays" in said
+        assert fault in output and "the old configuration stays" in output
         assert fault in process.stderr.readline()
-        serves_until_told(process, where)
+        serves_until_terminated(process, address_parts)
         call.close()
         discovery.close()
 
 
-def test_log_reader_that_stops_reading_holds_nobody_up(tmp_path: Path) -> None:
-    """After some 1,300 answers the pipe was full, and the program waited for its reader for good."""
+def test_log_reader_that_stops_reading_does_not_block_the_service(tmp_path: Path) -> None:
+    """After some 1,300 answers the pipe was full, and the service blocked until its reader continued."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     with program(path) as process:
-        where = address_in(process.stderr).split(":")
+        address_parts = address_in(process.stderr).split(":")
         assert process.stderr is not None
-        fcntl.fcntl(process.stderr, fcntl.F_SETPIPE_SZ, 4096)  # one page: full after some fifty lines
+        fcntl.fcntl(process.stderr, fcntl.F_SETPIPE_SZ, 4096)  # one page, full after some fifty lines
         for number in range(200):
-            with socket.create_connection((where[0], int(where[1])), 5.0) as client:
+            with socket.create_connection((address_parts[0], int(address_parts[1])), 5.0) as client:
                 client.sendall(b"OPEN %d k d=1200,c=nobody\r\n" % number)
                 assert client.recv(4096) == b"ERR\r\n", number
-        said = os.read(process.stderr.fileno(), 65536)
+        output = os.read(process.stderr.fileno(), 65536)
         process.send_signal(signal.SIGTERM)
         assert process.wait(10.0) == 0
-        said += process.stderr.read().encode()
-        counts = [int(one) for one in re.findall(rb"^log: (\d+) lines left out$", said, re.M)]
-        assert sum(counts) + said.count(b" garbled ") >= 200 and sum(counts) > 100, said
+        output += process.stderr.read().encode()
+        counts = [int(text) for text in re.findall(rb"^log: (\d+) lines left out$", output, re.M)]
+        assert sum(counts) + output.count(b" garbled ") >= 200 and sum(counts) > 100, output
 
 
-def test_json_log_holds_every_event_as_an_object_with_its_fields(tmp_path: Path) -> None:
+def test_json_log_prints_each_event_as_an_object_with_its_fields(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     with program(path, SNOWWICK_LOG_FORMAT="json") as process:
@@ -289,15 +291,15 @@
             assert client.recv(4096) == b"ERR\r\n"
         process.terminate()
         events = [first, *map(json.loads, process.stderr.read().splitlines())]
-    assert {"serving", "connection-ended", "ending"} <= {one["event"] for one in events}
-    ended = next(one for one in events if one["event"] == "connection-ended")
+    assert {"serving", "connection-ended", "ending"} <= {event["event"] for event in events}
+    ended = next(event for event in events if event["event"] == "connection-ended")
     assert (ended["id"], ended["reason"], ended["balancer"]) == ("{x}", "garbled", "balancer")
 
 
 def test_example_configuration_is_valid(tmp_path: Path) -> None:
     with program(ROOT / "example" / "config.json", "check-config") as process:
-        said, _ = process.communicate(timeout=20.0)
-    assert process.returncode == 0 and "listen 127.0.0.1:8081" in said
+        output, _ = process.communicate(timeout=20.0)
+    assert process.returncode == 0 and "listen 127.0.0.1:8081" in output
 
 
 def test_example_serves_as_the_readme_says() -> None:
@@ -306,14 +308,14 @@
             ROOT / "example" / "config.json", GW_LISTEN="127.0.0.1:0", GW_DISCOVERY=address_in(toy.stdout)
         ) as process:
             with python("example/toy_client.py", address_in(process.stderr)) as client:
-                said, _ = client.communicate(timeout=60.0)
+                output, _ = client.communicate(timeout=60.0)
             process.terminate()
             assert process.wait(10.0) == 0
         toy.terminate()
-    assert client.returncode == 0 and said.splitlines()[-2:] == ["hello", "BYE"]
+    assert client.returncode == 0 and output.splitlines()[-2:] == ["hello", "BYE"]
 
 
-def test_two_team_example_holds_the_smaller_one_to_its_contract() -> None:
+def test_two_team_example_enforces_the_contract_of_the_smaller_team() -> None:
     with python("example/toy_server.py", "--discovery", "127.0.0.1:0") as toy:
         with program(
             ROOT / "example" / "two-teams.json",
@@ -321,38 +323,40 @@
             SNOWWICK_CONTRACTS="example/contracts.toml",
             GW_DISCOVERY=address_in(toy.stdout),
         ) as process:
-            where, said = address_in(process.stderr), []
+            balancer_address, outputs = address_in(process.stderr), []
             for tenant in ("depot", "retail", "retail", "depot"):
-                with python("example/toy_client.py", where, tenant) as client:
-                    said.append(client.communicate(timeout=60.0)[0].splitlines())
+                with python("example/toy_client.py", balancer_address, tenant) as client:
+                    outputs.append(client.communicate(timeout=60.0)[0].splitlines())
             process.terminate()
             assert process.wait(10.0) == 0
         toy.terminate()
-    assert all(lines[-1] == "BYE" for lines in said)
-    assert said[2][0].startswith("BUSY ") and said[2][1].startswith("UP ")  # told when, and let in then
-    assert said[3][0].startswith("UP ")
+    assert all(lines[-1] == "BYE" for lines in outputs)
+    assert outputs[2][0].startswith("BUSY ") and outputs[2][1].startswith(
+        "UP "
+    )  # refused with a retry delay, then admitted
+    assert outputs[3][0].startswith("UP ")
 
 
 def imports(path: Path) -> set[str]:
-    """The modules that a source imports, anywhere in it."""
+    """Return the modules that a source file imports anywhere."""
     found = set[str]()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
-            found.update(one.name for one in node.names)
+            found.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
             found.add("." * node.level + (node.module or ""))
     return found
 
 
-def test_deploy_file_names_what_there_is() -> None:
-    """The operators start and measure what this file names; what decides does no I/O and reads no clock."""
+def test_deploy_file_names_existing_paths_and_commands() -> None:
+    """Operators start and measure what this file names. The decision module does no I/O, reads no clock."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     for path in [*deploy["policy"], *deploy["node"]]:
         assert (ROOT / path).exists(), path
     contracts.load(ROOT / "deploy" / "contracts.toml")
     for path in deploy["policy"]:
         assert imports(ROOT / path) <= DECISION_IMPORTS, path
-    run = deploy["run"].partition("exec ")[2].split()  # before it stands what the shell itself does
+    run = deploy["run"].partition("exec ")[2].split()  # the part before it is run by the shell itself
     assert run[-1] == "serve"
     with python(*run[1:-1], "version") as process:
         assert "snowwick" in process.communicate(timeout=20.0)[0]
@@ -360,8 +364,8 @@
         assert process.communicate('{"moment":1.0,"input":[]}\n', timeout=20.0)[0] == '{"out":[]}\n'
 
 
-def test_process_of_a_test_that_fails_is_ended(tmp_path: Path) -> None:
-    """One that failed in the middle waited for a program that nobody ended."""
+def test_process_of_a_failing_test_is_killed(tmp_path: Path) -> None:
+    """A test that failed in the middle waited forever for its process."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     with pytest.raises(AssertionError), program(path) as process:
