--- a/snowwick/lab/scale.py
+++ b/snowwick/lab/scale.py
@@ -34,7 +34,7 @@
 from typing import Any, Literal, NoReturn, cast
 
 from snowwick.lab import scale_simulated
-from snowwick.lab.workload import Host, Result, Row, RunRefused, Workload
+from snowwick.lab.workload import HostInfo, ResultFile, ResultRow, RunRefused, Workload
 
 MOST_MINUTES = 60.0
 QUICK: dict[str, Any] = {"seconds": 4.0, "idle_s": 1.0, "burst_s": 2.0, "faults": "restarts", "drain_s": 5.0}
@@ -50,9 +50,9 @@
 # -- the machine ---------------------------------------------------------------------------------------------
 
 
-def host() -> Host:
+def host() -> HostInfo:
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
-    return Host(cores=os.cpu_count() or 1, memory_bytes=memory, python=platform.python_version())
+    return HostInfo(cores=os.cpu_count() or 1, memory_bytes=memory, python=platform.python_version())
 
 
 def room() -> int:
@@ -99,7 +99,7 @@
 class Kept:
     """The result so far, rewritten whole each time: the file is at any moment one that can be read."""
 
-    result: Result
+    result: ResultFile
     path: Path | None
 
     def rewrite(self, partial: Mapping[str, object] | None = None) -> None:
@@ -133,7 +133,7 @@
 
 def run_simulated(
     workload: Workload, say: Callable[[str], None], keep: Callable[[Mapping[str, object]], None]
-) -> Row:
+) -> ResultRow:
     """One size, in a child that is ended with this call however it ends; raises Failed."""
     context = multiprocessing.get_context("spawn")
     ours, theirs = context.Pipe(duplex=False)
@@ -149,7 +149,7 @@
             elif what == "keep":
                 keep(told)
             elif what == "done":
-                return cast(Row, told)
+                return cast(ResultRow, told)
             else:
                 raise Failed(f"{workload.members} members: {told}")
     except EOFError:
@@ -225,7 +225,7 @@
     for one in fields(Workload):
         if one.name == "members":
             continue
-        what = f"{one.metadata.get('what', '')} (default {one.default})".strip().replace("%", "%%")
+        what = f"{one.metadata.get('help', '')} (default {one.default})".strip().replace("%", "%%")
         parser.add_argument(
             "--" + one.name.replace("_", "-"),
             type=type(one.default),
@@ -247,7 +247,7 @@
     return given, [Workload(members=size, **chosen) for size in sizes]
 
 
-def table(rows: list[Row]) -> str:
+def table(rows: list[ResultRow]) -> str:
     """The rows for reading; times in s, kB a member and second, percents of a core."""
     head = (
         f"{'members':>8}{'kB/s out':>10}{'frames/s':>10}{'core %':>8}{'worst %':>8}{'refs/s':>8}{'MB':>7}"
@@ -300,7 +300,7 @@
         sys.exit(2)
     words = sys.argv[1:] if arguments is None else arguments
     kept = Kept(
-        Result(
+        ResultFile(
             form=form,
             command=shlex.join(["python", "-m", "snowwick.lab.scale", *words]),
             date=time.strftime("%Y-%m-%d"),
@@ -330,7 +330,7 @@
                     row = real.play(w, min(given.real, w.members), max(0, w.members - given.real), _say, keep)
             except BaseException:
                 if last:
-                    kept.result["rows"].append(cast(Row, {**last[0], "partial": True}))
+                    kept.result["rows"].append(cast(ResultRow, {**last[0], "partial": True}))
                 raise
             kept.result["rows"].append(row)
             kept.rewrite()
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -44,15 +44,15 @@
 from snowwick.lab.workload import (
     Event,
     EventKind,
-    Measures,
     Phase,
-    Row,
+    PhaseMeasurements,
+    ResultRow,
     Workload,
     change_key,
     change_value,
     grant_value,
+    load_events,
     load_value,
-    loads,
     reference_frame_cpu_s,
     request_value,
     schedule,
@@ -581,7 +581,7 @@
 # -- results -------------------------------------------------------------------------------------------------
 
 
-def measures(fleet: Played, log: Log) -> Measures:
+def measures(fleet: Played, log: Log) -> PhaseMeasurements:
     """A phase's row, up to now."""
     reference = median(log.references)
     meters = [one for one in log.meters.values() if one.ran > 0.0]
@@ -600,7 +600,7 @@
     starts = [one for one in fleet.starting if one.log is log]
     done = [one for one in starts if one.took is not None]
     said = [one.said for one in starts if one.said is not None]
-    found = Measures(
+    found = PhaseMeasurements(
         bytes_out=rate("bytes_out"),
         bytes_in=rate("bytes_in"),
         datagrams_out=rate("datagrams_out"),
@@ -653,7 +653,7 @@
         """Resident bytes a member by now."""
         return (resident() - self.before) / self.fleet.w.members
 
-    def row(self) -> Row:
+    def row(self) -> ResultRow:
         """The row so far; the steady phase has to have begun."""
         fleet, logs = self.fleet, self.logs
         idle = measures(fleet, logs["idle"])
@@ -671,7 +671,7 @@
         for phase in ("burst", "zone_lost", "region_cut"):
             if phase in logs and logs[phase].meters:
                 row[phase] = measures(fleet, logs[phase])
-        return cast(Row, row)
+        return cast(ResultRow, row)
 
 
 def estimate_bytes(w: Workload) -> int:
@@ -681,7 +681,7 @@
 
 def estimate_s(w: Workload) -> float:
     """s that a run takes, by the time of a member's frames and of what is done for each member it knows."""
-    played = w.idle_s * IDLE + (w.length() - w.idle_s)
+    played = w.idle_s * IDLE + (w.duration_s() - w.idle_s)
     return BEGINS + played * w.members * (EACH + EACH_KNOWN * w.members) + w.members**2 * JOINS
 
 
@@ -690,7 +690,7 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * resource.getpagesize()
 
 
-def play(workload: Workload, say: Callable[[str], None], keep: Callable[[Row], None]) -> Row:
+def play(workload: Workload, say: Callable[[str], None], keep: Callable[[ResultRow], None]) -> ResultRow:
     """Play one size to its end.
 
     ``say`` is told how far it is, ``keep`` gets the row so far, marked ``partial``, some times from the
@@ -715,8 +715,11 @@
 
 
 def _course(
-    run: Run, order: list[tuple[float, int, Event]], say: Callable[[str], None], keep: Callable[[Row], None]
-) -> Row:
+    run: Run,
+    order: list[tuple[float, int, Event]],
+    say: Callable[[str], None],
+    keep: Callable[[ResultRow], None],
+) -> ResultRow:
     fleet, w = run.fleet, run.fleet.w
 
     def progress(phase: Phase) -> None:
@@ -739,7 +742,9 @@
             run.memory = run.used()
     last = run.logs[w.phases()[-1].name]
     fleet.turn(Log("drain", fleet.now))
-    more = [(one.at, n, one) for n, one in enumerate(loads(w, w.length(), w.length() + w.drain_s))]
+    more = [
+        (one.at, n, one) for n, one in enumerate(load_events(w, w.duration_s(), w.duration_s() + w.drain_s))
+    ]
     heapq.heapify(more)
     end = fleet.now + w.drain_s
     while fleet.now < end and (
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -1,14 +1,16 @@
-"""The scale run's workload, its course in time, the unit of processor time, and the form of the results.
-
-Nothing here has I/O, but for ``reference_frame_cpu_s``, which reads the CPU clock.  Times are s from the
-start of the run; rates are events a second.
-
-The target is a fleet of 5,700 balancers in two regions with five zones: 26,000 changes of configuration a
-day, 36 machines that fail on an ordinary day, 2,800 restarts a day.  Of these the changes are the *whole
-fleet's* and stay the same whatever the size that is played, as everybody hears of each.  Failures and
-restarts are *made by the members*: a fleet of N has N/5,700 of them, but at least one of each is played, so
-that in a short run of a small fleet they are far more frequent than the target has them; their own times are
-counted apart.  Verdicts and moved rights are assumed as the whole fleet's, loads as each member's.
+"""The workload of the scale run: its parameters, its schedule of events, the reference frame that processor
+time is expressed in, and the structure of the results.
+
+Nothing here does I/O, apart from ``reference_frame_cpu_s``, which reads the CPU clock.  Times are in seconds
+from the start of the run; rates are events a second.
+
+The target is a fleet of 5,700 balancers in two regions with five zones, with 26,000 configuration changes, 36
+failed machines and 2,800 restarts on an ordinary day.  The rate of configuration changes is that of the
+*whole fleet* and is the same for every simulated size, since each change propagates to all members.  Failures
+and restarts are *proportional to the number of members*: a fleet of N has N/5,700 of them, but at least one
+of each is simulated.  In a short run of a small fleet they are therefore far more frequent than in the
+target, and their measurements are reported separately.  The rates of verdicts and of lease grants are assumed
+for the whole fleet, that of load updates for each member.
 """
 
 from __future__ import annotations
@@ -25,34 +27,34 @@
 from snowwick.fleet.rights import Grant, Holding, LeaseRequest
 from snowwick.fleet.store import hash_numbers
 
-TARGET = 5700  # balancers that the rates of failures and restarts are given for
-DAY = 86_400.0  # s
+TARGET_MEMBERS = 5700  # the fleet size that the rates of failures and restarts refer to
+DAY_S = 86_400.0
 
-Faults = Literal["none", "restarts", "all"]
+FaultSet = Literal["none", "restarts", "all"]
 
 
 class EventKind(StrEnum):
-    """What happens; ``member`` is whose doing, or whom it befalls."""
-
-    LOAD = "load"  # the member writes the load register ``number`` (0 to registers.LOAD_CHUNKS - 1)
-    CHANGE = "change"  # the member writes change of configuration ``number``
-    VERDICT = "verdict"  # the member finds destination ``number`` bad
-    VERDICT_WITHDRAWN = "taken-back"  # and takes that back, registers.VERDICT_LIFETIME_S later
-    RIGHTS = "rights"  # the member asks ``other`` for rights, which grants them
-    FAIL = "fail"  # the member's machine is gone at once
-    LEAVE = "leave"  # the member leaves as at a restart
-    START = "start"  # the member starts anew
-    ZONE_LOST = "zone-lost"  # all members of zone ``number`` are gone at once
-    ZONE_BACK = "zone-back"  # and start anew
-    CUT = "cut"  # the regions hear nothing of each other
-    HEAL = "heal"
+    """The kind of an event; ``member``, ``number`` and ``other`` are the fields of ``Event``."""
+
+    LOAD = "load"  # the member writes its load register ``number`` (0 to registers.LOAD_CHUNKS - 1)
+    CHANGE = "change"  # the member writes configuration change ``number``
+    VERDICT = "verdict"  # the member marks destination ``number`` as unhealthy
+    VERDICT_WITHDRAWN = "taken-back"  # the member withdraws the verdict after registers.VERDICT_LIFETIME_S
+    RIGHTS = "rights"  # the member requests a lease from ``other``, which grants it
+    FAIL = "fail"  # the member's machine fails without notice
+    LEAVE = "leave"  # the member leaves the fleet, as at a restart
+    START = "start"  # the member restarts
+    ZONE_LOST = "zone-lost"  # all members of zone ``number`` fail at the same time
+    ZONE_BACK = "zone-back"  # all members of zone ``number`` restart
+    CUT = "cut"  # a network partition separates the regions
+    HEAL = "heal"  # the partition ends
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Event:
-    """One thing that happens."""
+    """An event of the schedule."""
 
-    at: float  # s
+    at: float  # seconds from the start of the run
     kind: EventKind
     member: int = 0
     number: int = 0
@@ -61,83 +63,112 @@
 
 @dataclass(slots=True, frozen=True)
 class Phase:
-    """A part of the run: ``idle``, ``steady``, ``burst``, ``zone_lost``, ``region_cut``; s."""
+    """A phase of the run: ``idle``, ``steady``, ``burst``, ``zone_lost`` or ``region_cut``."""
 
     name: str
-    start: float
-    end: float
+    start: float  # seconds from the start of the run
+    end: float  # seconds from the start of the run
 
 
-def says(what: str) -> dict[str, str]:
-    """What the command line says of a field."""
-    return {"what": what}
+def help_text(text: str) -> dict[str, str]:
+    """Field metadata with the help text of the field's command-line flag."""
+    return {"help": text}
 
 
 @dataclass(slots=True, frozen=True)
 class Workload:
-    """What is played.  Figures without a target are assumptions, said with each."""
+    """The parameters of a run.  Each help text says whether the default is a target or assumed."""
 
     members: int
-    seconds: float = field(default=60.0, metadata=says("s of the ordinary day's part"))
+    seconds: float = field(default=60.0, metadata=help_text("duration in s of the steady phase"))
     seed: int = 1
-    period: float = field(default=0.2, metadata=says("s of the protocol's period, as shipped"))
-    faults: Faults = field(
+    period: float = field(
+        default=0.2, metadata=help_text("protocol period in s; the default is that of the program")
+    )
+    faults: FaultSet = field(
         default="all",
-        metadata=says("restarts: with failures and restarts, all: with the zone and the cut as well"),
+        metadata=help_text(
+            "restarts: failures and restarts of single members; all: also a lost zone and the region cut"
+        ),
     )
-    regions: int = field(default=2, metadata=says("target"))
+    regions: int = field(default=2, metadata=help_text("target: regions"))
     zones: int = field(
-        default=5, metadata=says("target; zone z is in region z % regions, member n in zone n % zones")
+        default=5,
+        metadata=help_text("target; zone z is in region z % regions, member n is in zone n % zones"),
+    )
+    idle_s: float = field(
+        default=5.0, metadata=help_text("duration in s of the idle phase at the start, without any writes")
     )
-    idle_s: float = field(default=5.0, metadata=says("s at the start without any writing"))
     changes_per_day: float = field(
-        default=26_000.0, metadata=says("target, of the whole fleet at any size: 0.30 a second")
+        default=26_000.0,
+        metadata=help_text("target: configuration changes of the whole fleet at any size, 0.30 a second"),
     )
     change_bytes: int = field(
-        default=200, metadata=says("assumed: bytes of a change's value, of at most 900")
+        default=200, metadata=help_text("assumed: size of a change's value in bytes, at most 900")
     )
     change_keys: int = field(
-        default=16, metadata=says("assumed: registers of a member that changes take in turn")
+        default=16,
+        metadata=help_text("assumed: registers of a member that changes are written to in rotation"),
     )
-    burst_factor: float = field(default=10.0, metadata=says("target: times the ordinary rate of changes"))
-    burst_s: float = field(default=10.0, metadata=says("assumed: s that the burst lasts"))
-    failures_per_day: float = field(default=36.0, metadata=says("target, of TARGET members"))
-    failure_s: float = field(default=20.0, metadata=says("assumed: s until a failed machine is back"))
+    burst_factor: float = field(
+        default=10.0,
+        metadata=help_text("target: rate of changes in the burst as a multiple of the ordinary rate"),
+    )
+    burst_s: float = field(default=10.0, metadata=help_text("assumed: duration in s of the burst"))
+    failures_per_day: float = field(
+        default=36.0, metadata=help_text("target: failures a day in a fleet of 5,700")
+    )
+    failure_s: float = field(default=20.0, metadata=help_text("assumed: s until a failed machine restarts"))
     restarts_per_day: float = field(
-        default=2_800.0, metadata=says("target, of TARGET members: one each 31 s")
+        default=2_800.0, metadata=help_text("target: restarts a day in a fleet of 5,700, one every 31 s")
     )
-    restart_s: float = field(default=2.0, metadata=says("assumed: s between leaving and starting anew"))
+    restart_s: float = field(default=2.0, metadata=help_text("assumed: s between leaving and starting again"))
     load_writes: float = field(
-        default=1.0, metadata=says("assumed: load registers that each member writes a second, in turn")
+        default=1.0,
+        metadata=help_text("assumed: load registers that each member writes a second, in rotation"),
     )
     load_destinations: int = field(
-        default=48, metadata=says("assumed: destinations a member has, over registers.LOAD_CHUNKS registers")
+        default=48,
+        metadata=help_text("assumed: destinations of a member, spread over registers.LOAD_CHUNKS registers"),
+    )
+    load_count: int = field(
+        default=100, metadata=help_text("assumed: mean connections of a member to one destination")
     )
-    load_count: int = field(default=100, metadata=says("assumed: connections of a member to one destination"))
     load_wave: float = field(
-        default=0.3, metadata=says("assumed: part by which all loads rise and fall together, once in wave_s")
+        default=0.3,
+        metadata=help_text(
+            "assumed: amplitude of the sine wave that all loads follow together, as a fraction of load_count"
+        ),
     )
-    wave_s: float = field(default=60.0, metadata=says("assumed"))
+    wave_s: float = field(default=60.0, metadata=help_text("assumed: period in s of the sine wave"))
     verdicts: float = field(
-        default=0.1, metadata=says("assumed: verdicts a second of the whole fleet at any size")
+        default=0.1, metadata=help_text("assumed: verdicts a second of the whole fleet at any size")
     )
     rights: float = field(
-        default=0.1, metadata=says("assumed: moves of rights a second of the whole fleet at any size")
+        default=0.1, metadata=help_text("assumed: lease grants a second of the whole fleet at any size")
     )
-    zone_lost_s: float = field(default=20.0, metadata=says("assumed: s that the lost zone is away"))
-    zone_back_s: float = field(default=20.0, metadata=says("assumed: s watched after it is back"))
-    region_cut_s: float = field(default=60.0, metadata=says("target"))
+    zone_lost_s: float = field(default=20.0, metadata=help_text("assumed: s until the lost zone restarts"))
+    zone_back_s: float = field(
+        default=20.0, metadata=help_text("assumed: s measured after the zone has restarted")
+    )
+    region_cut_s: float = field(default=60.0, metadata=help_text("target: duration in s of the region cut"))
     heal_s: float = field(
-        default=20.0, metadata=says("assumed: s watched after the regions hear each other again")
+        default=20.0, metadata=help_text("assumed: s measured after the region cut has ended")
     )
     drain_s: float = field(
-        default=15.0, metadata=says("s at most in which the last changes may still get everywhere")
+        default=15.0,
+        metadata=help_text(
+            "longest time in s for the last changes to propagate to all members after the last phase"
+        ),
     )
-    loss: float = field(default=0.01, metadata=says("assumed: part of the datagrams that is lost"))
+    loss: float = field(default=0.01, metadata=help_text("assumed: fraction of the datagrams that is lost"))
     delay_s: float = field(
-        default=0.005, metadata=says("assumed: s of the longest delay within a region; the least is a tenth")
+        default=0.005,
+        metadata=help_text("assumed: longest delay in s within a region; the shortest is a tenth of it"),
+    )
+    region_delay_s: float = field(
+        default=0.03, metadata=help_text("assumed: additional delay in s between regions")
     )
-    region_delay_s: float = field(default=0.03, metadata=says("assumed: s beside that between regions"))
 
     def zone_of(self, member: int) -> int:
         return member % self.zones
@@ -145,153 +176,169 @@
     def region_of(self, member: int) -> int:
         return self.zone_of(member) % self.regions
 
-    def changes(self) -> float:
-        """Changes of configuration a second over the whole fleet."""
-        return self.changes_per_day / DAY
+    def changes_per_s(self) -> float:
+        """Configuration changes a second of the whole fleet."""
+        return self.changes_per_day / DAY_S
 
-    def by_members(self, per_day: float) -> float:
-        """Events a second of this fleet, of a rate a day that is given for ``TARGET`` members."""
-        return per_day / DAY * self.members / TARGET
+    def fleet_rate_per_s(self, per_day: float) -> float:
+        """Events a second of this fleet, from a rate a day for ``TARGET_MEMBERS`` members."""
+        return per_day / DAY_S * self.members / TARGET_MEMBERS
 
     def phases(self) -> list[Phase]:
-        """One after the other, from 0."""
+        """The phases in order; the first starts at 0."""
         lengths = [("idle", self.idle_s), ("steady", self.seconds), ("burst", self.burst_s)]
         if self.faults == "all":
             lengths += [
                 ("zone_lost", self.zone_lost_s + self.zone_back_s),
                 ("region_cut", self.region_cut_s + self.heal_s),
             ]
-        found, at = list[Phase](), 0.0
+        phase_list = list[Phase]()
+        start = 0.0
         for name, length in lengths:
-            found.append(Phase(name, at, at + length))
-            at += length
-        return found
+            phase_list.append(Phase(name, start, start + length))
+            start += length
+        return phase_list
 
-    def length(self) -> float:
-        """s of all phases, without the time to drain."""
+    def duration_s(self) -> float:
+        """Duration of all phases in seconds, without the drain."""
         return self.phases()[-1].end
 
 
-# -- the course ----------------------------------------------------------------------------------------------
+# -- the schedule --------------------------------------------------------------------------------------------
 
 
-def loads(w: Workload, start: float, end: float) -> Iterator[Event]:
-    """The load registers that are written in [start, end), by time; each member at its own even pace."""
-    if not w.load_writes:
+def load_events(workload: Workload, start: float, end: float) -> Iterator[Event]:
+    """The writes of load registers in [start, end) by time; each member writes at a constant rate."""
+    if not workload.load_writes:
         return
-    pace = 1.0 / w.load_writes
-    order = sorted((hash_numbers(w.seed, n) % 10_000 / 10_000.0 * pace, n) for n in range(w.members))
-    turn = max(0, math.floor(start / pace) - 1)
-    while turn * pace < end:
-        for phase, n in order:
-            at = turn * pace + phase
+    interval_s = 1.0 / workload.load_writes
+    offsets = sorted(
+        (hash_numbers(workload.seed, member) % 10_000 / 10_000.0 * interval_s, member)
+        for member in range(workload.members)
+    )
+    write_number = max(0, math.floor(start / interval_s) - 1)
+    while write_number * interval_s < end:
+        for offset, member in offsets:
+            at = write_number * interval_s + offset
             if start <= at < end:
-                yield Event(at, EventKind.LOAD, n, turn % registers.LOAD_CHUNKS)
-        turn += 1
+                yield Event(at, EventKind.LOAD, member, write_number % registers.LOAD_CHUNKS)
+        write_number += 1
 
 
-def _times(rng: random.Random, rate: float, start: float, end: float) -> Iterator[float]:
-    """A Poisson process of that rate."""
+def _poisson_times(rng: random.Random, rate: float, start: float, end: float) -> Iterator[float]:
+    """The times in [start, end) of a Poisson process with a rate in events a second."""
     at = start + rng.expovariate(rate) if rate else end
     while at < end:
         yield at
         at += rng.expovariate(rate)
 
 
-def schedule(w: Workload) -> list[Event]:
-    """All events by time; the same for the same workload.
+def schedule(workload: Workload) -> list[Event]:
+    """All events of a run by time; equal workloads have equal schedules.
 
-    Changes come evenly, at half-steps of their rate, so that a short run has as many as the rate says;
-    verdicts and rights by chance; failures and restarts by chance in the first half of the steady phase, at
-    least one each, so that their end is seen.  Who fails, leaves or is in the lost zone writes nothing while
-    it is away: the player leaves out what it would have written.
+    Changes are evenly spaced, and the first is half an interval after the start of the steady phase, so that
+    a short run has as many as the rate asks for.  Verdicts and lease grants are Poisson processes.  Failures
+    and restarts are Poisson processes over the first half of the steady phase, with at least one of each, so
+    that the recovery is within the phase.  Events of members that are down are in the schedule as well; the
+    simulation skips them.
     """
-    rng = random.Random(w.seed)
-    phases = {one.name: one for one in w.phases()}
-    steady, burst, end = phases["steady"], phases["burst"], w.length()
-    events = list(loads(w, steady.start, end))
-    at, number = steady.start + 0.5 / max(w.changes(), 1e-9), 0
+    rng = random.Random(workload.seed)
+    phases = {phase.name: phase for phase in workload.phases()}
+    steady, burst, end = phases["steady"], phases["burst"], workload.duration_s()
+    events = list(load_events(workload, steady.start, end))
+    at, number = steady.start + 0.5 / max(workload.changes_per_s(), 1e-9), 0
     while at < end:
-        events.append(Event(at, EventKind.CHANGE, rng.randrange(w.members), number))
+        events.append(Event(at, EventKind.CHANGE, rng.randrange(workload.members), number))
         number += 1
-        rate = w.changes() * (w.burst_factor if burst.start <= at < burst.end else 1.0)
-        after = at + 1.0 / max(rate, 1e-9)
-        # A step that reaches into the burst is cut short where the burst begins.
-        at = burst.start + (after - burst.start) / w.burst_factor if at < burst.start < after else after
-    for at in _times(rng, w.verdicts, steady.start, end):
-        one, bad = rng.randrange(w.members), rng.randrange(w.load_destinations)
+        rate = workload.changes_per_s() * (workload.burst_factor if burst.start <= at < burst.end else 1.0)
+        next_at = at + 1.0 / max(rate, 1e-9)
+        # The part of an interval that is within the burst is shortened by the burst factor.
+        at = (
+            burst.start + (next_at - burst.start) / workload.burst_factor
+            if at < burst.start < next_at
+            else next_at
+        )
+    for at in _poisson_times(rng, workload.verdicts, steady.start, end):
+        member, destination = rng.randrange(workload.members), rng.randrange(workload.load_destinations)
         events += [
-            Event(at, EventKind.VERDICT, one, bad),
-            Event(at + registers.VERDICT_LIFETIME_S, EventKind.VERDICT_WITHDRAWN, one, bad),
+            Event(at, EventKind.VERDICT, member, destination),
+            Event(at + registers.VERDICT_LIFETIME_S, EventKind.VERDICT_WITHDRAWN, member, destination),
         ]
-    for at in _times(rng, w.rights if w.members > 1 else 0.0, steady.start, end):
-        one, other = rng.sample(range(w.members), 2)
-        events.append(Event(at, EventKind.RIGHTS, one, 0, other))
-    if w.faults != "none" and w.members > 2:
-        events += _away(w, rng, steady)
-    if w.faults == "all":
+    for at in _poisson_times(rng, workload.rights if workload.members > 1 else 0.0, steady.start, end):
+        member, lender = rng.sample(range(workload.members), 2)
+        events.append(Event(at, EventKind.RIGHTS, member, 0, lender))
+    if workload.faults != "none" and workload.members > 2:
+        events += _absence_events(workload, rng, steady)
+    if workload.faults == "all":
         zone, cut = phases["zone_lost"], phases["region_cut"]
-        lost = rng.randrange(w.zones)
+        lost_zone = rng.randrange(workload.zones)
         events += [
-            Event(zone.start, EventKind.ZONE_LOST, 0, lost),
-            Event(zone.start + w.zone_lost_s, EventKind.ZONE_BACK, 0, lost),
+            Event(zone.start, EventKind.ZONE_LOST, 0, lost_zone),
+            Event(zone.start + workload.zone_lost_s, EventKind.ZONE_BACK, 0, lost_zone),
             Event(cut.start, EventKind.CUT),
-            Event(cut.start + w.region_cut_s, EventKind.HEAL),
+            Event(cut.start + workload.region_cut_s, EventKind.HEAL),
         ]
-    return sorted((one for one in events if one.at < end), key=lambda one: one.at)
+    return sorted((event for event in events if event.at < end), key=lambda event: event.at)
 
 
-def _away(w: Workload, rng: random.Random, steady: Phase) -> list[Event]:
-    """Failures and restarts, of different members, at most a third of them."""
+def _absence_events(workload: Workload, rng: random.Random, steady: Phase) -> list[Event]:
+    """Failures and restarts of distinct members, at most a third of the fleet."""
     half = steady.start + 0.5 * (steady.end - steady.start)
-    events, free = list[Event](), rng.sample(range(w.members), max(2, w.members // 3))
-    for kind, rate, away in (
-        (EventKind.FAIL, w.by_members(w.failures_per_day), w.failure_s),
-        (EventKind.LEAVE, w.by_members(w.restarts_per_day), w.restart_s),
+    events, candidates = list[Event](), rng.sample(range(workload.members), max(2, workload.members // 3))
+    for kind, rate, absence_s in (
+        (EventKind.FAIL, workload.fleet_rate_per_s(workload.failures_per_day), workload.failure_s),
+        (EventKind.LEAVE, workload.fleet_rate_per_s(workload.restarts_per_day), workload.restart_s),
     ):
         times = list(
-            _times(
+            _poisson_times(
                 rng, rate * (steady.end - steady.start) / max(half - steady.start, 1e-9), steady.start, half
             )
         ) or [rng.uniform(steady.start, half)]
         for at in times:
-            if free:
-                one = free.pop()
-                events += [Event(at, kind, one), Event(min(at + away, steady.end), EventKind.START, one)]
+            if candidates:
+                member = candidates.pop()
+                events += [
+                    Event(at, kind, member),
+                    Event(min(at + absence_s, steady.end), EventKind.START, member),
+                ]
     return events
 
 
 # -- values --------------------------------------------------------------------------------------------------
 
 
-def load_value(w: Workload, member: int, chunk: int, at: float) -> dict[int, int]:
-    """A member's connections by destination, of one chunk; all members' rise and fall together, with a tenth
-    of noise.
+def load_value(workload: Workload, member: int, chunk: int, at: float) -> dict[int, int]:
+    """A member's connection counts by destination for one chunk, at a time in seconds.
+
+    The counts of all members follow the same sine wave, with a tenth of noise.
     """
-    level = w.load_count * (1.0 + w.load_wave * math.sin(2.0 * math.pi * at / w.wave_s))
+    level = workload.load_count * (1.0 + workload.load_wave * math.sin(2.0 * math.pi * at / workload.wave_s))
     noise = {
-        one: hash_numbers(w.seed, member, one, int(at * 1000)) % 1000 / 1000.0
-        for one in range(w.load_destinations)
-        if registers.load_chunk(one) == chunk
+        destination: hash_numbers(workload.seed, member, destination, int(at * 1000)) % 1000 / 1000.0
+        for destination in range(workload.load_destinations)
+        if registers.load_chunk(destination) == chunk
+    }
+    return {
+        destination: max(0, round(level * (0.9 + 0.2 * fraction))) for destination, fraction in noise.items()
     }
-    return {one: max(0, round(level * (0.9 + 0.2 * part))) for one, part in noise.items()}
 
 
-def change_value(w: Workload, number: int) -> bytes:
-    """A change of configuration: a revision of about ``change_bytes`` that limits nobody."""
-    return registers.pack(registers.Revision(f"{number:08}".ljust(max(8, w.change_bytes - 6), "x")))
+def change_value(workload: Workload, number: int) -> bytes:
+    """The value of a configuration change: a revision of about ``change_bytes`` that sets no limits."""
+    return registers.pack(registers.Revision(f"{number:08}".ljust(max(8, workload.change_bytes - 6), "x")))
 
 
-def change_key(w: Workload, number: int) -> str:
-    """The register of a change, apart from those that balancers write of their own files."""
-    return f"scale{number % w.change_keys:04}"
+def change_key(workload: Workload, number: int) -> str:
+    """The register key of a change; distinct from those that balancers use for their own files."""
+    return f"scale{number % workload.change_keys:04}"
 
 
-def request_value(w: Workload, event: Event, lender: str, boot: int) -> bytes:
-    """A borrower's register: it holds rights of one lender.
+def request_value(workload: Workload, event: Event, lender: str, boot: int) -> bytes:
+    """The value of a borrower's lease request register, which holds rights of one lender.
 
-    The program names all members in it, so that past some 35 members it is longer than a value may be, and
-    isn't told; here it stays short, for the cost of a move of rights whatever the size.
+    The program lists all members in this register.  With more than about 35 members the list exceeds the size
+    limit of a value and is not sent.  Here the value stays short, so that the cost of a lease grant does not
+    depend on the size of the fleet.
     """
     return registers.pack(
         LeaseRequest(int(event.at), 10.0, 0.0, {lender: Holding(10.0, int(event.at), boot)})
@@ -299,23 +346,21 @@
 
 
 def grant_value(event: Event, boot: int) -> bytes:
-    """The lender's answer."""
+    """The value of the lender's grant register."""
     return registers.pack(Grant(boot, int(event.at), 10.0, 10.0))
 
 
-# -- the unit of processor time ------------------------------------------------------------------------------
+# -- the reference frame -------------------------------------------------------------------------------------
 
-KEY = b"r" * 32
+REFERENCE_KEY = b"r" * 32
 
 
 def reference_frame(seq: int = 1) -> wire.Frame:
-    """A frame that is as full as frames get (``wire.MAX_FRAME_BYTES``), with load registers as a fleet's
-    frames have.
-    """
-    w = Workload(TARGET)
+    """A frame of the largest size (``wire.MAX_FRAME_BYTES``), filled with load registers like a real one."""
+    workload = Workload(TARGET_MEMBERS)
     frame = wire.Frame("m1", "10.0.0.1:7000", 1, 7, seq, "m2", 9, wire.Gossip())
     for n in range(1000):
-        value = registers.pack(load_value(w, n, n % registers.LOAD_CHUNKS, 0.0))
+        value = registers.pack(load_value(workload, n, n % registers.LOAD_CHUNKS, 0.0))
         entry = wire.Entry(
             f"m{n}",
             1_700_000_000_000,
@@ -333,29 +378,30 @@
 
 
 def reference_frame_cpu_s(frames: int = 2000, rounds: int = 5) -> float:
-    """s of processor for one full frame: digest and decode, the gate's check, encode and digest.
+    """Processor time in seconds for one full frame of about 1,400 bytes.
 
-    The median of some rounds of ``frames`` frames each; a frame is some 1,400 bytes.
+    Covers the digest and decoding, the replay filter, encoding and the digest again.  Returns the median over
+    ``rounds`` rounds of ``frames`` frames each.
     """
-    taken = []
+    seconds_per_frame = []
     for _ in range(rounds):
-        gate = wire.ReplayFilter("m2", 9)
-        datagram = wire.seal(reference_frame(), KEY)
+        replay_filter = wire.ReplayFilter("m2", 9)
+        datagram = wire.seal(reference_frame(), REFERENCE_KEY)
         began = time.process_time()
         for seq in range(1, frames + 1):
-            frame = wire.unseal(datagram, [KEY])
-            frame.seq = seq  # the number that its sender would have given it
-            gate.check(frame)
-            datagram = wire.seal(frame, KEY)
-        taken.append((time.process_time() - began) / frames)
-    return sorted(taken)[rounds // 2]
+            frame = wire.unseal(datagram, [REFERENCE_KEY])
+            frame.seq = seq  # the sequence number that the sender would have assigned
+            replay_filter.check(frame)
+            datagram = wire.seal(frame, REFERENCE_KEY)
+        seconds_per_frame.append((time.process_time() - began) / frames)
+    return sorted(seconds_per_frame)[rounds // 2]
 
 
 # -- results -------------------------------------------------------------------------------------------------
 
 
-class Worst(TypedDict):
-    """The member that had most of each."""
+class WorstMember(TypedDict):
+    """The largest value of any member, for each quantity on its own."""
 
     bytes_out: float
     bytes_in: float
@@ -365,14 +411,15 @@
     reference: float
 
 
-class Measures(TypedDict):
-    """What one phase showed; by member and second where not said otherwise.
+class PhaseMeasurements(TypedDict):
+    """The measurements of one phase, for each member and second unless stated otherwise.
 
-    ``core`` is the part of a core that a member takes, ``reference`` how many reference frames a second the
-    same time would do.  Times in s; percentiles by HdrHistogram, to three digits.  ``load_error`` is the mean
-    of the relative error of the sum of all loads that members see.  ``start_bytes`` and ``start_s`` are the
-    means of those that started in the phase: bytes received, and s until one knew all that ran when it
-    started and held all that they had written by then.  None where nothing was measured.
+    ``core`` is the fraction of a core that a member uses, ``reference`` the number of reference frames a
+    second that take the same processor time.  Times are in seconds; percentiles come from an HdrHistogram
+    with three significant digits.  ``load_error`` is the mean relative error of the total load that members
+    compute.  ``start_bytes`` and ``start_s`` are means over the members that started in the phase: the bytes
+    received, and the time until the member listed all members that ran at its start and held all that they
+    had written by then.  None where nothing was measured.
     """
 
     bytes_out: float
@@ -381,33 +428,39 @@
     datagrams_in: float
     core: float
     reference: float
-    worst: Worst
+    worst: WorstMember
     everywhere_p50_s: float | None
     everywhere_p99_s: float | None
     everywhere_worst_s: float | None
-    changes: int  # that were written, and whose writers stayed
-    changes_unfinished: int  # of these, not everywhere at the end: counted with the time until then
+    changes: int  # changes written by members that kept running
+    # Changes that had not reached all members at the end of the run; their age at the end is included in the
+    # percentiles above
+    changes_unfinished: int
     false_deaths: int
-    load_age_p50_s: float | None  # since the load that is held was written
+    load_age_p50_s: float | None  # time since the load register that a member holds was written
     load_age_p99_s: float | None
-    load_late_p50_s: float | None  # since the first load was written that is not held yet; 0 where none is
+    load_late_p50_s: float | None  # age of the oldest write that a member does not hold yet; 0 without one
     load_late_p99_s: float | None
     load_error: float | None
-    heed_core: float | None  # beside ``core``: reading all registers each SHARE, as the program does
+    # Not included in ``core``: reading all registers every SHARE_INTERVAL_S, as the program does
+    heed_core: float | None
     shed: float
     start_bytes: float | None
     start_s: float | None
-    starts: int  # that had caught up
+    starts: int  # members that caught up after a start
     starts_unfinished: int
-    start_said_s: float | None  # until the program's own word for it, fleet-caught-up
-    # From the end of the fault until all know who is there and have the changes that were written in it
+    start_said_s: float | None  # time until the node's own ``CaughtUp`` event, logged as fleet-caught-up
+    # Time from the end of the fault until all members list exactly the running ones and hold all changes
+    # that were written during the fault
     healed_s: NotRequired[float | None]
 
 
-class Row(Measures):
-    """One size; what is not in ``burst``, ``zone_lost`` or ``region_cut`` is the steady phase's.
+class ResultRow(PhaseMeasurements):
+    """The results for one fleet size; values outside ``burst``, ``zone_lost`` and ``region_cut`` are those
+    of the steady phase.
 
-    ``played_s`` are the simulated s, ``took_s`` those it took; ``memory`` is bytes of a member's state.
+    ``played_s`` is the simulated time and ``took_s`` the elapsed time, in seconds; ``memory`` is the size of
+    a member's state in bytes.
     """
 
     members: int
@@ -417,33 +470,33 @@
     memory: float
     idle_bytes_out: float
     idle_core: float
-    false_deaths_all: int  # of all phases and the time to drain
-    partial: NotRequired[bool]  # the run was ended before its last phase, or goes on
-    burst: NotRequired[Measures]
-    zone_lost: NotRequired[Measures]
-    region_cut: NotRequired[Measures]
+    false_deaths_all: int  # in all phases and the drain
+    partial: NotRequired[bool]  # the run has not finished, or ended before its last phase
+    burst: NotRequired[PhaseMeasurements]
+    zone_lost: NotRequired[PhaseMeasurements]
+    region_cut: NotRequired[PhaseMeasurements]
 
 
-class Host(TypedDict):
-    """Where it ran."""
+class HostInfo(TypedDict):
+    """The machine that the run was made on."""
 
     cores: int
     memory_bytes: int
     python: str
 
 
-class Result(TypedDict):
-    """The JSON file; rewritten as each row is there, ``complete`` once all are."""
+class ResultFile(TypedDict):
+    """The content of the JSON file, which is rewritten after each row; ``complete`` after the last row."""
 
     form: Literal["simulated", "real"]
     command: str
     date: str
-    machine: Host
+    machine: HostInfo
     workload: dict[str, object]
-    rows: list[Row]
+    rows: list[ResultRow]
     complete: bool
     ended: str
 
 
 class RunRefused(Exception):
-    """The run would not fit; the message says in one line what would."""
+    """The run exceeds a limit; the message names in one line what would fit."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,9 +22,9 @@
 from snowwick.lab.network import Network
 from snowwick.lab.scale_simulated import Deaths, Played, Times, joined, longest_suspicion, play
 from snowwick.lab.workload import (
-    TARGET,
+    TARGET_MEMBERS,
     EventKind,
-    Row,
+    ResultRow,
     RunRefused,
     Workload,
     change_value,
@@ -59,7 +59,7 @@
     assert abs(found[EventKind.CHANGE, False] - 10 * 60.0 * 26_000 / 86_400) <= 1
     assert found[EventKind.LOAD, True] == 600 * members
     assert not [one for one in schedule(w) if one.at < idle.end]
-    assert burst.end == w.length() == 665.0
+    assert burst.end == w.duration_s() == 665.0
 
 
 def test_each_member_writes_its_load_registers_in_turn() -> None:
@@ -72,7 +72,7 @@
 
 
 def test_restarts_and_failures_go_by_the_members_and_are_at_least_one_each() -> None:
-    large = Workload(TARGET, seconds=6_200.0, load_writes=0.0, faults="restarts")
+    large = Workload(TARGET_MEMBERS, seconds=6_200.0, load_writes=0.0, faults="restarts")
     found = Counter(one.kind for one in schedule(large))
     assert 150 <= found[EventKind.LEAVE] <= 250  # one each 31 s
     assert 1 <= found[EventKind.FAIL] <= 8  # 36 a day
@@ -271,8 +271,8 @@
 # -- a row -----------------------------------------------------------------------------------------------
 
 
-def sane(row: Row, w: Workload) -> None:
-    assert row["members"] == w.members and row["played_s"] >= w.length()
+def sane(row: ResultRow, w: Workload) -> None:
+    assert row["members"] == w.members and row["played_s"] >= w.duration_s()
     for one in (row, row["burst"]):
         assert 1e3 < one["bytes_out"] < 1e5 and 10.0 < one["datagrams_out"] < 100.0
         # What is lost and what is sent to who is away does not come in.
@@ -291,8 +291,8 @@
 
 def test_a_row_has_sane_values_and_what_starts_catches_up() -> None:
     """In a process of its own, as the command plays it: memory is right only where none was played before."""
-    lines, rows = list[str](), list[Row]()
-    row = scale.run_simulated(SMALL, lines.append, lambda kept: rows.append(cast(Row, kept)))
+    lines, rows = list[str](), list[ResultRow]()
+    row = scale.run_simulated(SMALL, lines.append, lambda kept: rows.append(cast(ResultRow, kept)))
     sane(row, SMALL)
     assert row["starts"] == 2 and not row["starts_unfinished"]
     assert row["start_s"] is not None and 0.0 < row["start_s"] < 5.0
@@ -390,7 +390,7 @@
     text = " ".join(capsys.readouterr().out.split())
     assert ended.value.code == 0
     for one in fields(Workload):
-        what = f"{one.metadata.get('what', '')} (default {one.default})".strip()
+        what = f"{one.metadata.get('help', '')} (default {one.default})".strip()
         assert one.name == "members" or what in text
 
 
