--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -187,7 +187,7 @@
 
 
 def test_opening_line_is_forwarded_with_only_its_wait_changed(world: World) -> None:
-    """Destinations answer SYNTAX to an opening line that differs from the client's, which invalidates a run."""
+    """Destinations answer SYNTAX to an opening line that differs from the client's, which voids a run."""
     world.play(
         "c1 send OPEN 9b k=d=7 y=d,d=1200,r=1,c=feed,t=n,x=d=5,h=0.5\n"
         "d1 expect OPEN 9b k=d=7 y=d,d=[0-9]*,r=1,c=feed,t=n,x=d=5,h=0.5"
