--- a/snowwick/fleet/members.py
+++ b/snowwick/fleet/members.py
@@ -78,10 +78,10 @@
     """The members on record at one member, and its probes."""
 
     def __init__(
-        self, name: str, address: str, incarnation: int, boot: int, period: float, rng: random.Random
+        self, name: str, address: str, incarnation: int, boot: int, period_s: float, rng: random.Random
     ) -> None:
-        """``boot`` is a random number of this start; ``period`` is the probe period in seconds."""
-        self.random, self.period = rng, period
+        """``boot`` is a random number of this start; ``period_s`` is the probe period."""
+        self.rng, self.period_s = rng, period_s
         self.local = MemberRecord(name, address, incarnation, boot)
         self.records: dict[str, MemberRecord] = {}
         self.probe_order: list[str] = []  # the rest of the current round, taken from the end
@@ -120,7 +120,7 @@
     def suspicion_timeout(self, record: MemberRecord) -> float:
         """Seconds until a suspicion declares its member dead; each confirmation shortens it."""
         size = len(self.alive()) + 1
-        shortest = SUSPICION_FACTOR * max(1.0, math.log10(max(size, 1))) * self.period
+        shortest = SUSPICION_FACTOR * max(1.0, math.log10(max(size, 1))) * self.period_s
         shortest, longest = (
             max(shortest, MIN_SUSPICION_S),
             max(MAX_SUSPICION_FACTOR * shortest, MIN_SUSPICION_S),
@@ -167,7 +167,7 @@
             update.name, update.address, update.incarnation, update.boot, update.state, now, suspected_by
         )
         if old is None or previous_state >= DEAD > update.state:
-            self.probe_order.insert(self.random.randint(0, len(self.probe_order)), update.name)
+            self.probe_order.insert(self.rng.randint(0, len(self.probe_order)), update.name)
         self.gossip_queue[update.name] = 0
         if previous_state != update.state or (old is not None and old.boot != update.boot):
             self.changes.append(MemberChange(update, previous_state))
@@ -213,13 +213,13 @@
         if probe is not None and now >= probe.indirect_at:
             probe.indirect_at = math.inf
             others = [record.name for record in self.alive() if record.name != probe.name]
-            for name in self.random.sample(others, min(INDIRECT_PROBES, len(others))):
+            for name in self.rng.sample(others, min(INDIRECT_PROBES, len(others))):
                 probe.pending_helpers.add(name)
                 yield "ask", name, probe.number
             yield "ping", probe.name, probe.number  # a second ping, as the first may have been lost
         if now < self.next_probe or self.active_probe is not None:
             return
-        interval = self.period * (1 + self.local_health)
+        interval = self.period_s * (1 + self.local_health)
         self.next_probe = max(now, self.next_probe + interval) if self.next_probe else now + interval
         target = self._next_probe_target()
         if target is not None:
@@ -229,8 +229,8 @@
             )
             yield "ping", target, self.last_probe_number
         dead = [record.name for record in self.records.values() if record.state == DEAD]
-        if dead and self.random.random() < DEAD_PINGS_PER_PERIOD / (len(self.alive()) + 1):
-            yield "ping", self.random.choice(dead), 0
+        if dead and self.rng.random() < DEAD_PINGS_PER_PERIOD / (len(self.alive()) + 1):
+            yield "ping", self.rng.choice(dead), 0
 
     def next_due(self) -> float:
         """The time at which ``tick`` has to be called next."""
@@ -250,7 +250,7 @@
             if name in self.records and self.records[name].state <= SUSPECT:
                 return name
         self.probe_order = [record.name for record in self.alive()]
-        self.random.shuffle(self.probe_order)
+        self.rng.shuffle(self.probe_order)
         return self.probe_order.pop() if self.probe_order else None
 
     def _expire_states(self, now: float) -> None:
--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -83,25 +83,25 @@
         seeds: Sequence[str],
         rng: random.Random,
         wall_ms: Callable[[], float],
-        period: float = 0.2,
+        period_s: float = 0.2,
         epoch: int = 0,
     ) -> None:
         """Frames are sent under the first of ``keys`` and accepted under any of them.
 
-        ``seeds`` are addresses of members to join; ``wall_ms`` returns Unix time in ms; ``period`` is the
-        probe period in seconds.  ``epoch`` numbers this start of the balancer and must be higher than that
+        ``seeds`` are addresses of members to join; ``wall_ms`` returns Unix time in ms; ``period_s`` is
+        the probe period.  ``epoch`` numbers this start of the balancer and must be higher than that
         of earlier starts; 0 takes the wall clock in ms.
         """
-        self.name, self.keys, self.seeds, self.random = name, list(keys), list(seeds), rng
-        self.wall_ms, self.period = wall_ms, period
+        self.name, self.keys, self.seeds, self.rng = name, list(keys), list(seeds), rng
+        self.wall_ms, self.period_s = wall_ms, period_s
         boot = rng.getrandbits(63) | 1
         epoch = epoch or int(wall_ms())
-        self.members = Membership(name, address, epoch, boot, period, rng)
+        self.members = Membership(name, address, epoch, boot, period_s, rng)
         self.store = Store(name, epoch)
         self.replay_filter = wire.ReplayFilter(name, boot)
         self.clock = HybridClock()
         self.counts = TrafficCounts()
-        self.seq = 0
+        self.last_seq = 0
         self.outbox: list[tuple[str, bytes]] = []  # (address, datagram) to send
         self.events: list[object] = []  # MemberChange, CaughtUp, DuplicateName
         self.pulls: dict[str, ActivePull] = {}  # by owner
@@ -142,7 +142,7 @@
         self.leaving = True
         self.members.leave()
         alive = [record.name for record in self.members.alive()]
-        for name in self.random.sample(alive, min(LEAVE_FANOUT, len(alive))):
+        for name in self.rng.sample(alive, min(LEAVE_FANOUT, len(alive))):
             self._send_to_member(name, wire.Gossip(), now)
 
     # -- time --------------------------------------------------------------------------------------------
@@ -164,13 +164,13 @@
                 del self.members.relayed_probes[number]
                 self._send_to_member(requester, wire.Nack(requester_number), now)
         if now >= self.next_gossip:
-            self.next_gossip = max(now, self.next_gossip + self.period)
+            self.next_gossip = max(now, self.next_gossip + self.period_s)
             self._gossip(now)
             self.store.expire_tombstones(now)
         if now >= self.next_join:
             self._join(now)
         if now >= self.next_comparison:
-            self.next_comparison = max(now, self.next_comparison + COMPARISON_PERIODS * self.period)
+            self.next_comparison = max(now, self.next_comparison + COMPARISON_PERIODS * self.period_s)
             self._start_comparison(now)
         for name, deadline in list(self.forget_at.items()):
             if now >= deadline:
@@ -184,7 +184,7 @@
 
     def _join(self, now: float) -> None:
         """Ping the seeds that are not known members, less often once other members are known."""
-        self.next_join = now + self.period * (1.0 if not self.members.alive() else 4.0)
+        self.next_join = now + self.period_s * (1.0 if not self.members.alive() else 4.0)
         known = {record.address for record in self.members.records.values()} | {self.members.local.address}
         for address in self.seeds:
             if address not in known:
@@ -196,7 +196,7 @@
             return
         self.counts.shed += self.store.shed_gossip(MAX_QUEUED_ENTRIES)
         alive = [record.name for record in self.members.alive()]
-        for name in self.random.sample(alive, min(GOSSIP_FANOUT, len(alive))):
+        for name in self.rng.sample(alive, min(GOSSIP_FANOUT, len(alive))):
             self._send_to_member(name, wire.Gossip(), now)
 
     def _start_comparison(self, now: float) -> None:
@@ -205,7 +205,7 @@
             del self.pulls[owner]
         alive = [record.name for record in self.members.alive()]
         if alive:
-            self._send_to_member(self.random.choice(alive), wire.RootHash(self.store.root_hash()), now)
+            self._send_to_member(self.rng.choice(alive), wire.RootHash(self.store.root_hash()), now)
 
     # -- sending -----------------------------------------------------------------------------------------
 
@@ -237,13 +237,13 @@
 
         ``members`` are sent in place of gossip.
         """
-        local, self.seq = self.members.local, self.seq + 1
+        local, self.last_seq = self.members.local, self.last_seq + 1
         frame = Frame(
             self.name,
             local.address,
             local.incarnation,
             local.boot,
-            self.seq,
+            self.last_seq,
             receiver,
             receiver_boot,
             body,
@@ -351,7 +351,7 @@
             and frame.receiver_boot != self.members.local.boot
             and now >= self.next_stale_reply
         ):
-            self.next_stale_reply = now + self.period
+            self.next_stale_reply = now + self.period_s
             self._send_frame(frame.address, frame.sender, 0, wire.Ping(0), now)
 
     def _on_duplicate_name(self, frame: Frame, now: float) -> None:
@@ -417,7 +417,7 @@
         self.members.relayed_probes[self.members.last_probe_number] = (
             frame.sender,
             body.number,
-            now + 0.5 * self.period,
+            now + 0.5 * self.period_s,
         )
         self._ping(body.name, self.members.last_probe_number, now)
 
@@ -444,7 +444,7 @@
             return
         hashes = self.store.range_hashes(count)
         differing = [index for index in range(count) if hashes[index] != body.hashes[index]]
-        self.random.shuffle(differing)  # ranges that do not fit this time get their turn later
+        self.rng.shuffle(differing)  # ranges that do not fit this time get their turn later
         ranges = differing[:MAX_PULLS]
         self._send_vector(frame.sender, self.store.summaries(set(ranges), count), True, now, count, ranges)
 
@@ -460,7 +460,7 @@
         """Send as many of the summaries as fit one frame; names the ranges only where all of them fit."""
         room = wire.MAX_FRAME_BYTES - 300
         selected = list[wire.OwnerSummary]()
-        self.random.shuffle(summaries)
+        self.rng.shuffle(summaries)
         for summary in summaries:
             room -= wire.encoded_size(summary)
             if room < 0:
@@ -500,7 +500,7 @@
         if start is not None:
             after, full = start
             self.pulls[summary.owner] = ActivePull(
-                peer, now + PULL_RETRY_PERIODS * self.period, set() if full else None
+                peer, now + PULL_RETRY_PERIODS * self.period_s, set() if full else None
             )
             self._send_to_member(peer, wire.PullRequest(summary.owner, summary.epoch, after, full), now)
 
@@ -529,7 +529,7 @@
         if pull.received_seqs is not None:
             pull.received_seqs.update(entry.seq for entry in body.entries)
         if body.more:
-            pull.retry_at = now + PULL_RETRY_PERIODS * self.period
+            pull.retry_at = now + PULL_RETRY_PERIODS * self.period_s
             self._send_to_member(
                 frame.sender, wire.PullRequest(name, summary.epoch, body.up_to, body.full), now
             )
--- a/snowwick/fleet/store.py
+++ b/snowwick/fleet/store.py
@@ -109,7 +109,7 @@
         self.owners: dict[str, OwnerRegisters] = {name: OwnerRegisters(hash_text(name), epoch)}
         # Registers still to gossip, by (owner, kind, key), and how often each was sent
         self.gossip_queue: dict[tuple[str, int, str], int] = {}
-        self.next_sweep = 0.0
+        self.next_tombstone_check = 0.0
         self.rejected = 0  # entries not stored because their owner has reached a limit
 
     # -- writing -----------------------------------------------------------------------------------------
@@ -214,9 +214,9 @@
 
     def expire_tombstones(self, now: float) -> None:
         """Remove tombstones that are older than ``TOMBSTONE_S``; most calls return at once."""
-        if now < self.next_sweep:
+        if now < self.next_tombstone_check:
             return
-        self.next_sweep = now + 0.1 * TOMBSTONE_S
+        self.next_tombstone_check = now + 0.1 * TOMBSTONE_S
         for owner in self.owners.values():
             for key in [
                 key
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -672,7 +672,7 @@
             ],
             [
                 "reading the registers",
-                "`net/fleet.py` (SHARE), `store.Store.live_entries`",
+                "`net/fleet.py` (SHARE_INTERVAL_S), `store.Store.live_entries`",
                 "all of everybody's, four times a second, however rarely they are written",
                 _reading(model),
             ],
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -393,7 +393,9 @@
     load_late_p50_s: float | None  # since the first load was written that is not held yet; 0 where none is
     load_late_p99_s: float | None
     load_error: float | None
-    heed_core: float | None  # beside ``core``: reading all registers each SHARE, as the program does
+    heed_core: (
+        float | None
+    )  # beside ``core``: reading all registers each SHARE_INTERVAL_S, as the program does
     shed: float
     start_bytes: float | None
     start_s: float | None
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -80,8 +80,8 @@
         self.differing_members: frozenset[str] = frozenset()  # members with another revision
         self.leases: Leases | None = None
         self.contracts: Contracts | None = None  # the contracts that ``revision`` describes
-        self.revision, self.revision_parts = Revision(file.digest), 0
-        self.next_rights = 0.0
+        self.revision, self.revision_part_count = Revision(file.digest), 0
+        self.next_demand_measurement = 0.0
         self.budget_usage: dict[str, float] = {}
 
     @staticmethod
@@ -311,11 +311,11 @@
             self.leases = Leases(self.node.name, stage.budgets(), now)
         leases, epoch = self.leases, self.node.store.owners[self.node.name].epoch
         leases.update_shares(stage.budgets(), now)
-        if now >= self.next_rights:
+        if now >= self.next_demand_measurement:
             self.budget_usage, wanted = stage.measure_demand(
-                max(SHARE_INTERVAL_S, now - self.next_rights + RENEW_S)
+                max(SHARE_INTERVAL_S, now - self.next_demand_measurement + RENEW_S)
             )
-            self.next_rights = now + RENEW_S
+            self.next_demand_measurement = now + RENEW_S
             for key, amount in wanted.items():
                 leases.budgets[key].record_demand(amount, now)
         boots = {
@@ -358,7 +358,7 @@
             dict(limits[start : start + registers.LIMITS_PER_REGISTER])
             for start in range(0, len(limits), registers.LIMITS_PER_REGISTER)
         ] or [{}]
-        for number in range(max(len(parts), self.revision_parts)):
+        for number in range(max(len(parts), self.revision_part_count)):
             self._write_register(
                 registers.REVISION,
                 f"{number:04}",
@@ -367,7 +367,7 @@
                 else None,
                 now,
             )
-        self.revision_parts = len(parts)
+        self.revision_part_count = len(parts)
         others = self.register_view.revisions(now)
         differing = frozenset(
             name
