--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -102,7 +102,7 @@
 def test_cost_of_resetting_a_timer_does_not_depend_on_the_number_of_timers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """``sched.scheduler.cancel`` searches and sorts the whole queue, thousands of events at 4,000 connections.
+    """``scheduler.cancel`` searches and sorts the whole queue, thousands of events at 4,000 connections.
 
     Firing costs at most the depth of the heap, which has no more events than the longest wait has ms.
     """
