--- a/snowwick/net/peer.py
+++ b/snowwick/net/peer.py
@@ -158,7 +158,7 @@
         """Called when input has been discarded because this side is closing."""
 
     def on_lines(self, data: bytes) -> None:
-        """Called with whole lines that this side has received."""
+        """Called with the input that this side is about to relay."""
 
     def on_input_ended(self) -> None:
         """Called when the input of this side has ended; the other side may have ended before."""
