--- a/snowwick/fleet/file.py
+++ b/snowwick/fleet/file.py
@@ -57,7 +57,7 @@
     digest: str  # of the settings that should be the same at all balancers; a difference is logged
 
 
-def _key(reader: TomlReader, path: str, name: str, folder: Path) -> bytes | None:
+def _read_key(reader: TomlReader, path: str, name: str, folder: Path) -> bytes | None:
     """Read a key file, which only its owner may be able to access; None where there is a fault."""
     file_path = folder / name
     try:
@@ -92,7 +92,7 @@
     keys: list[bytes] = []
     if links is not None:
         for path, name in (("links.key_file", links.key_file), ("links.old_key_file", links.old_key_file)):
-            if name is not None and (key := _key(reader, path, name, folder)) is not None:
+            if name is not None and (key := _read_key(reader, path, name, folder)) is not None:
                 keys.append(key)
         for path, address in [
             ("links.listen", links.listen),
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -204,7 +204,7 @@
     # -- publishing --------------------------------------------------------------------------------------
 
     def share_state(self, now: float) -> None:
-        """Publish what the fleet file says and apply what other members published."""
+        """Publish the state that the fleet file selects, and apply what other members published."""
         share, pool = self.file.share, self.host.pool_config
         if share.health:
             self._share_health(now, len(pool.addresses))
@@ -225,7 +225,7 @@
             self.node.write(kind, key, data, now, remaining_s)
 
     def _share_health(self, now: float, destination_count: int) -> None:
-        """Publish own verdicts and tell the balancer which destinations to avoid."""
+        """Publish own verdicts, and report to the balancer the destinations that others found silent."""
         health = self.health
         for destination, answered_at in self.host.last_answer_times():
             destination_health = health.destinations.setdefault(destination, registers.DestinationHealth())
