--- a/snowwick/lab/scale.py
+++ b/snowwick/lab/scale.py
@@ -121,7 +121,7 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends it
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
     try:
-        row = scale_simulated.play(
+        row = scale_simulated.run_workload(
             workload, lambda text: pipe.send(("say", text)), lambda row: pipe.send(("keep", row))
         )
         pipe.send(("done", row))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,7 +20,14 @@
 from snowwick.fleet.node import Node
 from snowwick.lab import scale, scale_simulated
 from snowwick.lab.network import Network
-from snowwick.lab.scale_simulated import Deaths, Played, Times, joined, longest_suspicion, play
+from snowwick.lab.scale_simulated import (
+    DeathReports,
+    DurationHistogram,
+    SimulatedFleet,
+    join_all,
+    max_suspicion_s,
+    run_workload,
+)
 from snowwick.lab.workload import (
     TARGET_MEMBERS,
     EventKind,
@@ -121,33 +128,33 @@
 
 
 def test_times_keep_three_digits() -> None:
-    times = Times()
+    times = DurationHistogram()
     for n in range(1, 1001):
         times.add(n / 100.0)
     for percentile, want in ((50.0, 5.0), (99.0, 9.9), (100.0, 10.0)):
-        found = times.at(percentile)
+        found = times.at_percentile(percentile)
         assert found is not None and abs(found - want) <= 0.002 * want
-    assert Times().at(50.0) is None
-    assert times.with_more([100.0]).at(100.0) == pytest.approx(100.0, rel=0.002)
-    assert times.at(100.0) == pytest.approx(10.0, rel=0.002)
+    assert DurationHistogram().at_percentile(50.0) is None
+    assert times.with_added([100.0]).at_percentile(100.0) == pytest.approx(100.0, rel=0.002)
+    assert times.at_percentile(100.0) == pytest.approx(10.0, rel=0.002)
 
 
 def test_a_true_death_that_spreads_on_is_never_a_false_one() -> None:
-    deaths, said = Deaths(), wire.Member("m1", "m1", 5, 2, 7)
-    deaths.said(said, True, 1.0)
-    deaths.said(said, False, 2.0)
-    assert not deaths.false
+    deaths, member = DeathReports(), wire.Member("m1", "m1", 5, 2, 7)
+    deaths.record(member, True, 1.0)
+    deaths.record(member, False, 2.0)
+    assert not deaths.false_positives
     again = wire.Member("m1", "m1", 6, 2, 7)
-    deaths.said(again, False, 3.0)
-    deaths.said(again, False, 4.0)
-    assert deaths.false == {("m1", 7, 6): 3.0}
+    deaths.record(again, False, 3.0)
+    deaths.record(again, False, 4.0)
+    assert deaths.false_positives == {("m1", 7, 6): 3.0}
 
 
-def a_fleet(members: int = 6) -> Played:
-    fleet = Played(Workload(members, loss=0.0))
+def a_fleet(members: int = 6) -> SimulatedFleet:
+    fleet = SimulatedFleet(Workload(members, loss=0.0))
     for name in fleet.machines:
-        fleet.first_words(name)
-    joined(fleet)
+        fleet.write_initial_registers(name)
+    join_all(fleet)
     return fleet
 
 
@@ -155,25 +162,29 @@
     fleet = a_fleet()
     fleet.partition(["m3"])
     fleet.run(30.0)
-    assert {name for name, _, _ in fleet.deaths.true} == set(fleet.machines) and not fleet.deaths.false
+    assert {name for name, _, _ in fleet.death_reports.true_positives} == set(
+        fleet.machines
+    ) and not fleet.death_reports.false_positives
     fleet.heal()
     fleet.run(60.0, fleet.has_converged, 0.2)
-    assert fleet.has_converged() and not fleet.deaths.false
+    assert fleet.has_converged() and not fleet.death_reports.false_positives
 
 
 def test_who_is_said_dead_without_a_reason_dies_falsely() -> None:
     fleet = a_fleet()
     Network.pause(fleet, "m3", 25.0)  # behind the back of what judges deaths
     fleet.run(20.0)
-    assert {name for name, _, _ in fleet.deaths.false} == {"m3"}
+    assert {name for name, _, _ in fleet.death_reports.false_positives} == {"m3"}
 
 
 def test_who_is_stopped_for_longer_than_a_suspicion_dies_truly() -> None:
     fleet = a_fleet()
     fleet.pause("m3", 25.0)
     fleet.run(20.0)
-    assert {name for name, _, _ in fleet.deaths.true} == {"m3"} and not fleet.deaths.false
-    assert longest_suspicion(6, 0.2) == 3.0 < longest_suspicion(5700, 0.2)
+    assert {name for name, _, _ in fleet.death_reports.true_positives} == {
+        "m3"
+    } and not fleet.death_reports.false_positives
+    assert max_suspicion_s(6, 0.2) == 3.0 < max_suspicion_s(5700, 0.2)
 
 
 def test_a_core_whose_start_is_over_leaves_no_memory_behind() -> None:
@@ -183,14 +194,14 @@
     gc.disable()
     try:
         before = sum(isinstance(one, Node) for one in gc.get_objects())
-        fleet.gone("m3")
+        fleet.stop_member("m3")
         fleet.run(6.0)
-        fleet.comes("m3")
+        fleet.restart_member("m3")
         fleet.run(9.0)
         assert sum(isinstance(one, Node) for one in gc.get_objects()) == before
     finally:
         gc.enable()
-    assert fleet.has_converged() and not fleet.deaths.false
+    assert fleet.has_converged() and not fleet.death_reports.false_positives
 
 
 # -- a fleet that starts joined --------------------------------------------------------------------------
@@ -243,7 +254,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_started_joined_equals_joined_by_itself(seed: int) -> None:
     at_once, by_itself = written(seed), written(seed)
-    joined(at_once)
+    join_all(at_once)
     assert at_once.has_converged()
     by_itself.run(60.0, by_itself.has_converged, 0.05)
     assert by_itself.has_converged()
@@ -305,7 +316,7 @@
 
 
 def test_the_same_course_is_played_again() -> None:
-    first, second = play(SMALL, quiet, quiet), play(SMALL, quiet, quiet)
+    first, second = run_workload(SMALL, quiet, quiet), run_workload(SMALL, quiet, quiet)
     for name in ("bytes_out", "datagrams_in", "everywhere_p99_s", "load_age_p99_s", "start_bytes", "start_s"):
         assert first[name] == second[name]
 
