--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -15,14 +15,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from crowgap import interface as i
+from crowgap import interface
 from crowgap.interface import NOT_EXECUTED as NOT_EXECUTED
 from crowgap.policy import Balancer
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 
-Outcome = i.Outcome
-PoolUpdate = i.ListUpdate
-PoolEntry = i.BackendEntry
+Outcome = interface.Outcome
+PoolUpdate = interface.ListUpdate
+PoolEntry = interface.BackendEntry
 
 
 class Client(Protocol):
@@ -162,7 +162,7 @@
     def __init__(
         self,
         loop: Loop,
-        settings: i.Settings,
+        settings: interface.Settings,
         seed: int,
         now_ms: Callable[[], float],
         watch_pool: Callable[[], None],
@@ -198,10 +198,10 @@
                 if unsent_step is not None:
                     self._handle(unsent_step)
             while self.timers and self.timers[0][0] <= self.now_ms():
-                self._handle(i.TimerDue(heapq.heappop(self.timers)[1]))
+                self._handle(interface.TimerDue(heapq.heappop(self.timers)[1]))
 
-    def _unsent_step(self, message: object) -> i.Ended | None:
-        """Return the end of a route step that its client left before starting, in the same turn of the loop.
+    def _unsent_step(self, message: object) -> interface.Ended | None:
+        """Return the end of a route step that never started, since its client left in the turn of its order.
 
         Without this event the module would keep the step forever and count it at its backend.
         """
@@ -212,15 +212,15 @@
         )
         if number is None or number not in self.active_steps:
             return None
-        return i.Ended(
+        return interface.Ended(
             number, self.attempt_counts[number] - 1, self.active_steps[number], Outcome.UNSENT, 0.0, True
         )
 
-    def _translate(self, message: object) -> i.Event | None:
+    def _translate(self, message: object) -> interface.Event | None:
         if isinstance(message, PoolUpdate):
             return message
         if isinstance(message, ConnectionRequested):
-            return i.Request(
+            return interface.Request(
                 self._assign_number(message.client, 0),
                 message.class_name,
                 message.max_wait_ms,
@@ -229,7 +229,7 @@
                 message.tenant,
             )
         if isinstance(message, ConnectionResumed):
-            return i.ExistingConnection(
+            return interface.ExistingConnection(
                 self._assign_number(message.client, 1),
                 message.class_name,
                 message.destination,
@@ -238,9 +238,9 @@
                 message.tenant,
             )
         if isinstance(message, DestinationSilent):
-            return i.BackendSilent(message.destination)
+            return interface.BackendSilent(message.destination)
         if isinstance(message, ProbeAnswer):
-            return i.ProbeResult(message.destination, message.elapsed_ms, message.load)
+            return interface.ProbeResult(message.destination, message.elapsed_ms, message.load)
         assert isinstance(
             message, RouteStepEstablished | RouteStepEnded | ClientLeft | MessageDelay | LoadReport
         )
@@ -249,23 +249,23 @@
             return None
         attempt = self.attempt_counts[number] - 1
         if isinstance(message, RouteStepEstablished):
-            return i.Established(number, attempt, message.destination, message.elapsed_ms)
+            return interface.Established(number, attempt, message.destination, message.elapsed_ms)
         if isinstance(message, RouteStepEnded):
             self.active_steps.pop(number, None)
             if message.final:
                 self._forget(number)
-            return i.Ended(
+            return interface.Ended(
                 number, attempt, message.destination, message.outcome, message.elapsed_ms, message.final
             )
         if isinstance(message, MessageDelay):
-            return i.DelayReport(number, message.destination, message.delay_ms)
+            return interface.DelayReport(number, message.destination, message.delay_ms)
         if isinstance(message, LoadReport):
-            return i.LoadReport(number, message.destination, message.load)
+            return interface.LoadReport(number, message.destination, message.load)
         if not message.step_active:
             self._forget(number)
-        return i.ClientLeft(number)
+        return interface.ClientLeft(number)
 
-    def update_tenants(self, settings: i.Settings) -> None:
+    def update_tenants(self, settings: interface.Settings) -> None:
         """Replace the tenants; the module derives capacity from their quotas with the next list update."""
         self.balancer.settings = settings
         self.balancer.total_quota = sum(tenant.quota for tenant in settings.tenants)
@@ -297,7 +297,7 @@
             del self.request_numbers[client], self.attempt_counts[number]
             self.active_steps.pop(number, None)
 
-    def _handle(self, event: i.Event) -> None:
+    def _handle(self, event: interface.Event) -> None:
         try:
             actions = self.balancer.handle(self.now_ms(), event)
         except Exception as error:
@@ -311,33 +311,35 @@
             # Actions decided before the fault still count: without its timer the module's periodic check
             # would never run again.
             actions = list(self.balancer.pending_actions)
-            if isinstance(event, i.Request) and not any(
+            if isinstance(event, interface.Request) and not any(
                 getattr(action, "request", None) == event.request for action in actions
             ):
-                self._handle(i.ClientLeft(event.request))
-                actions.append(i.Fail(event.request))  # abandoned, so answered at once
+                self._handle(interface.ClientLeft(event.request))
+                actions.append(interface.Fail(event.request))  # abandoned, so answered at once
         for action in actions:
             self._carry_out(action)
 
-    def _carry_out(self, action: i.Action) -> None:
-        if isinstance(action, i.SetTimer):
+    def _carry_out(self, action: interface.Action) -> None:
+        if isinstance(action, interface.SetTimer):
             heapq.heappush(self.timers, (action.at, action.token))
             return
-        if isinstance(action, i.Subscribe):
+        if isinstance(action, interface.Subscribe):
             self.watch_pool()
             return
-        if isinstance(action, i.Probe):
+        if isinstance(action, interface.Probe):
             self.probe(action.backend, self)
             return
         client = self.clients.get(action.request)
         if client is None:
             return
-        if isinstance(action, i.Send):
+        if isinstance(action, interface.Send):
             self.attempt_counts[action.request] += 1
             self.active_steps[action.request] = action.backend
             client.post(RouteStep(action.backend, action.timeout))
-        elif isinstance(action, i.Move):
+        elif isinstance(action, interface.Move):
             client.post(MoveAway("moved"))
         else:
             self._forget(action.request)
-            client.post(BusyReply(action.retry_after) if isinstance(action, i.Refuse) else FailReply())
+            client.post(
+                BusyReply(action.retry_after) if isinstance(action, interface.Refuse) else FailReply()
+            )
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from crowgap import interface as i
+from crowgap import interface
 from snowwick.broker.pools import Labels
 from snowwick.net.loop import READABLE, TIMED_OUT, WRITABLE, Actor, Coroutine, Loop, Wait
 from snowwick.net.peer import READ_SIZE_BYTES, configure_socket
@@ -29,7 +29,11 @@
 # 2 s after which discovery refuses a waiting call, since a call abandoned earlier costs discovery as much.
 FIRST_CALL_EXTRA_S = 2.125
 MAX_RETRY_PAUSE_S = 0.5  # after a failed call; randomized down to half of it, so that calls are spread
-STATES = {"in_service": i.State.READY, "terminating": i.State.DRAINING, "terminated": i.State.GONE}
+STATES = {
+    "in_service": interface.State.READY,
+    "terminating": interface.State.DRAINING,
+    "terminated": interface.State.GONE,
+}
 # Interval between calls if an answer has no changes and was not held. Discovery continues a watch if the next
 # call comes within 0.2 s of the answer.
 POLL_INTERVAL_S = 0.1
@@ -99,9 +103,9 @@
         # By destination number
         self.addresses: dict[int, tuple[str, int]] = {}
         self.labels: dict[int, Labels] = {}  # by which destinations are assigned to pools
-        self.entries: dict[int, i.BackendEntry] = {}
+        self.entries: dict[int, interface.BackendEntry] = {}
 
-    def apply(self, message: Any, kind: i.ListKind | None = None) -> i.ListUpdate:
+    def apply(self, message: Any, kind: interface.ListKind | None = None) -> interface.ListUpdate:
         """Apply a list in discovery's format. Raises CallFailed and then changes nothing.
 
         A list with an unreadable entry is refused once, since an entry damaged in transit is correct the next
@@ -124,7 +128,7 @@
                 errors.append(f"{type(error).__name__} {error}")
                 if isinstance(server, dict) and isinstance(server.get("id"), str):
                     unreadable.append(destination_number(server["id"]))
-        if errors and errors != self.refused_errors and kind is not i.ListKind.RESTORED:
+        if errors and errors != self.refused_errors and kind is not interface.ListKind.RESTORED:
             self.refused_errors = errors
             raise CallFailed(f"{len(errors)} unreadable entries, the first: {errors[0]}")
         for error_text in errors:
@@ -138,22 +142,22 @@
         if full:
             self.addresses, self.labels, self.entries = {}, {}, {}
         for address, entry, labels in rows:
-            if entry.state is i.State.GONE:
+            if entry.state is interface.State.GONE:
                 for table in (self.addresses, self.labels, self.entries):
                     table.pop(entry.backend, None)
             else:
                 self.addresses[entry.backend], self.labels[entry.backend] = address, labels
                 self.entries[entry.backend] = entry
-        kind = kind or (i.ListKind.FULL if full else i.ListKind.CHANGES)
-        return i.ListUpdate(kind, [entry for _, entry, _ in rows])
+        kind = kind or (interface.ListKind.FULL if full else interface.ListKind.CHANGES)
+        return interface.ListUpdate(kind, [entry for _, entry, _ in rows])
 
     @staticmethod
     def _labels(server: dict[str, Any]) -> Labels:
         return Labels(str(server.get("kind", "")), str(server.get("zone", "")), str(server.get("cell", "")))
 
     @staticmethod
-    def _entry(server: dict[str, Any]) -> i.BackendEntry:
-        return i.BackendEntry(
+    def _entry(server: dict[str, Any]) -> interface.BackendEntry:
+        return interface.BackendEntry(
             destination_number(server["id"]),
             STATES[server["state"]],
             str(server.get("zone", "")),
@@ -172,7 +176,7 @@
         self,
         loop: Loop,
         address: tuple[str, int],
-        on_update: Callable[[i.ListUpdate], None],
+        on_update: Callable[[interface.ListUpdate], None],
         random_fraction: Callable[[], float],
         drain_grace_s: float | None = None,
     ) -> None:
@@ -267,7 +271,7 @@
                     self.full_list_needed = True
                     self._disconnect()  # else a late second answer might be taken for the whole list
                     continue
-                update = self.config.apply(answer, i.ListKind.FULL if self.full_list_needed else None)
+                update = self.config.apply(answer, interface.ListKind.FULL if self.full_list_needed else None)
                 self.full_list_needed = self.failing = False
             except CallSuperseded:
                 continue  # neither the answer nor a failure of the old discovery counts
@@ -282,7 +286,7 @@
                 self._disconnect()
                 if self.pushed:  # no decider has subscribed
                     return self.loop.clock() + self.poll_interval_s
-                self.on_update(i.ListUpdate(i.ListKind.FAILED))
+                self.on_update(interface.ListUpdate(interface.ListKind.FAILED))
                 watch_timed_out = reused_connection and isinstance(error, TimedOut)
                 return self.loop.clock() + (
                     0.0 if watch_timed_out else MAX_RETRY_PAUSE_S * (0.5 + 0.5 * self.random_fraction())
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -124,7 +124,7 @@
         self.idle: dict[Front, None] = {}  # clients without a pending request, the longest idle first
         self.socket_limit = config.sockets - OWN_SOCKETS
         self.draining = False
-        self.offset_ms = 1000.0 * (time.time() - self.loop.clock())
+        self.unix_offset_ms = 1000.0 * (time.time() - self.loop.clock())  # from the loop's clock to Unix time
         self.pool_deciders = PoolDeciders(
             self.make_decider, self.settings_for, lambda: self.pool.config.labels
         )
@@ -143,7 +143,7 @@
         self.contract_stage = self.make_contract_stage(contracts()) if contracts is not None else None
         stages = [
             OpeningStage(config.deadlines, config.tenants),
-            CapacityStage(self.full, self.retry_after_ms),
+            CapacityStage(self.refusal_reason, self.retry_after_ms),
             self.contract_stage,
             DeciderStage(self.choose_decider),
         ]
@@ -251,7 +251,7 @@
 
     def now_ms(self) -> float:
         """Unix time in ms, monotonic. The start times in discovery's list use the same clock."""
-        return self.offset_ms + 1000.0 * self.loop.clock()
+        return self.unix_offset_ms + 1000.0 * self.loop.clock()
 
     def start(self) -> None:
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -400,7 +400,7 @@
             detail=front.detail,
         )
 
-    def full(self) -> str:
+    def refusal_reason(self) -> str:
         """Return the reason code if no new request may be accepted, else an empty string."""
         return "draining" if self.draining else "no-sockets" if self.short_of_sockets() else ""
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from test_contracts_net import POOLS
 from wire import SETTINGS, World
 
-from crowgap import interface as i
+from crowgap import interface
 from crowgap.benchlink import Adapter
 
 QUOTAS: dict[str, Any] = {
@@ -86,7 +86,7 @@
     attach("b", "non_idempotent")
     second = adapter.balancers[1]
     assert first is not None and second is not None and second is not first
-    assert second.classes.keys() == {"b"} and second.classes["b"].effect is i.Effect.UNSAFE
+    assert second.classes.keys() == {"b"} and second.classes["b"].effect is interface.Effect.UNSAFE
     assert first.classes.keys() == {"a"}
 
 
@@ -95,7 +95,7 @@
     first = BalancerHarness()
     for n in range(20):
         for action in first.send_request(n, f"g{n}"):
-            if isinstance(action, i.Send):
+            if isinstance(action, interface.Send):
                 first.establish(action)
     second = BalancerHarness()
     assert not second.balancer.flows and not second.balancer.groups and second.balancer.open_connections == 0
