--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -1,7 +1,8 @@
-"""The rig: real balancers as processes on loopback, with a proxy on every link between them.
+"""Test rig: real balancers as processes on loopback, with a proxy on each link between them.
 
-The test's own loop plays nodes, discovery, clients and proxies; ``until`` turns it until a condition holds.
-A link is one way, from one balancer to another or to discovery, so that cuts and faults can be one way too.
+The event loop of the test runs the destinations, discovery, the clients and the proxies; ``wait_until`` runs
+it until a condition holds.  A link carries one direction, from one balancer to another or to discovery, so
+that cuts and faults can also affect one direction only.
 """
 
 from __future__ import annotations
@@ -34,11 +35,14 @@
 from snowwick.net.peer import configure_socket
 from snowwick.net.status_client import request_status
 
-WAIT_TIMEOUT_S = 15.0  # s that a condition may take
+WAIT_TIMEOUT_S = 15.0  # for a condition to hold
 
 
 class LinkProxy(Actor):
-    """Carries datagrams one way, with faults; ``cut`` and the rest may change at any time."""
+    """Forwards datagrams in one direction, with faults that may be changed while it runs.
+
+    ``cut`` drops every datagram.
+    """
 
     def __init__(self, loop: Loop, host: str, seed: int) -> None:
         super().__init__(loop)
@@ -47,69 +51,77 @@
         self.sock.setblocking(False)
         self.address = bound_address(self.sock)
         self.target_address: tuple[str, int] = ("", 0)
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.cut = False
-        # Fractions of the datagrams, and the longest random delay of one
+        # Probabilities of each datagram, and the upper limit of its random delay
         self.loss_probability = self.duplicate_probability = self.corrupt_probability = self.max_delay_s = 0.0
-        self.max_datagrams_per_s = 0.0  # datagrams a second, 0 for any number
-        self.datagrams_forwarded, self.delayed_datagrams = 0, list[tuple[float, bytes]]()
-        self.next_allowed_at = 0.0
+        self.max_datagrams_per_s = 0.0  # 0 for no limit
+        self.datagrams_forwarded = 0
+        self.delayed_datagrams = list[tuple[float, bytes]]()  # with the time at which each is due
+        self.next_allowed_at = 0.0  # under the rate limit
 
     def run(self) -> Coroutine:
         while True:
             yield Wait(
-                self.sock, read=True, until=min((at for at, _ in self.delayed_datagrams), default=None)
+                self.sock,
+                read=True,
+                until=min((due_at for due_at, _ in self.delayed_datagrams), default=None),
             )
             with contextlib.suppress(BlockingIOError):
                 while True:
                     self.enqueue(self.sock.recv(65536))
             now = self.loop.clock()
-            ready = [one for one in self.delayed_datagrams if one[0] <= now]
-            self.delayed_datagrams = [one for one in self.delayed_datagrams if one[0] > now]
-            for _, data in sorted(ready):
+            due = [delayed for delayed in self.delayed_datagrams if delayed[0] <= now]
+            self.delayed_datagrams = [delayed for delayed in self.delayed_datagrams if delayed[0] > now]
+            for _, datagram in sorted(due):
                 self.datagrams_forwarded += 1
                 with contextlib.suppress(OSError):
-                    self.sock.sendto(data, self.target_address)
+                    self.sock.sendto(datagram, self.target_address)
 
-    def enqueue(self, data: bytes) -> None:
-        chance, now = self.random.random, self.loop.clock()
-        if self.cut or chance() < self.loss_probability:
+    def enqueue(self, datagram: bytes) -> None:
+        """Apply the faults to a received datagram and queue what is left of it."""
+        draw = self.rng.random
+        now = self.loop.clock()
+        if self.cut or draw() < self.loss_probability:
             return
         if self.max_datagrams_per_s:
             if now < self.next_allowed_at:
                 return
             self.next_allowed_at = now + 1.0 / self.max_datagrams_per_s
-        for _ in range(1 + (chance() < self.duplicate_probability)):
-            copy = bytearray(data)
-            if chance() < self.corrupt_probability:
-                copy[self.random.randrange(len(copy))] ^= 1 << self.random.randrange(8)
-            self.delayed_datagrams.append((now + self.max_delay_s * chance(), bytes(copy)))
+        for _ in range(1 + (draw() < self.duplicate_probability)):
+            copy = bytearray(datagram)
+            if draw() < self.corrupt_probability:
+                copy[self.rng.randrange(len(copy))] ^= 1 << self.rng.randrange(8)
+            self.delayed_datagrams.append((now + self.max_delay_s * draw(), bytes(copy)))
 
 
 def bound_address(sock: socket.socket) -> str:
+    """``host:port`` that a socket is bound to."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
 
 @dataclass
 class StandInDestination:
-    """A node: ``serve`` answers, ``hang`` takes the opening and says nothing more; PING is always
-    answered.
+    """A destination that runs in the rig.
+
+    In the mode ``serve`` it answers; in the mode ``hang`` it accepts an opening and sends nothing more.  It
+    answers PING in both.
     """
 
     id: str
     address: str
     mode: str = "serve"
-    opening_times: list[float] = field(default_factory=list)  # when an opening came
+    opening_times: list[float] = field(default_factory=list)  # on the loop's clock
     established: int = 0
 
 
 class DestinationConnection(LineConnection):
-    """A node's side of a connection."""
+    """A destination's side of a connection."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, node: StandInDestination) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, destination: StandInDestination) -> None:
         super().__init__(loop, sock)
-        self.destination = node
+        self.destination = destination
 
     def handle_connection(self) -> Coroutine:
         first = yield from self.read_line()
@@ -129,25 +141,31 @@
 
 
 class Discovery:
-    """The list, its versions, and a door for each balancer that can be shut."""
+    """Discovery's list with its versions, and a listening socket for each balancer.
+
+    For each balancer, discovery can be made unreachable or limited to an old version of the list.
+    """
 
     def __init__(self, loop: Loop) -> None:
-        self.loop, self.version = loop, 1
+        self.loop = loop
+        self.version = 1
         self.servers: dict[str, dict[str, Any]] = {}
-        self.change_versions: dict[str, int] = {}
-        self.disconnected_balancers: set[str] = set()
-        self.version_limits: dict[str, int] = {}  # balancers that are told nothing newer than a version
+        self.change_versions: dict[str, int] = {}  # version that last changed each server
+        self.disconnected_balancers: set[str] = set()  # their connections are closed unanswered
+        self.version_limits: dict[str, int] = {}  # newest version that a balancer receives, by its name
 
     def update_server(
         self, id: str, address: str, state: str = "in_service", started_ms: float = 0.0
     ) -> None:
+        """Add or replace a server under a new version of the list."""
         self.version += 1
         self.servers[id] = {"id": id, "addr": address, "state": state, "started_ms": started_ms}
         self.change_versions[id] = self.version
 
     def listen_for(self, name: str) -> str:
+        """Listen for the connections of one balancer; returns the address."""
         sock = listen_on_loopback()
-        Acceptor(self.loop, sock, lambda s: DiscoveryConnection(self, name, s)).start()
+        Acceptor(self.loop, sock, lambda accepted: DiscoveryConnection(self, name, accepted)).start()
         return loopback_address(sock)
 
 
@@ -156,26 +174,30 @@
 
     def __init__(self, discovery: Discovery, name: str, sock: socket.socket) -> None:
         super().__init__(discovery.loop, sock)
-        self.discovery, self.name = discovery, name
+        self.discovery = discovery
+        self.name = name
 
     def handle_connection(self) -> Coroutine:
-        d = self.discovery
+        discovery = self.discovery
         while request := (yield from self.read_line()):
             while (yield from self.read_line()) not in (b"\r\n", b""):
                 pass
             after = int(request.split(b"after=")[1].split(b"&")[0]) if b"after=" in request else 0
             end = self.loop.clock() + 3.0
             while (
-                self.name not in d.disconnected_balancers
-                and min(d.version, d.version_limits.get(self.name, d.version)) <= after
+                self.name not in discovery.disconnected_balancers
+                and min(discovery.version, discovery.version_limits.get(self.name, discovery.version))
+                <= after
                 and self.loop.clock() < end
             ):
                 yield Wait(until=self.loop.clock() + 0.02)
-            if self.name in d.disconnected_balancers:
+            if self.name in discovery.disconnected_balancers:
                 return
-            version = min(d.version, d.version_limits.get(self.name, d.version))
+            version = min(discovery.version, discovery.version_limits.get(self.name, discovery.version))
             rows = [
-                row for id, row in d.servers.items() if after < d.change_versions[id] <= version or not after
+                row
+                for id, row in discovery.servers.items()
+                if after < discovery.change_versions[id] <= version or not after
             ]
             body = json.dumps({"version": version, "full": not after, "servers": rows}).encode()
             self.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
@@ -183,26 +205,32 @@
 
 @dataclass
 class ClientResult:
-    """What a client heard: its final answers (one is right), when, and what came on the connection after."""
+    """What a client received: its final answers, of which one is correct, and how its connection ended.
+
+    Times are in seconds on the loop's clock.
+    """
 
     id: int
     asked_at: float
-    balancer_number: int = 0  # at which balancer
+    balancer_number: int = 0
     final_answers: list[bytes] = field(default_factory=list)
     answered_at: float = 0.0
     moved: bool = False
     ended: bool = False
-    broken: bool = False  # ended without MOVE or by the client
+    broken: bool = False  # ended neither by MOVE nor by the client
 
 
 class Client(LineConnection):
-    """Asks for a connection and keeps it, sending a line now and then, until it is told to go."""
+    """Opens a connection and sends a line now and then, until MOVE or until ``keep_s`` has passed."""
 
     def __init__(
         self, loop: Loop, address: tuple[str, int], result: ClientResult, opening: bytes, keep_s: float
     ) -> None:
         super().__init__(loop, configure_socket(socket.socket()))
-        self.address, self.result, self.opening, self.keep_s = address, result, opening, keep_s
+        self.address = address
+        self.result = result
+        self.opening = opening
+        self.keep_s = keep_s
         self.close_requested = False
 
     def handle_connection(self) -> Coroutine:
@@ -221,13 +249,15 @@
             end = result.answered_at + self.keep_s
             while line and line.startswith(b"UP") and self.loop.clock() < end and not self.close_requested:
                 self.sock.send(b"M\r\n")
-                back = yield from self.read_line(self.loop.clock() + 3.0)
-                if back != b"M\r\n":
-                    result.moved, result.broken = back == b"MOVE\r\n", back != b"MOVE\r\n"
+                reply = yield from self.read_line(self.loop.clock() + 3.0)
+                if reply != b"M\r\n":
+                    result.moved = reply == b"MOVE\r\n"
+                    result.broken = reply != b"MOVE\r\n"
                     break
-                early = yield from self.read_line(self.loop.clock() + 0.2)
-                if early is not None:
-                    result.moved, result.broken = early == b"MOVE\r\n", early != b"MOVE\r\n"
+                unrequested = yield from self.read_line(self.loop.clock() + 0.2)
+                if unrequested is not None:
+                    result.moved = unrequested == b"MOVE\r\n"
+                    result.broken = unrequested != b"MOVE\r\n"
                     break
         except OSError:
             result.broken = True
@@ -237,7 +267,7 @@
 
 @dataclass
 class Balancer:
-    """One real program."""
+    """One process of the real program."""
 
     name: str
     folder: Path
@@ -245,59 +275,64 @@
     process: subprocess.Popen[str] | None = None
     front_address: tuple[str, int] = ("", 0)
     start_count: int = 0
-    ended_on_purpose: bool = False  # by a signal of the rig's
+    ended_on_purpose: bool = False  # by a signal that the rig sent
 
     @property
     def log(self) -> str:
+        """Log of the latest start."""
         return (self.folder / f"log{self.start_count}").read_text()
 
 
 class RunFailed(AssertionError):
-    """A process of the rig's has ended, though nobody ended it."""
+    """A process of the rig has exited unexpectedly, or the members did not find each other in time."""
 
 
 class MemberHostProcess:
-    """One process of hollow members (``snowwick.lab.member_host``), and the socket that it takes its orders
-    from.
-    """
+    """One process of lightweight members (``snowwick.lab.member_host``) and the socket for its commands."""
 
     def __init__(self, folder: Path, number: int) -> None:
-        ours, theirs = socket.socketpair()
-        self.number, self.sock, self.input_buffer = number, ours, bytearray()
-        self.log_path, self.ended_on_purpose = folder / f"hollow{number}.log", False
-        self.member_addresses: dict[str, str] = {}  # of its members, by name
+        own_end, child_end = socket.socketpair()
+        self.number = number
+        self.sock = own_end
+        self.input_buffer = bytearray()
+        self.log_path = folder / f"member_host{number}.log"
+        self.ended_on_purpose = False
+        self.member_addresses: dict[str, str] = {}  # by member name
         self.sock.setblocking(False)
-        with theirs, self.log_path.open("w") as log:
+        with child_end, self.log_path.open("w") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "snowwick.lab.member_host"],
                 cwd=ROOT,
-                stdin=theirs.fileno(),
+                stdin=child_end.fileno(),
                 stdout=subprocess.DEVNULL,
                 stderr=log,
             )
 
     @property
     def log(self) -> str:
+        """What the process has logged."""
         return self.log_path.read_text()
 
-    def send_command(self, do: str, **order: Any) -> None:
+    def send_command(self, command: str, **parameters: Any) -> None:
+        """Send a command without waiting for its answer."""
         self.sock.setblocking(True)
-        with contextlib.suppress(ConnectionError):  # it has ended, which ``Fleet.watch`` finds
-            self.sock.sendall(json.dumps({"do": do, **order}).encode() + b"\n")
+        with contextlib.suppress(ConnectionError):  # ``Fleet.check_processes`` finds that it has exited
+            self.sock.sendall(json.dumps({"do": command, **parameters}).encode() + b"\n")
         self.sock.setblocking(False)
 
     def read_answer(self) -> dict[str, Any] | None:
-        """The next answer, once it is there."""
+        """The next answer; None until it has been received whole."""
         with contextlib.suppress(BlockingIOError, ConnectionError):
             self.input_buffer += self.sock.recv(1 << 20)
         end = self.input_buffer.find(b"\n") + 1
         if not end:
             return None
-        found: dict[str, Any] = json.loads(self.input_buffer[:end])
+        answer: dict[str, Any] = json.loads(self.input_buffer[:end])
         del self.input_buffer[:end]
-        return found
+        return answer
 
     def close(self) -> None:
+        """End the process."""
         self.sock.close()
         if self.process.poll() is None:
             self.process.kill()
@@ -305,7 +340,10 @@
 
 
 class Fleet:
-    """So many balancers, nodes and one discovery; a context that ends all that it started."""
+    """A number of balancers and destinations with one discovery.
+
+    A context manager, which ends every process that it started.
+    """
 
     def __init__(
         self,
@@ -319,12 +357,16 @@
         period_ms: float = 100.0,
         **extra_settings: Any,
     ) -> None:
-        self.loop, self.folder, self.fleet_enabled, self.period_ms = Loop(), folder, fleet_enabled, period_ms
+        self.loop = Loop()
+        self.folder = folder
+        self.fleet_enabled = fleet_enabled
+        self.period_ms = period_ms
         self.member_hosts: list[MemberHostProcess] = []
-        # To a hollow member by the balancer's number and the member's name, and back
+        # From a balancer, by its number, to a lightweight member, by its name
         self.proxies_to_members: dict[tuple[int, str], LinkProxy] = {}
+        # From all lightweight members to a balancer, by its number
         self.proxies_to_balancers: dict[int, LinkProxy] = {}
-        self.random = random.Random(1)
+        self.rng = random.Random(1)
         self.discovery = Discovery(self.loop)
         self.destinations = [self.add_destination(f"s-{n}") for n in range(destination_count)]
         self.contracts = contracts
@@ -335,18 +377,20 @@
         self.client_results: list[ClientResult] = []
         self.clients: list[Client] = []
         hosts = [
-            f"127.{self.random.randrange(60, 120)}.{os.getpid() % 250}.{n + 1}" for n in range(balancer_count)
+            f"127.{self.rng.randrange(60, 120)}.{os.getpid() % 250}.{n + 1}" for n in range(balancer_count)
         ]
         self.balancers = [
             Balancer(f"b{n}", folder / f"b{n}", f"{host}:{free_udp_port(host)}")
             for n, host in enumerate(hosts)
         ]
-        self.links: dict[tuple[int, int], LinkProxy] = {}
-        for one in range(balancer_count):
-            for other in range(balancer_count):
-                if one != other:
-                    link = self.links[one, other] = LinkProxy(self.loop, hosts[other], 100 * one + other)
-                    host, _, port = self.balancers[other].address.rpartition(":")
+        self.links: dict[tuple[int, int], LinkProxy] = {}  # by the numbers of sender and receiver
+        for sender in range(balancer_count):
+            for receiver in range(balancer_count):
+                if sender != receiver:
+                    link = self.links[sender, receiver] = LinkProxy(
+                        self.loop, hosts[receiver], 100 * sender + receiver
+                    )
+                    host, _, port = self.balancers[receiver].address.rpartition(":")
                     link.target_address = host, int(port)
                     link.start()
         for n, balancer in enumerate(self.balancers):
@@ -358,16 +402,16 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        # A second interrupt, as of one who has lost patience, must not leave processes behind.
-        main = threading.current_thread() is threading.main_thread()
-        old = signal.signal(signal.SIGINT, signal.SIG_IGN) if main else None
+        # A second interrupt during the cleanup must not leave processes behind.
+        in_main_thread = threading.current_thread() is threading.main_thread()
+        old_handler = signal.signal(signal.SIGINT, signal.SIG_IGN) if in_main_thread else None
         try:
             for balancer in self.balancers:
                 if balancer.process is not None and balancer.process.poll() is None:
                     balancer.process.kill()
                     balancer.process.wait()
-            for one in self.member_hosts:
-                one.close()
+            for member_host in self.member_hosts:
+                member_host.close()
             self.loop.close()
             for link in [
                 *self.links.values(),
@@ -376,79 +420,94 @@
             ]:
                 link.sock.close()
         finally:
-            if main:
-                signal.signal(signal.SIGINT, old)
+            if in_main_thread:
+                signal.signal(signal.SIGINT, old_handler)
 
     # -- files -------------------------------------------------------------------------------------------
 
     def add_destination(self, id: str, mode: str = "serve", started_ms: float = 0.0) -> StandInDestination:
-        """A node of that name, in the list from now on."""
+        """Start a destination under that name and add it to discovery's list."""
         sock = listen_on_loopback()
-        node = StandInDestination(id, loopback_address(sock), mode)
-        Acceptor(self.loop, sock, lambda s: DestinationConnection(self.loop, s, node)).start()
-        self.discovery.update_server(id, node.address, started_ms=started_ms)
-        return node
-
-    def write_key(self, n: int, key: bytes, name: str = "key") -> None:
-        file = self.balancers[n].folder / name
+        destination = StandInDestination(id, loopback_address(sock), mode)
+        Acceptor(
+            self.loop, sock, lambda accepted: DestinationConnection(self.loop, accepted, destination)
+        ).start()
+        self.discovery.update_server(id, destination.address, started_ms=started_ms)
+        return destination
+
+    def write_key(self, number: int, key: bytes, name: str = "key") -> None:
+        """Write a balancer's key file."""
+        file = self.balancers[number].folder / name
         file.write_bytes(key)
         file.chmod(0o600)
 
-    def write_files(self, n: int, old_key: str = "", name: str = "", **share: Any) -> None:
-        """A balancer's files."""
-        one, others = self.balancers[n], [m for m in range(len(self.balancers)) if m != n]
-        routes = "\n".join(f'"{self.balancers[m].address}" = "{self.links[n, m].address}"' for m in others)
+    def write_files(self, number: int, old_key: str = "", name: str = "", **share: Any) -> None:
+        """Write a balancer's fleet file, contracts and configuration."""
+        balancer = self.balancers[number]
+        others = [other for other in range(len(self.balancers)) if other != number]
+        routes = "\n".join(
+            f'"{self.balancers[other].address}" = "{self.links[number, other].address}"' for other in others
+        )
         routes += "".join(
-            f'\n"{self.member_addresses[name]}" = "{link.address}"'
-            for (of, name), link in self.proxies_to_members.items()
-            if of == n
+            f'\n"{self.member_addresses[member]}" = "{link.address}"'
+            for (sender, member), link in self.proxies_to_members.items()
+            if sender == number
         )
         seeds = json.dumps(
-            [self.balancers[m].address for m in others][:2]
-            + [next(iter(one.member_addresses.values())) for one in self.member_hosts][:2]
+            [self.balancers[other].address for other in others][:2]
+            + [next(iter(member_host.member_addresses.values())) for member_host in self.member_hosts][:2]
         )
-        lines = [f"{key} = {json.dumps(value)}" for key, value in share.items()]
-        old = f'old_key_file = "{old_key}"\n' if old_key else ""
-        (one.folder / "fleet.toml").write_text(
-            f'version = 1\n[links]\nlisten = "{one.address}"\nkey_file = "key"\n{old}seeds = {seeds}\n'
-            f"period_ms = {self.period_ms}\n[links.routes]\n{routes}\n[share]\n" + "\n".join(lines) + "\n"
+        share_lines = [f"{key} = {json.dumps(value)}" for key, value in share.items()]
+        old_key_line = f'old_key_file = "{old_key}"\n' if old_key else ""
+        (balancer.folder / "fleet.toml").write_text(
+            f'version = 1\n[links]\nlisten = "{balancer.address}"\nkey_file = "key"\n{old_key_line}'
+            f"seeds = {seeds}\n"
+            f"period_ms = {self.period_ms}\n[links.routes]\n{routes}\n[share]\n"
+            + "\n".join(share_lines)
+            + "\n"
         )
-        (one.folder / "contracts.toml").write_text(self.contracts)
-        (one.folder / "config.json").write_text(
+        (balancer.folder / "contracts.toml").write_text(self.contracts)
+        (balancer.folder / "config.json").write_text(
             json.dumps(
                 {
                     "listen": "127.0.0.1:0",
-                    "discovery": self.discovery.listen_for(one.name),
-                    "name": name or one.name,
-                    "seed": f"rig{n}",
+                    "discovery": self.discovery.listen_for(balancer.name),
+                    "name": name or balancer.name,
+                    "seed": f"rig{number}",
                     "limits": {"sockets": 2048},
-                    "settings": {**self.settings, "selfIndex": n},
+                    "settings": {**self.settings, "selfIndex": number},
                 }
             )
         )
 
-    def load_fleet_file(self, n: int) -> FleetFile:
-        return load(self.balancers[n].folder / "fleet.toml")
+    def load_fleet_file(self, number: int) -> FleetFile:
+        """A balancer's fleet file as the program reads it."""
+        return load(self.balancers[number].folder / "fleet.toml")
 
-    # -- hollow members ----------------------------------------------------------------------------------
+    # -- lightweight members -----------------------------------------------------------------------------
 
     @property
     def member_addresses(self) -> dict[str, str]:
-        """Of the hollow members, by name."""
-        return {name: address for one in self.member_hosts for name, address in one.member_addresses.items()}
+        """Addresses of the lightweight members by name."""
+        return {
+            name: address
+            for member_host in self.member_hosts
+            for name, address in member_host.member_addresses.items()
+        }
 
     def add_member_host(self, count: int, proxied: bool = False) -> MemberHostProcess:
-        """A process of so many further members, named from the number of all that are there on.
+        """Start a process with ``count`` more members, numbered on from the existing ones.
 
-        Before the balancers start, as their files name some of its members as seeds; ``proxied`` puts a
-        proxy on the way to each of them from each balancer (``out``) and from all of them to each (``back``).
+        To be called before the balancers start, because their files name some of the members as seeds.
+        ``proxied`` puts a proxy on each link from a balancer to a member (``proxies_to_members``) and one
+        before each balancer for all members (``proxies_to_balancers``).
         """
-        one = MemberHostProcess(self.folder, len(self.member_hosts))
-        self.member_hosts.append(one)
+        member_host = MemberHostProcess(self.folder, len(self.member_hosts))
+        self.member_hosts.append(member_host)
         first = len(self.balancers) + len(self.member_addresses)
         file = self.load_fleet_file(0)
-        one.member_addresses = self.run_command(
-            one,
+        member_host.member_addresses = self.run_command(
+            member_host,
             "make",
             first=first,
             count=count,
@@ -460,13 +519,13 @@
         for n, balancer in enumerate(self.balancers if proxied else []):
             if n not in self.proxies_to_balancers:
                 self.proxies_to_balancers[n] = self._start_proxy(balancer.address, 5000 + n)
-            for name, address in one.member_addresses.items():
+            for name, address in member_host.member_addresses.items():
                 self.proxies_to_members[n, name] = self._start_proxy(
                     address, 6000 + len(self.proxies_to_members)
                 )
         for n in range(len(self.balancers)):
             self.write_files(n)
-        return one
+        return member_host
 
     def _start_proxy(self, address: str, seed: int) -> LinkProxy:
         link = LinkProxy(self.loop, "127.0.0.1", seed)
@@ -475,45 +534,50 @@
         link.start()
         return link
 
-    def start_lightweight_members(self, rate: float = 1000.0) -> None:
-        """The hollow members begin to look for the others, so many a second over all processes."""
+    def start_lightweight_members(self, members_per_s: float = 1000.0) -> None:
+        """Let the lightweight members join the fleet, at a rate over all their processes."""
         seeds = [balancer.address for balancer in self.balancers][:2]
-        seeds += [next(iter(one.member_addresses.values())) for one in self.member_hosts][:2]
-        for one in self.member_hosts:
+        seeds += [next(iter(member_host.member_addresses.values())) for member_host in self.member_hosts][:2]
+        for member_host in self.member_hosts:
             self.run_command(
-                one,
+                member_host,
                 "start",
                 seeds=seeds,
-                apart=len(self.member_hosts) / rate,
+                apart=len(self.member_hosts) / members_per_s,
                 routes={
                     self.balancers[n].address: link.address for n, link in self.proxies_to_balancers.items()
                 },
             )
 
-    def run_command(self, one: MemberHostProcess, do: str, **order: Any) -> dict[str, Any]:
-        """Have a hollow process do something; returns its answer."""
-        return self.run_commands([one], do, **order)[0]
+    def run_command(self, member_host: MemberHostProcess, command: str, **parameters: Any) -> dict[str, Any]:
+        """Run a command in one member host; returns its answer."""
+        return self.run_commands([member_host], command, **parameters)[0]
 
-    def run_commands(self, some: Iterable[MemberHostProcess], do: str, **order: Any) -> list[dict[str, Any]]:
-        """The same to several at once."""
-        hosts = list(some)
+    def run_commands(
+        self, member_hosts: Iterable[MemberHostProcess], command: str, **parameters: Any
+    ) -> list[dict[str, Any]]:
+        """Run the same command in several member hosts at once; returns their answers in that order."""
+        hosts = list(member_hosts)
         answers: dict[int, dict[str, Any]] = {}
 
-        def all_there() -> bool:
-            for one in hosts:
-                if one.number not in answers and (answer := one.read_answer()) is not None:
-                    answers[one.number] = answer
+        def all_answered() -> bool:
+            for host in hosts:
+                if host.number not in answers and (answer := host.read_answer()) is not None:
+                    answers[host.number] = answer
             return len(answers) == len(hosts)
 
-        for one in hosts:
-            one.send_command(do, **order)
-        self.wait_until(all_there)
-        return [answers[one.number] for one in hosts]
+        for host in hosts:
+            host.send_command(command, **parameters)
+        self.wait_until(all_answered)
+        return [answers[host.number] for host in hosts]
 
     # -- processes ---------------------------------------------------------------------------------------
 
     def check_processes(self) -> None:
-        """Raises Failed where a process has ended that nobody ended, as a hollow one does at any fault."""
+        """Raise RunFailed if a process has exited that the rig did not end.
+
+        A member host exits at any fault of an actor.
+        """
         for balancer in self.balancers:
             process = balancer.process
             if (
@@ -521,93 +585,108 @@
                 and process.poll() is not None
                 and not (balancer.ended_on_purpose and process.returncode in (0, -signal.SIGKILL))
             ):
+                raise RunFailed(f"{balancer.name} exited with {process.returncode}: {balancer.log[-1500:]}")
+        for member_host in self.member_hosts:
+            if member_host.process.poll() is not None and not member_host.ended_on_purpose:
                 raise RunFailed(
-                    f"{balancer.name} has ended with {process.returncode}: {balancer.log[-1500:]}"
-                )
-        for one in self.member_hosts:
-            if one.process.poll() is not None and not one.ended_on_purpose:
-                raise RunFailed(
-                    f"hollow process {one.number} has ended with {one.process.returncode}: {one.log[-1500:]}"
+                    f"member host {member_host.number} exited with {member_host.process.returncode}: "
+                    f"{member_host.log[-1500:]}"
                 )
 
     def start(self, *numbers: int, skew: float = 0.0) -> None:
-        """Start these balancers, or all; returns once they serve."""
+        """Start these balancers, or all of them; returns once they serve.
+
+        ``skew`` is added to their wall clocks, in seconds.
+        """
         for n in numbers or range(len(self.balancers)):
-            one = self.balancers[n]
-            one.start_count, one.ended_on_purpose = one.start_count + 1, False
-            words = ["-m", "snowwick.lab.clock_skew", str(skew)] if skew else ["-m", "snowwick"]
-            words += ["serve"]
-            words += ["--fleet", str(one.folder / "fleet.toml")] if self.fleet_enabled else []
-            words += ["--contracts", str(one.folder / "contracts.toml")] if self.contracts else []
-            with (one.folder / f"log{one.start_count}").open("w") as log:
-                one.process = subprocess.Popen(
-                    [sys.executable, *words],
+            balancer = self.balancers[n]
+            balancer.start_count, balancer.ended_on_purpose = balancer.start_count + 1, False
+            arguments = ["-m", "snowwick.lab.clock_skew", str(skew)] if skew else ["-m", "snowwick"]
+            arguments += ["serve"]
+            arguments += ["--fleet", str(balancer.folder / "fleet.toml")] if self.fleet_enabled else []
+            arguments += ["--contracts", str(balancer.folder / "contracts.toml")] if self.contracts else []
+            with (balancer.folder / f"log{balancer.start_count}").open("w") as log:
+                balancer.process = subprocess.Popen(
+                    [sys.executable, *arguments],
                     cwd=ROOT,
                     text=True,
                     stderr=log,
                     stdin=subprocess.DEVNULL,
-                    env={**os.environ, "GW_CONFIG": str(one.folder / "config.json")},
+                    env={**os.environ, "GW_CONFIG": str(balancer.folder / "config.json")},
                 )
         for n in numbers or range(len(self.balancers)):
-            one = self.balancers[n]
-            self.wait_until(lambda one=one: "serving on" in one.log)  # type: ignore[misc]
-            host, _, port = one.log.split("serving on ")[1].split()[0].rpartition(":")
-            one.front_address = host, int(port)
-
-    def send_signal(self, n: int, number: signal.Signals) -> None:
-        process = self.balancers[n].process
+            balancer = self.balancers[n]
+            self.wait_until(lambda balancer=balancer: "serving on" in balancer.log)  # type: ignore[misc]
+            host, _, port = balancer.log.split("serving on ")[1].split()[0].rpartition(":")
+            balancer.front_address = host, int(port)
+
+    def send_signal(self, number: int, signal_number: signal.Signals) -> None:
+        """Send a signal to a balancer; returns after its exit if the signal is SIGKILL."""
+        process = self.balancers[number].process
         assert process is not None
-        if number in (signal.SIGKILL, signal.SIGTERM):
-            self.balancers[n].ended_on_purpose = True
-        process.send_signal(number)
-        if number is signal.SIGKILL:
+        if signal_number in (signal.SIGKILL, signal.SIGTERM):
+            self.balancers[number].ended_on_purpose = True
+        process.send_signal(signal_number)
+        if signal_number is signal.SIGKILL:
             process.wait()
 
     # -- the loop ----------------------------------------------------------------------------------------
 
     def wait_until(self, condition: Callable[[], bool], timeout_s: float = WAIT_TIMEOUT_S) -> float:
-        """Turn until it holds; returns the seconds that it took.  AssertionError where it does not."""
+        """Run the loop until the condition holds; returns the seconds that this took.
+
+        Raises AssertionError, with the ends of the logs, if the condition does not hold in time.
+        """
         began = time.monotonic()
         while not condition():
             self.check_processes()
-            assert time.monotonic() - began < timeout_s, "the condition does not hold\n" + "\n".join(
-                f"{one.name}: {one.log[-1500:]}" for one in self.balancers if one.start_count
+            assert time.monotonic() - began < timeout_s, "the condition did not hold in time\n" + "\n".join(
+                f"{balancer.name}: {balancer.log[-1500:]}"
+                for balancer in self.balancers
+                if balancer.start_count
             )
             self.loop.run_once(0.01)
         return time.monotonic() - began
 
     def run_for(self, seconds: float) -> None:
-        """Let so much time pass."""
+        """Run the loop for a time."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.check_processes()
             self.loop.run_once(min(0.01, max(0.0, end - time.monotonic())))
 
     def cut(self, *pairs: tuple[int, int]) -> None:
+        """Cut the links between balancers, each given by the numbers of sender and receiver."""
         for pair in pairs:
             self.links[pair].cut = True
 
-    def partition(self, first: Iterable[int]) -> None:
-        names = set(first)
-        self.cut(*[pair for pair in self.links if (pair[0] in names) != (pair[1] in names)])
+    def partition(self, side: Iterable[int]) -> None:
+        """Cut all links between these balancers and the others."""
+        numbers = set(side)
+        self.cut(*[pair for pair in self.links if (pair[0] in numbers) != (pair[1] in numbers)])
 
     def heal(self) -> None:
+        """Restore all links between balancers that were cut."""
         for link in self.links.values():
             link.cut = False
 
-    def status(self, n: int) -> dict[str, Any]:
-        """What a balancer says of the fleet; asked past the proxies, which the loop could not play
-        meanwhile.
+    def status(self, number: int) -> dict[str, Any]:
+        """A balancer's ``fleet status``.
+
+        The request bypasses the proxies, because it blocks the loop that runs them.
         """
         return request_status(
-            self.load_fleet_file(n), self.balancers[n].address, random.Random(self.random.getrandbits(64))
+            self.load_fleet_file(number),
+            self.balancers[number].address,
+            random.Random(self.rng.getrandbits(64)),
         )
 
-    def members(self, n: int) -> dict[str, str]:
-        return {one["name"]: one["state"] for one in self.status(n)["members"]}
+    def members(self, number: int) -> dict[str, str]:
+        """The states that a balancer has of the members, by name."""
+        return {member["name"]: member["state"] for member in self.status(number)["members"]}
 
     def all_joined(self, *numbers: int) -> bool:
-        """Do these, or all, see each other?"""
+        """Whether these balancers, or all of them, have each other alive and no other member."""
         names = [self.balancers[n].name for n in numbers or range(len(self.balancers))]
         return all(
             {name for name, state in self.members(n).items() if state in ("self", "alive")} == set(names)
@@ -617,29 +696,34 @@
     # -- clients -----------------------------------------------------------------------------------------
 
     def connect_client(
-        self, n: int, key: str = "", group: str = "", tenant: str = "n", keep_s: float = 60.0
+        self, number: int, key: str = "", group: str = "", tenant: str = "n", keep_s: float = 60.0
     ) -> ClientResult:
-        """A client comes to a balancer."""
-        id = len(self.client_results) + 1
-        answer = ClientResult(id, self.loop.clock(), n)
-        more = f",g={group}" if group else ""
-        deadline = self.settings["classes"][0]["deadline"]
-        opening = f"OPEN {id} {key or f'k{id}'} c=feed,t={tenant},d={deadline:g}{more}\r\n".encode()
-        client = Client(self.loop, self.balancers[n].front_address, answer, opening, keep_s)
-        self.client_results.append(answer)
+        """Start a client at a balancer; it keeps its connection for at most ``keep_s``."""
+        client_id = len(self.client_results) + 1
+        result = ClientResult(client_id, self.loop.clock(), number)
+        group_field = f",g={group}" if group else ""
+        deadline_ms = self.settings["classes"][0]["deadline"]
+        opening = (
+            f"OPEN {client_id} {key or f'k{client_id}'} c=feed,t={tenant},d={deadline_ms:g}{group_field}\r\n"
+        ).encode()
+        client = Client(self.loop, self.balancers[number].front_address, result, opening, keep_s)
+        self.client_results.append(result)
         self.clients.append(client)
         client.start()
-        return answer
-
-    def wait_for_answers(self, *answers: ClientResult) -> None:
-        """Wait for the final answers of these, or of all; each has exactly one."""
-        some = answers or self.client_results
-        self.wait_until(lambda: all(one.final_answers or one.ended for one in some))
-        for one in some:
-            assert len(one.final_answers) == 1, f"client {one.id} had {one.final_answers}"
+        return result
+
+    def wait_for_answers(self, *results: ClientResult) -> None:
+        """Wait until these clients, or all, have exactly one final answer each."""
+        awaited = results or self.client_results
+        self.wait_until(lambda: all(result.final_answers or result.ended for result in awaited))
+        for result in awaited:
+            assert len(result.final_answers) == 1, (
+                f"client {result.id} received {result.final_answers} instead of one final answer"
+            )
 
 
 def free_udp_port(host: str) -> int:
+    """A UDP port that is free at the moment."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind((host, 0))
         return int(sock.getsockname()[1])
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -100,11 +100,11 @@
         real, hollow = fleet.balancers[0].process, fleet.member_hosts[1]
         assert real is not None
         hollow.process.send_signal(signal.SIGKILL)
-        with pytest.raises(RunFailed, match="hollow process 1 has ended with -9"):
+        with pytest.raises(RunFailed, match="member host 1 exited with -9"):
             fleet.run_for(5.0)
         hollow.ended_on_purpose = True
         real.send_signal(signal.SIGKILL)  # past the rig, which takes the signals that it sends for wanted
-        with pytest.raises(RunFailed, match="b0 has ended with -9"):
+        with pytest.raises(RunFailed, match="b0 exited with -9"):
             fleet.wait_until(lambda: False)
     assert all(one.process.poll() is not None for one in fleet.member_hosts)
     assert all(one.process is not None and one.process.poll() is not None for one in fleet.balancers)
@@ -211,7 +211,7 @@
             os.kill(hollow.pop(), signal.SIGKILL)
         assert process.wait(10.0) != 0
         assert not [one for one in started if runs(one)]
-        said = "ended with -9" if "killed" in what else "interrupted"
+        said = "exited with -9" if "killed" in what else "interrupted"
         kept = [
             json.loads(line.removeprefix("kept "))
             for line in out.read_text().splitlines()
