--- a/snowwick/lab/member_host.py
+++ b/snowwick/lab/member_host.py
@@ -1,16 +1,19 @@
-"""Hollow members: many of a fleet's links in one process, without clients, beside real balancers.
+"""Host of lightweight members: many fleet links in one process, without clients, beside real balancers.
 
     python -m snowwick.lab.member_host
 
-is started by the rig (``snowwick.lab.rig.Hollow``) with a stream socket as its standard input, on which it
-gets orders and gives answers, one JSON object a line.  The first order, ``make``, says who its members are.
-It ends when that socket does, so that it never outlives who started it.
+The rig (``snowwick.lab.rig.MemberHostProcess``) starts this process with a stream socket as its standard
+input.  The process reads commands from it and writes answers to it, one JSON object a line.  The first
+command, ``make``, names its members.  The process exits when the socket is closed, so that it never outlives
+the rig.
 
-Each member is the shipped ``FleetLink``: its own socket, its own ``Node``, sent and read as in a balancer.
-What it leaves out is what a balancer does with the registers: it writes what the workload says, and reads
-and heeds nothing of the others'.  Its processor time is so that of the protocol and the socket alone.
+Each member is the ``FleetLink`` of the program, with its own socket and its own ``Node``, which sends and
+receives as in a balancer.  Only the use that a balancer makes of the registers is left out: a lightweight
+member writes the registers of the workload and does not act on those of others.  Its CPU time is therefore
+that of the protocol and the socket alone.
 
-All times between processes are Unix time or the machine's monotonic clock, which all processes here share.
+Times that are compared between processes are Unix time or the machine's monotonic clock, which all processes
+share.
 """
 
 from __future__ import annotations
@@ -57,12 +60,12 @@
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.pool import PoolConfig
 
-MAX_HISTOGRAM_MS = 3_600_000  # that a histogram holds
-LOOK = 1.0  # s between looks at how old the loads are that one member holds
+MAX_HISTOGRAM_MS = 3_600_000  # highest value that a histogram of ms records
+LOAD_AGE_SAMPLE_INTERVAL_S = 1.0
 
 
-class Empty:
-    """The host of a hollow member (``snowwick.net.host.Host``): no list, no clients, no contracts."""
+class ClientlessHost:
+    """Host of a lightweight member (``snowwick.net.host.FleetHost``): no list, clients or contracts."""
 
     contract_stage = None
 
@@ -76,160 +79,176 @@
         return ()
 
     def report_silent(self, message: DestinationSilent) -> None:
-        """Nobody to tell."""
+        """Ignored: there are no destinations."""
 
     def apply_pool_news(self, news: PoolUpdate) -> None:
-        """Nobody to tell."""
+        """Ignored: there are no destinations."""
 
 
 @dataclass(slots=True)
-class Arrivals:
-    """One register's one writing, as it came to the members of this process."""
+class EntryArrivals:
+    """Arrivals of one register entry at the members of this process."""
 
-    stamp_ms: int  # Unix time of the writing, by its writer
-    last: float  # Unix time in s at which the last of them had it
+    written_ms: int  # Unix time at which its owner wrote it
+    last_arrival: float  # Unix time in s at which the last of the members received it
     members: int = 0
 
 
-class WatchedStore(Store):
-    """Notes when the writings that are watched come."""
+class ArrivalRecordingStore(Store):
+    """Records the arrivals of the entries that are measured."""
 
-    def __init__(self, name: str, epoch: int, process: Process) -> None:
+    def __init__(self, name: str, epoch: int, member_host: MemberHost) -> None:
         super().__init__(name, epoch)
-        self.process = process
+        self.member_host = member_host
 
     def merge_entry(self, entry: Entry, now: float) -> bool:
-        news = super().merge_entry(entry, now)
-        if news:
-            self.process.arrived(entry)
-        return news
+        changed = super().merge_entry(entry, now)
+        if changed:
+            self.member_host.record_arrival(entry)
+        return changed
 
 
-class HollowLink(FleetLink):
-    """A member without a balancer."""
+class LightweightMember(FleetLink):
+    """A fleet member without a balancer."""
 
-    def __init__(self, process: Process, file: FleetFile, name: str, rng: random.Random) -> None:
-        super().__init__(Empty(process.loop), file, name, rng)
-        self.process = process
-        self.node.store = WatchedStore(name, self.node.store.owners[name].epoch, process)
+    def __init__(self, member_host: MemberHost, file: FleetFile, name: str, rng: random.Random) -> None:
+        super().__init__(ClientlessHost(member_host.loop), file, name, rng)
+        self.member_host = member_host
+        self.node.store = ArrivalRecordingStore(name, self.node.store.owners[name].epoch, member_host)
         self.register_view = RegisterView(self.node.store, self.node.members)
         self.node.seeds = []
-        self.begun = False
-        self.caught: float | None = None  # s from its start until it had what the others have
+        self.initial_state_written = False
+        self.caught_up_after_s: float | None = None  # from its start until it had the others' registers
 
     def share_state(self, now: float) -> None:
-        """What a balancer tells of its files, once; the rest comes by the workload."""
-        if not self.begun:
-            self.begun = True
+        """Write the registers on a balancer's files once; the workload writes all others."""
+        if not self.initial_state_written:
+            self.initial_state_written = True
             self._write_register(registers.REVISION, "0000", Revision(self.file.digest), now)
             self._write_register(registers.LIST, "", DiscoveryState("hollow", 1, []), now)
 
     def handle_events(self) -> None:
-        for news in self.node.take_events():
-            if isinstance(news, MemberChange) and news.member.state == DEAD:
-                self.process.deaths.add((news.member.name, news.member.incarnation))
-            elif isinstance(news, CaughtUp):
-                self.caught = news.after_s
-            elif isinstance(news, DuplicateName):
+        for event in self.node.take_events():
+            if isinstance(event, MemberChange) and event.member.state == DEAD:
+                self.member_host.deaths.add((event.member.name, event.member.incarnation))
+            elif isinstance(event, CaughtUp):
+                self.caught_up_after_s = event.after_s
+            elif isinstance(event, DuplicateName):
                 self.leave_without_notice()
 
-    def write(self, kind: int, key: str, value: bytes | None, left: float = 0.0) -> None:
-        self.node.write(kind, key, value, self.loop.clock(), left)
+    def write(self, kind: int, key: str, value: bytes | None, remaining_s: float = 0.0) -> None:
+        """Write an own register now; see ``Node.write``."""
+        self.node.write(kind, key, value, self.loop.clock(), remaining_s)
 
 
-class Player(Actor):
-    """Writes what the workload says, each event at its time; what happens to real members is left out."""
+class WorkloadWriter(Actor):
+    """Performs the writes of the workload at their times, apart from those of real members."""
 
-    def __init__(self, process: Process, workload: Workload, first: int, began: float) -> None:
-        super().__init__(process.loop)
-        self.process, self.workload, self.first, self.began = process, workload, first, began
+    def __init__(self, member_host: MemberHost, workload: Workload, first: int, began: float) -> None:
+        super().__init__(member_host.loop)
+        self.member_host = member_host
+        self.workload = workload
+        self.first = first  # number of the first lightweight member of the fleet
+        self.began = began
 
     def run(self) -> Coroutine:
         for event in schedule(self.workload):
             yield from self.sleep_until(self.began + event.at)
-            self.play(event)
-
-    def link(self, member: int) -> HollowLink | None:
-        return self.process.links.get(f"m{member}") if member >= self.first else None
-
-    def play(self, event: Event) -> None:
-        w, link = self.workload, self.link(event.member)
-        if (
-            event.kind is EventKind.CHANGE
-        ):  # the whole fleet's rate: those of real members fall to hollow ones
-            member = self.first + event.member % (w.members - self.first)
-            link = self.link(member)
-            if link is not None:
-                link.write(registers.REVISION, change_key(w, event.number), change_value(w, event.number))
-                self.process.changes.append(
-                    (link.node.name, link.node.store.owners[link.node.name].complete_seq, time.time())
+            self.perform(event)
+
+    def member(self, number: int) -> LightweightMember | None:
+        """The member of that number; None if it is real or in another process."""
+        return self.member_host.members.get(f"m{number}") if number >= self.first else None
+
+    def perform(self, event: Event) -> None:
+        """Perform one event's writes that belong to members of this process."""
+        workload, member = self.workload, self.member(event.member)
+        # The rate of changes is that of the whole fleet: lightweight members also write those of real ones.
+        if event.kind is EventKind.CHANGE:
+            number = self.first + event.member % (workload.members - self.first)
+            member = self.member(number)
+            if member is not None:
+                member.write(
+                    registers.REVISION,
+                    change_key(workload, event.number),
+                    change_value(workload, event.number),
+                )
+                self.member_host.changes.append(
+                    (member.node.name, member.node.store.owners[member.node.name].complete_seq, time.time())
                 )
         elif event.kind is EventKind.RIGHTS:
-            lender = self.link(event.other)
-            if link is not None:
-                link.write(registers.RIGHTS, "ask:scale", request_value(w, event, f"m{event.other}", 1))
+            lender = self.member(event.other)
+            if member is not None:
+                member.write(
+                    registers.RIGHTS, "ask:scale", request_value(workload, event, f"m{event.other}", 1)
+                )
             if lender is not None:
                 lender.write(registers.RIGHTS, f"grant:m{event.member}:scale", grant_value(event, 1))
-        elif link is None:
+        elif member is None:
             return
         elif event.kind is EventKind.LOAD:
-            value = registers.pack(load_value(w, event.member, event.number, event.at))
-            link.write(registers.LOAD, str(event.number), value)
+            value = registers.pack(load_value(workload, event.member, event.number, event.at))
+            member.write(registers.LOAD, str(event.number), value)
         elif event.kind is EventKind.VERDICT:
-            link.write(
+            member.write(
                 registers.HEALTH,
                 str(event.number),
                 registers.pack(registers.HANGING),
                 registers.VERDICT_LIFETIME_S,
             )
         elif event.kind is EventKind.VERDICT_WITHDRAWN:
-            link.write(registers.HEALTH, str(event.number), None)
+            member.write(registers.HEALTH, str(event.number), None)
 
 
-class Starter(Actor):
+class MemberStarter(Actor):
     """Starts the members one after another."""
 
-    def __init__(self, process: Process, apart: float) -> None:
-        super().__init__(process.loop)
-        self.process, self.apart = process, apart
+    def __init__(self, member_host: MemberHost, interval_s: float) -> None:
+        super().__init__(member_host.loop)
+        self.member_host, self.interval_s = member_host, interval_s
 
     def run(self) -> Coroutine:
-        for link in self.process.links.values():
-            link.start()
-            yield from self.sleep_until(self.loop.clock() + self.apart)
+        for member in self.member_host.members.values():
+            member.start()
+            yield from self.sleep_until(self.loop.clock() + self.interval_s)
 
 
-class Looker(Actor):
-    """Looks now and then how long ago the loads were written that one member holds."""
+class LoadAgeSampler(Actor):
+    """Samples the ages of the load registers that one member holds of the others."""
 
-    def __init__(self, process: Process) -> None:
-        super().__init__(process.loop)
-        self.process = process
+    def __init__(self, member_host: MemberHost) -> None:
+        super().__init__(member_host.loop)
+        self.member_host = member_host
 
     def run(self) -> Coroutine:
         while True:
-            yield from self.sleep_until(self.loop.clock() + LOOK)
-            link, wall = next(iter(self.process.links.values())), 1000.0 * time.time()
-            for held in link.node.store.live_entries(registers.LOAD):
-                if held.entry.owner != link.node.name:
-                    age = int(wall - timestamp_ms(held.entry.timestamp))
-                    self.process.ages.record_value(min(MAX_HISTOGRAM_MS, max(1, age)))
+            yield from self.sleep_until(self.loop.clock() + LOAD_AGE_SAMPLE_INTERVAL_S)
+            member, now_ms = next(iter(self.member_host.members.values())), 1000.0 * time.time()
+            for stored in member.node.store.live_entries(registers.LOAD):
+                if stored.entry.owner != member.node.name:
+                    age_ms = int(now_ms - timestamp_ms(stored.entry.timestamp))
+                    self.member_host.load_ages_ms.record_value(min(MAX_HISTOGRAM_MS, max(1, age_ms)))
 
 
-class Process(Actor):
-    """Takes the orders; all members of this process are its."""
+class MemberHost(Actor):
+    """Owns the members of this process and executes the rig's commands.
+
+    The command ``make`` is executed by ``on_make``, and so on; a command's parameters and the keys of its
+    answer are part of the protocol with the rig.
+    """
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         super().__init__(loop)
-        self.sock, self.inbox = sock, bytearray()
-        self.links: dict[str, HollowLink] = {}
+        self.sock, self.input_buffer = sock, bytearray()
+        self.members: dict[str, LightweightMember] = {}
         self.first = 0
         self.workload: Workload | None = None
-        self.arrivals: dict[tuple[str, int], Arrivals] = {}
-        self.real: frozenset[str] = frozenset()  # whose loads are watched
-        self.changes: list[tuple[str, int, float]] = []  # written here: by whom, its number, Unix time in s
-        self.deaths: set[tuple[str, int]] = set()  # who was found dead by any, and under which incarnation
-        self.ages = HdrHistogram(1, MAX_HISTOGRAM_MS, 3)
+        self.arrivals: dict[tuple[str, int], EntryArrivals] = {}  # by the entry's owner and sequence number
+        self.real: frozenset[str] = frozenset()  # names of the real members, whose loads are measured
+        # Changes written here: the owner's name, the sequence number, Unix time in s
+        self.changes: list[tuple[str, int, float]] = []
+        self.deaths: set[tuple[str, int]] = set()  # names and incarnations that a member declared dead
+        self.load_ages_ms = HdrHistogram(1, MAX_HISTOGRAM_MS, 3)
 
     def run(self) -> Coroutine:
         self.sock.setblocking(False)
@@ -240,85 +259,90 @@
                     data = self.sock.recv(1 << 16)
                     if not data:
                         break
-                    self.inbox += data
-                while (end := self.inbox.find(b"\n") + 1) > 0:
-                    order = json.loads(self.inbox[:end])
-                    del self.inbox[:end]
-                    answer = getattr(self, f"on_{order.pop('do')}")(**order)
-                    self.sock.setblocking(True)  # the one who asked reads at once
+                    self.input_buffer += data
+                while (end := self.input_buffer.find(b"\n") + 1) > 0:
+                    command = json.loads(self.input_buffer[:end])
+                    del self.input_buffer[:end]
+                    answer = getattr(self, f"on_{command.pop('do')}")(**command)
+                    self.sock.setblocking(True)  # the rig reads the answer at once
                     self.sock.sendall(json.dumps(answer).encode() + b"\n")
                     self.sock.setblocking(False)
-        finally:  # also after an order that cannot be carried out: the rig sees that the process has ended
+        finally:  # also after a command that fails, so that the rig detects the exit of the process
             self.loop.stop()
 
-    def arrived(self, entry: Entry) -> None:
-        """A change of configuration of any member, or a load of a real one."""
+    def record_arrival(self, entry: Entry) -> None:
+        """Record the arrival of a configuration change of any member, or of a load of a real member."""
         if (entry.kind == registers.REVISION and entry.key != "0000") or (
             entry.kind == registers.LOAD and entry.owner in self.real
         ):
             now = time.time()
-            one = self.arrivals.setdefault(
-                (entry.owner, entry.seq), Arrivals(timestamp_ms(entry.timestamp), now)
+            arrivals = self.arrivals.setdefault(
+                (entry.owner, entry.seq), EntryArrivals(timestamp_ms(entry.timestamp), now)
             )
-            one.last, one.members = now, one.members + 1
+            arrivals.last_arrival, arrivals.members = now, arrivals.members + 1
 
-    # -- orders ------------------------------------------------------------------------------------------
+    # -- commands ----------------------------------------------------------------------------------------
 
     def on_make(
         self, first: int, count: int, key: str, digest: str, period_ms: float, real: list[str]
     ) -> dict[str, Any]:
-        """Members m``first`` and so on, each with a socket; ``real`` are the names of the real ones."""
+        """Create ``count`` members with a socket each, named m``first`` and on.
+
+        ``key`` is the fleet's key in hexadecimal, ``real`` are the names of the real members.
+        """
         self.real = frozenset(real)
         links = Links("127.0.0.1:0", "", [], period_ms=period_ms)
         file = FleetFile(links, Share(), (bytes.fromhex(key),), digest)
         for n in range(first, first + count):
-            self.links[f"m{n}"] = HollowLink(self, file, f"m{n}", random.Random(f"hollow{n}{time.time_ns()}"))
+            self.members[f"m{n}"] = LightweightMember(
+                self, file, f"m{n}", random.Random(f"hollow{n}{time.time_ns()}")
+            )
         return {
-            "addresses": {name: link.node.members.local.address for name, link in self.links.items()},
+            "addresses": {name: member.node.members.local.address for name, member in self.members.items()},
             "memory": anonymous_memory_bytes(os.getpid()),
         }
 
     def on_start(self, seeds: list[str], routes: dict[str, str], apart: float) -> dict[str, Any]:
-        """``routes`` lead to some members by way of proxies, by the members' own addresses.
+        """Start the members, one every ``apart`` seconds.
 
-        One member starts each ``apart`` s: many that join in one moment by the same seeds are a storm of
-        their own, which is not what is measured.
+        ``routes`` maps members' own addresses to those of proxies before them.  If many members joined
+        through the same seeds at one moment, the seeds would be overloaded, which is not to be measured.
         """
-        for link in self.links.values():
-            file = link.file
+        for member in self.members.values():
+            file = member.file
             links = Links(file.links.listen, "", seeds, period_ms=file.links.period_ms, routes=routes)
-            link.file = FleetFile(links, file.share, file.keys, file.digest)
-            link.node.seeds = seeds
-        Starter(self, apart).start()
-        Looker(self).start()
+            member.file = FleetFile(links, file.share, file.keys, file.digest)
+            member.node.seeds = seeds
+        MemberStarter(self, apart).start()
+        LoadAgeSampler(self).start()
         return {}
 
     def on_play(self, workload: dict[str, Any], first: int, began: float) -> dict[str, Any]:
-        """Play the workload from a time on the monotonic clock on; members below ``first`` are real."""
-        Player(self, Workload(**workload), first, began).start()
+        """Perform the workload from the monotonic time ``began``; members below ``first`` are real."""
+        WorkloadWriter(self, Workload(**workload), first, began).start()
         return {}
 
     def on_write(self, member: str, key: str, text: str) -> dict[str, Any]:
-        """A change of configuration, now."""
-        self.links[member].write(registers.REVISION, key, registers.pack(Revision(text)))
+        """Write a configuration change of a member now."""
+        self.members[member].write(registers.REVISION, key, registers.pack(Revision(text)))
         return {"at": time.time()}
 
     def on_agree(self) -> dict[str, Any]:
-        """How many members each sees alive, itself too, and what each holds, as a hash."""
+        """For each member: the number of members alive, itself included, and a hash of its registers."""
         return {
-            "alive": {name: 1 + len(link.node.members.alive()) for name, link in self.links.items()},
-            "roots": {name: link.node.store.root_hash() for name, link in self.links.items()},
-            "caught": {name: link.caught for name, link in self.links.items()},
+            "alive": {name: 1 + len(member.node.members.alive()) for name, member in self.members.items()},
+            "roots": {name: member.node.store.root_hash() for name, member in self.members.items()},
+            "caught": {name: member.caught_up_after_s for name, member in self.members.items()},
         }
 
     def on_sees(self, member: str, of: str) -> dict[str, Any]:
-        """What a member has of another: its state and incarnation, and the texts of its changes by key."""
-        node = self.links[member].node
+        """What ``member`` holds of the member ``of``: state, incarnation, texts of its changes by key."""
+        node = self.members[member].node
         record, owner = node.members.records.get(of), node.store.owners.get(of)
         texts = {}
-        for (kind, key), held in owner.entries.items() if owner is not None else ():
-            if kind == registers.REVISION and held.entry.value is not None:
-                revision = registers.unpack(held.entry.value, Revision)
+        for (kind, key), stored in owner.entries.items() if owner is not None else ():
+            if kind == registers.REVISION and stored.entry.value is not None:
+                revision = registers.unpack(stored.entry.value, Revision)
                 texts[key] = revision.fleet_digest if revision is not None else ""
         return {
             "state": record.state if record is not None else None,
@@ -327,38 +351,39 @@
         }
 
     def on_counts(self) -> dict[str, Any]:
-        """All that was counted since the start, over all members of this process.
+        """All counters since the start, summed over the members of this process.
 
-        ``processor`` are s of this process, ``memory`` its resident bytes; ``arrivals`` are of this process's
-        members only, each with the writer's time and the last member's, Unix time in s.
+        ``processor`` is the CPU time of this process in s, ``memory`` its anonymous resident bytes.
+        ``arrivals`` are those at the members of this process, each with the Unix times in s of the write and
+        of the last arrival.
         """
-        counts = [link.node.counts for link in self.links.values()]
-        dropped = sum((one.dropped for one in counts), Counter[str]())
+        counts = [member.node.counts for member in self.members.values()]
+        dropped = sum((member_counts.dropped for member_counts in counts), Counter[str]())
         return {
             "at": time.monotonic(),
             "processor": time.process_time(),
             "memory": anonymous_memory_bytes(os.getpid()),
-            "bytes_out": sum(one.bytes_out for one in counts),
-            "bytes_in": sum(one.bytes_in for one in counts),
-            "datagrams_out": sum(one.frames_out for one in counts),
-            "datagrams_in": sum(one.frames_in for one in counts),
-            "shed": sum(one.shed for one in counts),
+            "bytes_out": sum(member_counts.bytes_out for member_counts in counts),
+            "bytes_in": sum(member_counts.bytes_in for member_counts in counts),
+            "datagrams_out": sum(member_counts.frames_out for member_counts in counts),
+            "datagrams_in": sum(member_counts.frames_in for member_counts in counts),
+            "shed": sum(member_counts.shed for member_counts in counts),
             "dropped": dict(dropped),
             "deaths": sorted(self.deaths),
             "changes": self.changes,
             "arrivals": [
-                (owner, seq, one.stamp_ms / 1000.0, one.last, one.members)
-                for (owner, seq), one in self.arrivals.items()
+                (owner, seq, arrivals.written_ms / 1000.0, arrivals.last_arrival, arrivals.members)
+                for (owner, seq), arrivals in self.arrivals.items()
             ],
-            "ages": base64.b64encode(self.ages.encode()).decode(),
+            "ages": base64.b64encode(self.load_ages_ms.encode()).decode(),
         }
 
 
 def anonymous_memory_bytes(pid: int) -> int:
-    """A process's resident bytes that no file is behind (Anonymous of smaps_rollup, proc_pid_smaps(5)).
+    """A process's resident memory that is not backed by files (Anonymous in smaps_rollup, proc_pid_smaps(5)).
 
-    Pages of files, as of the interpreter, are shared with all other processes, and their part in each changes
-    as others come and go.
+    File-backed pages, such as the interpreter's, are shared with all other processes, and the share that is
+    attributed to each process changes as others start and exit.
     """
     for line in Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines():
         if line.startswith("Anonymous:"):
@@ -366,8 +391,11 @@
     return 0
 
 
-class Strict(Log):
-    """Ends the process at the first fault of an actor, which else begins again: the rig has to notice."""
+class FailFastLog(Log):
+    """Ends the process at the first fault of an actor, which the loop would otherwise only restart.
+
+    The rig detects the exit.
+    """
 
     def event(self, name: str, template: str, /, **fields: Any) -> None:
         super().event(name, template, **fields)
@@ -376,11 +404,12 @@
 
 
 def main() -> None:
-    # Who started this process ends it; an interrupt at the terminal is for that one.
+    """Run a member host on the socket that is standard input."""
+    # The rig ends this process; an interrupt from the terminal is meant for the rig.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    loop = Loop(Strict())
-    process = Process(loop, socket.socket(fileno=os.dup(sys.stdin.fileno())))
-    process.start()
+    loop = Loop(FailFastLog())
+    member_host = MemberHost(loop, socket.socket(fileno=os.dup(sys.stdin.fileno())))
+    member_host.start()
     try:
         loop.run()
     finally:
