--- a/snowwick/net/lines.py
+++ b/snowwick/net/lines.py
@@ -150,10 +150,10 @@
 def parse_load(line: bytes) -> float | None:
     """Parse the number of a ``LOAD X`` line; returns None if it is invalid."""
     try:
-        figure = float(line[5:]) if line.startswith(b"LOAD ") else -1.0
+        load = float(line[5:]) if line.startswith(b"LOAD ") else -1.0
     except ValueError:
         return None
-    return figure if 0.0 <= figure < 1e12 else None
+    return load if 0.0 <= load < 1e12 else None
 
 
 def parse_report(text: bytes) -> dict[str, float] | None:
@@ -162,18 +162,18 @@
     A negative, non-numeric or duplicate value invalidates the whole report, because the other values of such
     a server cannot be trusted either.
     """
-    figures: dict[str, float] = {}
+    values: dict[str, float] = {}
     if len(text) > MAX_REPORT_BYTES:
         return None
     for pair in text.split(b","):
         name, equals, value = pair.partition(b"=")
         if (
             not (equals and _REPORT_FIELD.fullmatch(name) and _REPORT_NUMBER.fullmatch(value))
-            or name.decode() in figures
+            or name.decode() in values
         ):
             return None
-        figures[name.decode()] = float(value)
-    return figures
+        values[name.decode()] = float(value)
+    return values
 
 
 def reply_kind(line: bytes) -> Reply:
--- a/snowwick/net/loop.py
+++ b/snowwick/net/loop.py
@@ -41,6 +41,7 @@
     until: float | None = None
 
 
+# The generator of an actor: yields what it waits for and is sent the flags that woke it
 Coroutine = Generator[Wait, int, None]
 
 
@@ -76,10 +77,10 @@
             self.mailbox.append(message)
             self.loop.wake(self, MAIL)
 
-    def sleep_until(self, until: float) -> Coroutine:
+    def sleep_until(self, deadline: float) -> Coroutine:
         """Wait until a time on the loop's clock; messages that arrive stay in the mailbox."""
-        while self.loop.clock() < until:
-            yield Wait(until=until)
+        while self.loop.clock() < deadline:
+            yield Wait(until=deadline)
 
     def take_messages(self) -> Generator[Any, None, None]:
         """Remove and yield the messages in the mailbox, oldest first."""
--- a/snowwick/net/timers.py
+++ b/snowwick/net/timers.py
@@ -36,11 +36,11 @@
         slot = math.ceil(deadline * SLOTS_PER_S - EARLY_TOLERANCE_SLOTS)
         if deadline - self.clock() > FAR_WAIT_S:
             slot += -slot % FAR_WAIT_SLOTS
-        due = self.slots.get(slot)
-        if due is None:
-            due = self.slots[slot] = {}
+        waiters = self.slots.get(slot)
+        if waiters is None:
+            waiters = self.slots[slot] = {}
             self.scheduler.enterabs(slot / SLOTS_PER_S, 0, self._fire_slot, (slot,))
-        due[waiter] = None
+        waiters[waiter] = None
         return slot
 
     def cancel(self, slot: int, waiter: T) -> None:
