--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -94,7 +94,7 @@
     regions: int = field(default=2, metadata=help_text("target: regions"))
     zones: int = field(
         default=5,
-        metadata=help_text("target; zone z is in region z % regions, member n is in zone n % zones"),
+        metadata=help_text("target: zones; zone z is in region z % regions, member n is in zone n % zones"),
     )
     idle_s: float = field(
         default=5.0, metadata=help_text("duration in s of the idle phase at the start, without any writes")
