--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -203,7 +203,7 @@
     """Client and route step are ready in the same turn, and the route step is resumed first."""
     open_idle_connection(world)
     world.put_unread("c1", OPEN)
-    while not any(isinstance(one, Destination) for one in world.loop.actors):
+    while not any(isinstance(actor, Destination) for actor in world.loop.actors):
         world.loop.run_once(0.0)
     if client_action == "close":
         world.close_unread("c1")
@@ -382,7 +382,9 @@
         return False
 
     world.run_until(read_available)
-    assert received.endswith(b"\r\nMOVE\r\n") and {len(one) for one in received.split(b"\r\n")[:-2]} == {4002}
+    assert received.endswith(b"\r\nMOVE\r\n") and {len(line) for line in received.split(b"\r\n")[:-2]} == {
+        4002
+    }
     client.close()
 
 
