--- a/snowwick/lab/scale_real.py
+++ b/snowwick/lab/scale_real.py
@@ -1,36 +1,39 @@
-"""The scale run's real form: real balancers as processes beside hollow members, on loopback.
-
-What a row says, by member and second, is the mean of all members; ``of_real`` has the same of the real ones
-alone.  How it is had, and how far it goes:
-
-* Bytes and datagrams are the nodes' own counts: datagrams without headers of IP and UDP (28 bytes each).
-  Those of real members come by ``fleet status``; what the question itself cost is taken off, by the size of
-  its answer, to about 1 in 100.
-* ``core`` of a real member is its process's time on a processor (schedstat, proc(5)) with all that it does
-  for its few clients and its reading of the registers; of a hollow one, its process's over its members.
-  ``reference`` is that in reference frames a second, timed here before the run.
-* ``memory`` of a hollow member is the growth of its process's anonymous resident bytes since its sockets were
-  there, over its members; of a real one, of its process's since it began to serve.
-* A change is everywhere when all hollow members have it: writer's Unix time to the last one's, one clock.
-  For real ones the same is measured on the loads that they write for their clients (``of_real``), from the
-  writer's stamp, to a ms; one that is written anew before it was everywhere is left out.
-* ``there_p50_s`` and ``there_worst_s`` of real members: a hollow member's change until all real ones show
-  it.  They are asked in turn, so this is an upper bound; it is measured after the other figures.  Those that
-  are not there in time are counted (``there_unfinished``) and in no time.
-* ``start_s`` and ``start_bytes`` are of real members that were killed and started anew: from when it serves
-  until it holds as many registers of each other member as one that runs held at that moment, asked each
-  quarter of a second, and the bytes that had come in by then.  ``start_said_s`` is the program's own word
-  (fleet-caught-up), of those that had said it soon after: it waits for a moment in which another holds just
-  the same, which is rare while many write.
-* ``false_deaths`` counts who was said dead by anybody although nobody had ended it, each incarnation once;
-  ``of_real``, by real members, as their logs say, whose rate is bounded.  Those from before the steady phase,
-  while all join, are apart (``false_deaths_joining``).
-* ``worst`` is of the members by whom most is taken, of hollow ones by the mean of their process.
-* ``shed`` is of hollow members alone.
-* ``busiest`` is the part of a core that the busiest process of hollow members took.  Where it is near 1, or
-  the machine has other work, all times say more about the machine than about the protocol.
-
-Faults of the workload (failures, zones, cuts) and its burst are not played here.
+"""The real form of the scale run: real balancers as processes beside lightweight members, on loopback.
+
+Figures in a row are means over all members, for each member and second; ``of_real`` has the same figures for
+the real members alone.  How they are measured, and their limits:
+
+* Bytes and datagrams are the nodes' own counters, without the headers of IP and UDP (28 bytes a datagram).
+  Those of real members come from ``fleet status``; the cost of the request itself is subtracted, to within
+  about 1 in 100, by the size of its answer.
+* ``core`` of a real member is its process's CPU time (schedstat, proc(5)), including its few clients and the
+  use it makes of the registers; of a lightweight member it is the CPU time of its process divided by the
+  process's members.  ``reference`` is the same in reference frames a second, measured here before the run.
+* ``memory`` of a lightweight member is the growth of its process's anonymous resident bytes since its sockets
+  were created, divided by the process's members; of a real member, that of its process since it began to
+  serve.
+* A change has propagated everywhere when all lightweight members hold it: from the writer's Unix time to that
+  of the last member, on one clock.  For real members the same is measured on the load registers that they
+  write for their clients (``of_real``), from the writer's timestamp, in whole ms; a register that is
+  overwritten before it was everywhere is left out.
+* ``there_p50_s`` and ``there_worst_s`` of real members are the times from a lightweight member's change until
+  all real members show it.  The members are polled in turn, so these are upper bounds; they are measured
+  after the other figures.  Changes that are not visible in time are counted in ``there_unfinished`` only.
+* ``start_s`` and ``start_bytes`` are of real members that were killed and restarted: the time from when one
+  serves until it holds as many registers of each other member as a running member held at that moment,
+  polled every quarter of a second, and the bytes that it has received by then.  ``start_said_s`` is the time
+  from the program's own log (fleet-caught-up), over those that logged it soon after: the program logs it at a
+  moment when another member holds exactly the same registers, which is rare while many are written.
+* ``false_deaths`` counts the incarnations that any member declared dead although they had not been ended;
+  ``of_real`` counts those that real members logged, and the rate of their log lines is limited.  Those from
+  before the steady phase, while all members join, are counted in ``false_deaths_joining``.
+* ``worst`` has for each figure the highest of all members, with lightweight members at the mean of their
+  process.
+* ``shed`` is of lightweight members alone.
+* ``busiest`` is the fraction of a core that the busiest process of lightweight members used.  If it is near
+  1, or the machine has other work, all times depend more on the machine than on the protocol.
+
+The faults of the workload (failures, zones, cuts) and its burst are left out in this form.
 """
 
 from __future__ import annotations
@@ -58,90 +61,98 @@
 from snowwick.lab.rig import Fleet, RunFailed
 from snowwick.lab.workload import RunRefused, Workload, reference_frame_cpu_s
 
-PER_PROCESS = 25  # hollow members of a process: more, and one core carries them no more
-JOINS = 5.0  # hollow members that start a second: many in one moment are a storm of their own
-THERE = 15.0  # s that a change may take until the real members show it; who takes longer is unfinished
-JOINED = 60.0  # s that all may take to see each other once the last has started
-TAIL = 120.0  # s that the workload goes on after the measured time, while members are killed and asked
-DRAIN = 10.0  # s that the last changes may take
-MARKS, RESTARTS = 5, 3
-ASKED, SAID = 0.25, 10.0  # s between questions, and s that the word of one that started may take
-CLIENT, KEEP = 2.0, 8.0  # s between clients at a real member, and s that each stays
-TOLD_OVER = 90  # bytes of a frame of a status answer beside its text
-PROCESSES = 300
-REAL_BYTES, PROCESS_BYTES, PAIR_BYTES, MEMBER_BYTES = 60e6, 40e6, 8e3, 0.4e6
-
-
-def estimate_bytes(real: int, hollow: int) -> int:
-    """Bytes of memory that a run takes at most, by trials on loopback: processes, and what members hold of
-    each other.
+MEMBERS_PER_PROCESS = 25  # lightweight members; one core cannot run more of them
+JOINS_PER_S = 5.0  # lightweight members; many joins at one moment would overload the fleet by themselves
+VISIBLE_TIMEOUT_S = 15.0  # for a change to be visible at all real members, after which it is unfinished
+JOIN_TIMEOUT_S = 60.0  # for all members to have each other alive once the last one has started
+EXTRA_WORKLOAD_S = 120.0  # of workload after the measured time, while members are restarted and polled
+DRAIN_S = 10.0  # for the last changes to propagate
+VISIBILITY_TESTS = 5
+RESTART_TESTS = 3
+POLL_INTERVAL_S = 0.25
+CAUGHT_UP_LOG_TIMEOUT_S = 10.0  # for a restarted member to log that it has caught up
+CLIENT_INTERVAL_S = 2.0  # between new clients of a real member
+CLIENT_KEEP_S = 8.0  # for which each client keeps its connection
+STATUS_FRAME_OVERHEAD_BYTES = 90  # of a frame of a status answer, without the answer's text
+MAX_PROCESSES = 300
+REAL_PROCESS_BYTES = 60e6
+HOST_PROCESS_BYTES = 40e6
+PAIR_BYTES = 8e3  # that a member holds of each other member
+MEMBER_BYTES = 0.4e6
+
+
+def estimate_bytes(real: int, lightweight: int) -> int:
+    """Upper estimate of the bytes of memory that a run takes, from trials on loopback.
+
+    It covers the processes and what the members hold of each other.
     """
-    members = real + hollow
+    members = real + lightweight
     return int(
-        real * REAL_BYTES
-        + math.ceil(hollow / PER_PROCESS) * PROCESS_BYTES
-        + hollow * (MEMBER_BYTES + members * PAIR_BYTES)
+        real * REAL_PROCESS_BYTES
+        + math.ceil(lightweight / MEMBERS_PER_PROCESS) * HOST_PROCESS_BYTES
+        + lightweight * (MEMBER_BYTES + members * PAIR_BYTES)
         + real * members * PAIR_BYTES
     )
 
 
-def check(real: int, hollow: int) -> None:
-    """Raises RunRefused where so many processes or descriptors are more than is allowed."""
-    if real < 1 or hollow < 2:
-        raise RunRefused("the real form takes --real 1 and --hollow 2 at least")
-    processes = real + math.ceil(hollow / PER_PROCESS)
-    if processes > PROCESSES:
-        raise RunRefused(f"{processes} processes; {PROCESSES} are possible: fewer --real")
-    wanted, allowed = real * (real + 30) + 200, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if wanted > allowed:
+def check_limits(real: int, lightweight: int) -> None:
+    """Raise RunRefused if the run needs more processes or file descriptors than are allowed."""
+    if real < 1 or lightweight < 2:
+        raise RunRefused("the real form needs at least 1 real and 2 lightweight members: --real, --members")
+    processes = real + math.ceil(lightweight / MEMBERS_PER_PROCESS)
+    if processes > MAX_PROCESSES:
+        raise RunRefused(f"needs {processes} processes, at most {MAX_PROCESSES} are allowed: lower --real")
+    needed, allowed = real * (real + 30) + 200, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if needed > allowed:
         raise RunRefused(
-            f"about {wanted} descriptors, {allowed} allowed: fewer --real, or ulimit -n {wanted}"
+            f"needs about {needed} file descriptors, {allowed} are allowed: "
+            f"lower --real or set ulimit -n {needed}"
         )
 
 
-# -- what is counted -----------------------------------------------------------------------------------------
+# -- counters ------------------------------------------------------------------------------------------------
 
-DEAD = re.compile(r"fleet: (\S+) is dead \(incarnation (\d+)\)")  # in a balancer's log
-KEYS = ("bytes_out", "bytes_in", "datagrams_out", "datagrams_in")
+DEATH_PATTERN = re.compile(r"fleet: (\S+) is dead \(incarnation (\d+)\)")  # in a balancer's log
+TRAFFIC_KEYS = ("bytes_out", "bytes_in", "datagrams_out", "datagrams_in")
 
 
 @dataclass(slots=True)
-class Count:
-    """What one process has counted since its start; s of processor and of the monotonic clock."""
+class ProcessCounts:
+    """Counters of one process since its start."""
 
-    at: float
-    processor: float
-    passed: dict[str, float]
+    at: float  # monotonic time
+    cpu_s: float
+    traffic: dict[str, float]  # by TRAFFIC_KEYS
 
 
-def processor(pid: int) -> float:
-    """s that a process's only thread has run."""
+def process_cpu_s(pid: int) -> float:
+    """CPU time in s of a single-threaded process."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def count_real(fleet: Fleet, n: int) -> tuple[Count, dict[str, float], dict[str, Any]]:
-    """A real member's counts, what asking for them adds to later ones, and all that it said."""
-    process = fleet.balancers[n].process
+def read_real_counts(fleet: Fleet, number: int) -> tuple[ProcessCounts, dict[str, float], dict[str, Any]]:
+    """A real member's counters, the traffic that reading them adds to later ones, and its fleet status."""
+    process = fleet.balancers[number].process
     assert process is not None
-    at, spent = time.monotonic(), processor(process.pid)
-    status = fleet.status(n)
-    size = len(json.dumps(status).encode())
-    parts = math.ceil(size / STATUS_PART_BYTES)
-    passed = {
+    at, cpu_s = time.monotonic(), process_cpu_s(process.pid)
+    status = fleet.status(number)
+    size_bytes = len(json.dumps(status).encode())
+    parts = math.ceil(size_bytes / STATUS_PART_BYTES)
+    traffic = {
         key: float(status[name])
-        for key, name in zip(KEYS, ("bytes_out", "bytes_in", "frames_out", "frames_in"), strict=True)
+        for key, name in zip(TRAFFIC_KEYS, ("bytes_out", "bytes_in", "frames_out", "frames_in"), strict=True)
     }
     cost = {
-        "bytes_out": float(size + parts * TOLD_OVER),
-        "bytes_in": float(parts * TOLD_OVER),
+        "bytes_out": float(size_bytes + parts * STATUS_FRAME_OVERHEAD_BYTES),
+        "bytes_in": float(parts * STATUS_FRAME_OVERHEAD_BYTES),
         "datagrams_out": float(parts),
         "datagrams_in": float(parts),
     }
-    return Count(at, spent, passed), cost, status
+    return ProcessCounts(at, cpu_s, traffic), cost, status
 
 
-def registers(status: dict[str, Any]) -> dict[str, int]:
-    """How many registers a real member holds of each that it believes to be there."""
+def register_counts(status: dict[str, Any]) -> dict[str, int]:
+    """How many registers a real member holds of each member that it does not consider dead or left."""
     return {
         row["name"]: row["entries"]
         for row in status["members"]
@@ -149,50 +160,54 @@
     }
 
 
-def count_hollow(answer: dict[str, Any]) -> Count:
-    return Count(answer["at"], answer["processor"], {key: float(answer[key]) for key in KEYS})
+def host_counts(answer: dict[str, Any]) -> ProcessCounts:
+    """A member host's counters, from its answer to ``counts``."""
+    return ProcessCounts(answer["at"], answer["processor"], {key: float(answer[key]) for key in TRAFFIC_KEYS})
 
 
-def rates(
-    before: Count, after: Count, members: int, cost: dict[str, float] | None = None
+def member_rates(
+    before: ProcessCounts, after: ProcessCounts, members: int, cost: dict[str, float] | None = None
 ) -> dict[str, float]:
-    """By member and second."""
+    """Traffic and CPU time for each member and second; ``cost`` is the traffic to be subtracted."""
     seconds = after.at - before.at
-    found = {
-        key: (after.passed[key] - before.passed[key] - (cost or {}).get(key, 0.0)) / seconds / members
-        for key in KEYS
+    rates = {
+        key: (after.traffic[key] - before.traffic[key] - (cost or {}).get(key, 0.0)) / seconds / members
+        for key in TRAFFIC_KEYS
     }
-    return {**found, "core": (after.processor - before.processor) / seconds / members}
+    return {**rates, "core": (after.cpu_s - before.cpu_s) / seconds / members}
 
 
-def mean(rows: list[tuple[int, dict[str, float]]]) -> dict[str, float]:
-    """Of rows by member, each with how many members it is of."""
+def weighted_mean(rows: list[tuple[int, dict[str, float]]]) -> dict[str, float]:
+    """Mean of rates by key; each row has the number of members that it is the mean of."""
     total = sum(members for members, _ in rows)
     return {key: sum(members * row[key] for members, row in rows) / total for key in rows[0][1]}
 
 
-def spread(name: str, times: list[float]) -> dict[str, float | None]:
-    """p50, p99 and worst of times in s, to three digits."""
-    if not times:
+def time_percentiles(name: str, times_s: list[float]) -> dict[str, float | None]:
+    """p50, p99 and maximum of times, to three digits."""
+    if not times_s:
         return {f"{name}_p50_s": None, f"{name}_p99_s": None, f"{name}_worst_s": None}
     histogram = HdrHistogram(1, MAX_HISTOGRAM_MS * 10, 3)
-    for one in times:
-        histogram.record_value(max(1, round(1e4 * one)))
+    for time_s in times_s:
+        histogram.record_value(max(1, round(1e4 * time_s)))
     return {
         f"{name}_p50_s": histogram.get_value_at_percentile(50.0) / 1e4,
         f"{name}_p99_s": histogram.get_value_at_percentile(99.0) / 1e4,
-        f"{name}_worst_s": round(max(times), 4),
+        f"{name}_worst_s": round(max(times_s), 4),
     }
 
 
-def arrived(answers: list[dict[str, Any]]) -> dict[tuple[str, int], tuple[float, float, int]]:
-    """By writer and number: the writer's and the last member's Unix time, and how many members have it."""
-    found: dict[tuple[str, int], tuple[float, float, int]] = {}
+def merge_arrivals(answers: list[dict[str, Any]]) -> dict[tuple[str, int], tuple[float, float, int]]:
+    """The arrivals at all member hosts by the entry's owner and sequence number.
+
+    Each has the Unix time of the write, that of the last arrival, and the number of members it arrived at.
+    """
+    arrivals: dict[tuple[str, int], tuple[float, float, int]] = {}
     for answer in answers:
         for owner, seq, written, last, members in answer["arrivals"]:
-            _, other, so_far = found.get((owner, seq), (written, 0.0, 0))
-            found[owner, seq] = written, max(last, other), so_far + members
-    return found
+            _, earlier_last, earlier_members = arrivals.get((owner, seq), (written, 0.0, 0))
+            arrivals[owner, seq] = written, max(last, earlier_last), earlier_members + members
+    return arrivals
 
 
 # -- the run -------------------------------------------------------------------------------------------------
@@ -200,34 +215,35 @@
 
 @contextmanager
 def ended_by_sigterm() -> Iterator[None]:
-    """SIGTERM ends the run as an interrupt does, so that what was started is ended too."""
+    """Make SIGTERM end the run as an interrupt does, so that all processes are ended."""
 
     def interrupt(number: int, frame: FrameType | None) -> None:
         raise KeyboardInterrupt
 
-    old = signal.signal(signal.SIGTERM, interrupt)
+    old_handler = signal.signal(signal.SIGTERM, interrupt)
     try:
         yield
     finally:
-        signal.signal(signal.SIGTERM, old)
+        signal.signal(signal.SIGTERM, old_handler)
 
 
 def play(
     workload: Workload,
     real: int,
-    hollow: int,
-    say: Callable[[str], None],
-    keep: Callable[[dict[str, Any]], None],
+    lightweight: int,
+    report_progress: Callable[[str], None],
+    save_row: Callable[[dict[str, Any]], None],
 ) -> dict[str, Any]:
-    """Play so many real members beside so many hollow ones; returns the row.
+    """Run the workload with ``real`` real and ``lightweight`` lightweight members; returns the row.
 
-    ``keep`` is given the row as far as it is there, ``partial``, after each step and when the run ends early.
-    Raises RunRefused; ``snowwick.lab.rig.Failed`` where a member has ended by itself; AssertionError where
-    something did not come about in time; KeyboardInterrupt.  All that was started has ended by then.
+    ``save_row`` receives the row as far as it is complete, marked ``partial``, after each step and if the run
+    ends early.  Raises RunRefused; ``snowwick.lab.rig.RunFailed`` if a member exits unexpectedly or not all
+    members join in time; AssertionError if another condition does not hold in time; KeyboardInterrupt.  All
+    processes have ended by then.
     """
-    check(real, hollow)
+    check_limits(real, lightweight)
     with tempfile.TemporaryDirectory(prefix="snowwick-scale-") as folder, ended_by_sigterm():
-        run = Run(workload, real, hollow, say, keep)
+        run = Run(workload, real, lightweight, report_progress, save_row)
         try:
             with Fleet(Path(folder), real, period_ms=1000.0 * workload.period) as fleet:
                 run.play(fleet)
@@ -237,165 +253,196 @@
                 if isinstance(error, KeyboardInterrupt)
                 else (str(error) or type(error).__name__).splitlines()[0]
             )
-            keep(run.row)
-            say(f"ended early: {run.row['ended']}")
+            save_row(run.row)
+            report_progress(f"ended early: {run.row['ended']}")
             raise
         return run.row
 
 
 class Run:
-    """One size."""
+    """The run of one fleet size."""
 
     def __init__(
         self,
         workload: Workload,
         real: int,
-        hollow: int,
-        say: Callable[[str], None],
-        keep: Callable[[dict[str, Any]], None],
+        lightweight: int,
+        report_progress: Callable[[str], None],
+        save_row: Callable[[dict[str, Any]], None],
     ) -> None:
-        self.workload, self.real, self.hollow = workload, real, hollow
-        self.say, self.keep = say, keep
-        self.members = real + hollow
+        self.workload = workload
+        self.real = real
+        self.lightweight = lightweight
+        self.report_progress = report_progress
+        self.save_row = save_row
+        self.members = real + lightweight
         self.began = time.monotonic()
-        self.row: dict[str, Any] = {"members": self.members, "real": real, "hollow": hollow, "partial": True}
-        self.of_real: dict[str, Any] = {}
-        self.next_clients = 0.0
+        self.row: dict[str, Any] = {
+            "members": self.members,
+            "real": real,
+            "hollow": lightweight,
+            "partial": True,
+        }
+        self.real_row: dict[str, Any] = {}  # the figures of the real members
+        self.next_clients_at = 0.0
 
     def play(self, fleet: Fleet) -> None:
+        """Perform all steps of the run."""
         self.fleet = fleet
-        self.reference = reference_frame_cpu_s()
-        self.row["reference_s"] = self.reference
-        self.start()
-        self.measure()
-        self.marks()
-        self.restarts()
+        self.reference_s = reference_frame_cpu_s()
+        self.row["reference_s"] = self.reference_s
+        self.start_members()
+        self.measure_phases()
+        self.measure_visibility()
+        self.measure_restarts()
         del self.row["partial"]
-        self.done()
+        self.save_progress()
 
-    def done(self) -> None:
-        """What there is so far."""
+    def save_progress(self) -> None:
+        """Save the row as far as it is complete."""
         self.row["took_s"] = round(time.monotonic() - self.began, 1)
-        self.row["of_real"] = {"members": self.real, **self.of_real}
-        self.keep(self.row)
+        self.row["of_real"] = {"members": self.real, **self.real_row}
+        self.save_row(self.row)
 
-    def wait(self, until: float) -> None:
-        """Until a time on the monotonic clock; clients come and go meanwhile."""
+    def run_until(self, until: float) -> None:
+        """Run the loop until a monotonic time, with new clients at the real members now and then."""
         while time.monotonic() < until:
-            if time.monotonic() >= self.next_clients:
-                self.next_clients = time.monotonic() + CLIENT
+            if time.monotonic() >= self.next_clients_at:
+                self.next_clients_at = time.monotonic() + CLIENT_INTERVAL_S
                 for n in range(self.real):
                     if not self.fleet.balancers[n].ended_on_purpose:
-                        self.fleet.connect_client(n, keep_s=KEEP)
+                        self.fleet.connect_client(n, keep_s=CLIENT_KEEP_S)
             self.fleet.check_processes()
             self.fleet.loop.run_once(0.02)
 
-    def start(self) -> None:
-        fleet, left = self.fleet, self.hollow
-        while left:
-            fleet.add_member_host(min(PER_PROCESS, left))
-            left -= min(PER_PROCESS, left)
-        self.sizes = [len(one.member_addresses) for one in fleet.member_hosts]
-        self.empty = [answer["memory"] for answer in fleet.run_commands(fleet.member_hosts, "counts")]
+    def start_members(self) -> None:
+        """Start all members and wait until each has all others alive."""
+        fleet, remaining = self.fleet, self.lightweight
+        while remaining:
+            fleet.add_member_host(min(MEMBERS_PER_PROCESS, remaining))
+            remaining -= min(MEMBERS_PER_PROCESS, remaining)
+        self.host_sizes = [len(member_host.member_addresses) for member_host in fleet.member_hosts]
+        self.initial_host_bytes = [
+            answer["memory"] for answer in fleet.run_commands(fleet.member_hosts, "counts")
+        ]
         fleet.start()
-        self.serving = [anonymous_memory_bytes(self.pid(n)) for n in range(self.real)]
-        fleet.start_lightweight_members(JOINS)
+        self.initial_real_bytes = [anonymous_memory_bytes(self.pid(n)) for n in range(self.real)]
+        fleet.start_lightweight_members(JOINS_PER_S)
         began = time.monotonic()
-        self.wait(began + self.hollow / JOINS)
-        until = time.monotonic() + JOINED
-        while (lacking := self.lacking()) and time.monotonic() < until:
-            self.wait(time.monotonic() + ASKED)
-        if lacking:
-            dead = sum(len(one["deaths"]) for one in fleet.run_commands(fleet.member_hosts, "counts"))
+        self.run_until(began + self.lightweight / JOINS_PER_S)
+        until = time.monotonic() + JOIN_TIMEOUT_S
+        while (unjoined := self.count_unjoined()) and time.monotonic() < until:
+            self.run_until(time.monotonic() + POLL_INTERVAL_S)
+        if unjoined:
+            dead = sum(len(answer["deaths"]) for answer in fleet.run_commands(fleet.member_hosts, "counts"))
             raise RunFailed(
-                f"{lacking} of {self.members} members did not see all others {JOINED:g} s after the "
-                f"last had started, {dead} were said dead: too many for this machine or period"
+                f"{unjoined} of {self.members} members did not have all others alive {JOIN_TIMEOUT_S:g} s "
+                f"after the last start, {dead} were declared dead: too many for this machine or period"
             )
         self.row["joined_s"] = round(time.monotonic() - began, 1)
-        self.say(
-            f"{self.real} real and {self.hollow} hollow members see each other after {self.row['joined_s']} s"
+        self.report_progress(
+            f"{self.real} real and {self.lightweight} lightweight members have joined after "
+            f"{self.row['joined_s']} s"
         )
-        self.done()
+        self.save_progress()
 
-    def pid(self, n: int) -> int:
-        process = self.fleet.balancers[n].process
+    def pid(self, number: int) -> int:
+        """Process id of a real member."""
+        process = self.fleet.balancers[number].process
         assert process is not None
         return process.pid
 
-    def lacking(self) -> int:
-        """Members that do not see all others."""
-        agree = self.fleet.run_commands(self.fleet.member_hosts, "agree")
-        count: int = sum(alive != self.members for one in agree for alive in one["alive"].values())
-        # The real ones are asked last: each answer is many datagrams.
-        return count or sum(len(seen) != self.members for seen in map(self.seen, range(self.real)))
+    def count_unjoined(self) -> int:
+        """The number of members that do not have all others alive."""
+        answers = self.fleet.run_commands(self.fleet.member_hosts, "agree")
+        count: int = sum(alive != self.members for answer in answers for alive in answer["alive"].values())
+        # Real members are polled only after that: each of their answers takes many datagrams.
+        return count or sum(len(names) != self.members for names in map(self.alive_members, range(self.real)))
 
-    def seen(self, n: int) -> set[str]:
-        """Whom a real member sees, itself too."""
-        return {name for name, state in self.fleet.members(n).items() if state in ("self", "alive")}
+    def alive_members(self, number: int) -> set[str]:
+        """The members that a real member has alive, itself included."""
+        return {name for name, state in self.fleet.members(number).items() if state in ("self", "alive")}
 
-    def counts(self) -> tuple[list[Count], list[Count], list[dict[str, float]], list[dict[str, Any]]]:
-        """Of hollow processes, of real members, what asking these cost, and the hollow ones' full answers."""
+    def counts(
+        self,
+    ) -> tuple[list[ProcessCounts], list[ProcessCounts], list[dict[str, float]], list[dict[str, Any]]]:
+        """Counters of member hosts and of real members, what reading the latter cost, the hosts' answers."""
         answers = self.fleet.run_commands(self.fleet.member_hosts, "counts")
-        asked = [count_real(self.fleet, n) for n in range(self.real)]
+        real_counts = [read_real_counts(self.fleet, n) for n in range(self.real)]
         return (
-            [count_hollow(one) for one in answers],
-            [one for one, _, _ in asked],
-            [cost for _, cost, _ in asked],
+            [host_counts(answer) for answer in answers],
+            [counts for counts, _, _ in real_counts],
+            [cost for _, cost, _ in real_counts],
             answers,
         )
 
-    def measure(self) -> None:
-        """The idle and the steady phase."""
-        w = replace(
+    def measure_phases(self) -> None:
+        """Run and measure the idle and the steady phase."""
+        workload = replace(
             self.workload,
             members=self.members,
             faults="none",
             burst_s=0.0,
-            seconds=self.workload.seconds + TAIL,
+            seconds=self.workload.seconds + EXTRA_WORKLOAD_S,
         )
-        play_from = time.monotonic() + ASKED
+        workload_began = time.monotonic() + POLL_INTERVAL_S
         self.fleet.run_commands(
-            self.fleet.member_hosts, "play", workload=asdict(w), first=self.real, began=play_from
+            self.fleet.member_hosts,
+            "play",
+            workload=asdict(workload),
+            first=self.real,
+            began=workload_began,
         )
-        self.wait(play_from)
+        self.run_until(workload_began)
         first = self.counts()
-        self.wait(play_from + w.idle_s)
+        self.run_until(workload_began + workload.idle_s)
         before, since = self.counts(), time.time()
-        earlier = set.union(*self.dead(before))
-        self.of_real["idle_core"] = fmean(row["core"] for row in self.rates_real(first, before))
-        idle = mean(self.rates_all(first, before))
+        dead_while_joining = set.union(*self.declared_dead(before))
+        self.real_row["idle_core"] = fmean(row["core"] for row in self.real_rates(first, before))
+        idle = weighted_mean(self.all_rates(first, before))
         self.row |= {"idle_bytes_out": idle["bytes_out"], "idle_core": idle["core"]}
-        self.wait(play_from + w.idle_s + self.workload.seconds)
+        self.run_until(workload_began + workload.idle_s + self.workload.seconds)
         after, until = self.counts(), time.time()
-        self.row |= self.figures(mean(self.rates_all(before, after)))
-        self.of_real |= self.figures(mean([(1, row) for row in self.rates_real(before, after)]))
-        rows = [self.figures(row) for _, row in self.rates_all(before, after)]
+        self.row |= self.with_reference(weighted_mean(self.all_rates(before, after)))
+        self.real_row |= self.with_reference(
+            weighted_mean([(1, row) for row in self.real_rates(before, after)])
+        )
+        rows = [self.with_reference(row) for _, row in self.all_rates(before, after)]
         self.row["worst"] = {key: max(row[key] for row in rows) for key in rows[0]}
-        hollow = [rates(one, other, 1) for one, other in zip(before[0], after[0], strict=True)]
+        process_rates = [
+            member_rates(earlier, later, 1) for earlier, later in zip(before[0], after[0], strict=True)
+        ]
         self.row |= {
             "played_s": round(after[0][0].at - before[0][0].at, 2),
-            "busiest": max(row["core"] for row in hollow),
+            "busiest": max(row["core"] for row in process_rates),
         }
-        grown = [now["memory"] - then for now, then in zip(after[3], self.empty, strict=True)]
-        real_grown = [anonymous_memory_bytes(self.pid(n)) - then for n, then in enumerate(self.serving)]
-        self.of_real |= {"played_s": self.row["played_s"], "memory": fmean(real_grown)}
-        self.row["memory"] = (sum(grown) + sum(real_grown)) / self.members
-        self.row["memory_of_hollow"] = sum(grown) / self.hollow
-        by_real, found = self.dead(after)
-        self.row["false_deaths"] = len((by_real | found) - earlier)
-        self.row["false_deaths_joining"] = len(earlier)
-        self.of_real["false_deaths"] = len(by_real - earlier)
-        shed = sum(now["shed"] - then["shed"] for now, then in zip(after[3], before[3], strict=True))
-        self.row["shed"] = shed / self.hollow / self.row["played_s"]
+        host_growth_bytes = [
+            answer["memory"] - initial
+            for answer, initial in zip(after[3], self.initial_host_bytes, strict=True)
+        ]
+        real_growth_bytes = [
+            anonymous_memory_bytes(self.pid(n)) - initial for n, initial in enumerate(self.initial_real_bytes)
+        ]
+        self.real_row |= {"played_s": self.row["played_s"], "memory": fmean(real_growth_bytes)}
+        self.row["memory"] = (sum(host_growth_bytes) + sum(real_growth_bytes)) / self.members
+        self.row["memory_of_hollow"] = sum(host_growth_bytes) / self.lightweight
+        dead_by_real, dead_by_lightweight = self.declared_dead(after)
+        self.row["false_deaths"] = len((dead_by_real | dead_by_lightweight) - dead_while_joining)
+        self.row["false_deaths_joining"] = len(dead_while_joining)
+        self.real_row["false_deaths"] = len(dead_by_real - dead_while_joining)
+        shed = sum(
+            later["shed"] - earlier["shed"] for later, earlier in zip(after[3], before[3], strict=True)
+        )
+        self.row["shed"] = shed / self.lightweight / self.row["played_s"]
         dropped: dict[str, int] = {}
         for answer in after[3]:
             for reason, count in answer["dropped"].items():
                 dropped[reason] = dropped.get(reason, 0) + count
         self.row["dropped"] = dropped
-        ages = HdrHistogram(1, MAX_HISTOGRAM_MS, 3)
+        load_ages_ms = HdrHistogram(1, MAX_HISTOGRAM_MS, 3)
         for answer in after[3]:
-            ages.add(HdrHistogram.decode(base64.b64decode(answer["ages"])))
-        # When loads should have come is not known here: a balancer writes its own when they change.
+            load_ages_ms.add(HdrHistogram.decode(base64.b64decode(answer["ages"])))
+        # When a load should have arrived is unknown here: a balancer writes its loads when they change.
         self.row |= {
             "load_late_p50_s": None,
             "load_late_p99_s": None,
@@ -403,133 +450,153 @@
             "load_age_p50_s": None,
             "load_age_p99_s": None,
         }
-        if ages.get_total_count():
+        if load_ages_ms.get_total_count():
             self.row |= {
-                "load_age_p50_s": ages.get_value_at_percentile(50.0) / 1000.0,
-                "load_age_p99_s": ages.get_value_at_percentile(99.0) / 1000.0,
+                "load_age_p50_s": load_ages_ms.get_value_at_percentile(50.0) / 1000.0,
+                "load_age_p99_s": load_ages_ms.get_value_at_percentile(99.0) / 1000.0,
             }
-        self.everywhere(since, until)
-        self.say(
-            f"{self.row['bytes_out']:.0f} B/s out and {100.0 * self.row['core']:.2f} % of a core a "
-            f"member; busiest hollow process {100.0 * self.row['busiest']:.0f} %, false deaths "
+        self.measure_propagation(since, until)
+        self.report_progress(
+            f"{self.row['bytes_out']:.0f} B/s out and {100.0 * self.row['core']:.2f} % of a core for each "
+            f"member; busiest member host {100.0 * self.row['busiest']:.0f} %, false deaths "
             f"{self.row['false_deaths']}"
         )
-        self.done()
+        self.save_progress()
 
-    def dead(self, counted: Any) -> tuple[set[tuple[str, str]], set[tuple[str, str]]]:
-        """Who was said dead so far, and under which incarnation: by real members, and by hollow ones."""
+    def declared_dead(self, counts: Any) -> tuple[set[tuple[str, str]], set[tuple[str, str]]]:
+        """Names and incarnations declared dead so far, by real and by lightweight members."""
         return (
-            {said for one in self.fleet.balancers for said in DEAD.findall(one.log)},
-            {(name, str(incarnation)) for answer in counted[3] for name, incarnation in answer["deaths"]},
+            {death for balancer in self.fleet.balancers for death in DEATH_PATTERN.findall(balancer.log)},
+            {(name, str(incarnation)) for answer in counts[3] for name, incarnation in answer["deaths"]},
         )
 
-    def rates_real(self, before: Any, after: Any) -> list[dict[str, float]]:
-        return [rates(before[1][n], after[1][n], 1, before[2][n]) for n in range(self.real)]
+    def real_rates(self, before: Any, after: Any) -> list[dict[str, float]]:
+        """Rates of each real member between two results of ``counts``."""
+        return [member_rates(before[1][n], after[1][n], 1, before[2][n]) for n in range(self.real)]
 
-    def rates_all(self, before: Any, after: Any) -> list[tuple[int, dict[str, float]]]:
-        rows = [(size, rates(before[0][at], after[0][at], size)) for at, size in enumerate(self.sizes)]
-        return rows + [(1, row) for row in self.rates_real(before, after)]
+    def all_rates(self, before: Any, after: Any) -> list[tuple[int, dict[str, float]]]:
+        """Rates of each member host and each real member, with the number of members each is the mean of."""
+        rows = [
+            (size, member_rates(before[0][index], after[0][index], size))
+            for index, size in enumerate(self.host_sizes)
+        ]
+        return rows + [(1, row) for row in self.real_rates(before, after)]
 
-    def figures(self, row: dict[str, float]) -> dict[str, float]:
-        return {**row, "reference": row["core"] / self.reference}
+    def with_reference(self, row: dict[str, float]) -> dict[str, float]:
+        """The rates, with CPU time also in reference frames a second."""
+        return {**row, "reference": row["core"] / self.reference_s}
 
-    def everywhere(self, since: float, until: float) -> None:
-        """Times of the changes that were written between two Unix times."""
-        end = time.monotonic() + DRAIN
+    def measure_propagation(self, since: float, until: float) -> None:
+        """Measure the propagation times of the changes written between two Unix times."""
+        end = time.monotonic() + DRAIN_S
         while True:
             answers = self.fleet.run_commands(self.fleet.member_hosts, "counts")
-            there = arrived(answers)
+            arrivals = merge_arrivals(answers)
             changes = [
                 (owner, seq, at)
                 for answer in answers
                 for owner, seq, at in answer["changes"]
                 if since <= at < until
             ]
-            lacking = [one for one in changes if there.get(one[:2], (0.0, 0.0, 0))[2] < self.hollow - 1]
-            if not lacking or time.monotonic() >= end:
+            unfinished = [
+                change
+                for change in changes
+                if arrivals.get(change[:2], (0.0, 0.0, 0))[2] < self.lightweight - 1
+            ]
+            if not unfinished or time.monotonic() >= end:
                 break
-            self.wait(time.monotonic() + 0.2)
-        times = [(time.time() if one in lacking else there[one[:2]][1]) - one[2] for one in changes]
+            self.run_until(time.monotonic() + 0.2)
+        times_s = [
+            (time.time() if change in unfinished else arrivals[change[:2]][1]) - change[2]
+            for change in changes
+        ]
         self.row |= {
-            **spread("everywhere", times),
+            **time_percentiles("everywhere", times_s),
             "changes": len(changes),
-            "changes_unfinished": len(lacking),
+            "changes_unfinished": len(unfinished),
         }
-        names = {one.name for one in self.fleet.balancers}
-        loads = [
+        real_names = {balancer.name for balancer in self.fleet.balancers}
+        load_times_s = [
             last - written
-            for (owner, _), (written, last, members) in there.items()
-            if owner in names and since <= written < until and members == self.hollow
+            for (owner, _), (written, last, members) in arrivals.items()
+            if owner in real_names and since <= written < until and members == self.lightweight
         ]
-        self.of_real |= {**spread("everywhere", loads), "changes": len(loads)}
-
-    def marks(self) -> None:
-        """Hollow members' changes, until all real ones show them."""
-        times = []
-        for number in range(MARKS):
-            process = self.fleet.member_hosts[number % len(self.fleet.member_hosts)]
-            member = list(process.member_addresses)[number % len(process.member_addresses)]
+        self.real_row |= {**time_percentiles("everywhere", load_times_s), "changes": len(load_times_s)}
+
+    def measure_visibility(self) -> None:
+        """Measure the times until lightweight members' changes are visible at all real members."""
+        times_s = []
+        for number in range(VISIBILITY_TESTS):
+            member_host = self.fleet.member_hosts[number % len(self.fleet.member_hosts)]
+            member = list(member_host.member_addresses)[number % len(member_host.member_addresses)]
             text = f"mark-{number}"
-            at = self.fleet.run_command(process, "write", member=member, key="zz", text=text)["at"]
-            waiting = list(range(self.real))
-            while not (there := self.shown(waiting, member, text)) and time.time() < at + THERE:
-                self.wait(time.monotonic() + 0.01)
-            if there:
-                times.append(time.time() - at)
-            self.wait(time.monotonic() + ASKED)
-        found = spread("there", times)
-        self.of_real |= {
-            "there_p50_s": found["there_p50_s"],
-            "there_worst_s": found["there_worst_s"],
-            "there": len(times),
-            "there_unfinished": MARKS - len(times),
+            written_at = self.fleet.run_command(member_host, "write", member=member, key="zz", text=text)[
+                "at"
+            ]
+            pending = list(range(self.real))
+            while (
+                not (visible := self.poll_visibility(pending, member, text))
+                and time.time() < written_at + VISIBLE_TIMEOUT_S
+            ):
+                self.run_until(time.monotonic() + 0.01)
+            if visible:
+                times_s.append(time.time() - written_at)
+            self.run_until(time.monotonic() + POLL_INTERVAL_S)
+        percentiles = time_percentiles("there", times_s)
+        self.real_row |= {
+            "there_p50_s": percentiles["there_p50_s"],
+            "there_worst_s": percentiles["there_worst_s"],
+            "there": len(times_s),
+            "there_unfinished": VISIBILITY_TESTS - len(times_s),
         }
-        self.done()
+        self.save_progress()
 
-    def shown(self, waiting: list[int], member: str, text: str) -> bool:
-        """Asks one of those that have not shown it yet, and the next the next time."""
-        n = waiting.pop(0)
+    def poll_visibility(self, pending: list[int], member: str, text: str) -> bool:
+        """Poll the next of the real members that do not show the change yet; whether none is left."""
+        n = pending.pop(0)
         if self.fleet.status(n)["revisions"].get(member) != text:
-            waiting.append(n)
-        return not waiting
-
-    def restarts(self) -> None:
-        """Real members are killed and started anew, one after another."""
-        seconds, came, said = list[float](), list[float](), list[float]()
-        for n in range(min(RESTARTS, self.real)):
-            one = self.fleet.balancers[n]
+            pending.append(n)
+        return not pending
+
+    def measure_restarts(self) -> None:
+        """Kill and restart real members one after another, and measure how long each takes to catch up."""
+        times_s, bytes_received, logged_times_s = list[float](), list[float](), list[float]()
+        for n in range(min(RESTART_TESTS, self.real)):
+            balancer = self.fleet.balancers[n]
             self.fleet.send_signal(n, signal.SIGKILL)
-            self.wait(time.monotonic() + 1.0)
+            self.run_until(time.monotonic() + 1.0)
             self.fleet.start(n)
-            began, asked, other = time.monotonic(), 0.0, (n + 1) % self.real
-            wanted = registers(self.fleet.status(other))
-            while time.monotonic() < began + JOINED:
-                count, cost, status = count_real(self.fleet, n)
-                now, held = registers(self.fleet.status(other)), registers(status)
-                # What has been removed since, as a verdict that was taken back, is not waited for.
-                wanted = {name: min(entries, now.get(name, 0)) for name, entries in wanted.items()}
-                if all(held.get(name, 0) >= entries for name, entries in wanted.items() if name != one.name):
-                    seconds.append(time.monotonic() - began)
-                    came.append(count.passed["bytes_in"] - asked)
+            began, polling_bytes, other = time.monotonic(), 0.0, (n + 1) % self.real
+            wanted = register_counts(self.fleet.status(other))
+            while time.monotonic() < began + JOIN_TIMEOUT_S:
+                counts, cost, status = read_real_counts(self.fleet, n)
+                current, own = register_counts(self.fleet.status(other)), register_counts(status)
+                # Registers that have been removed since, such as a withdrawn verdict, are not waited for.
+                wanted = {name: min(entries, current.get(name, 0)) for name, entries in wanted.items()}
+                if all(
+                    own.get(name, 0) >= entries for name, entries in wanted.items() if name != balancer.name
+                ):
+                    times_s.append(time.monotonic() - began)
+                    bytes_received.append(counts.traffic["bytes_in"] - polling_bytes)
                     break
-                asked += cost["bytes_in"]
-                self.wait(time.monotonic() + ASKED)
-            until = time.monotonic() + SAID
-            while "caught up after" not in one.log and time.monotonic() < until:
-                self.wait(time.monotonic() + 0.1)
-            if "caught up after" in one.log:
-                said.append(float(one.log.split("caught up after ")[1].split()[0]))
-        found = {
-            "start_s": fmean(seconds) if seconds else None,
-            "starts": len(seconds),
-            "start_bytes": fmean(came) if came else None,
-            "start_said_s": fmean(said) if said else None,
-            "starts_said": len(said),
+                polling_bytes += cost["bytes_in"]
+                self.run_until(time.monotonic() + POLL_INTERVAL_S)
+            until = time.monotonic() + CAUGHT_UP_LOG_TIMEOUT_S
+            while "caught up after" not in balancer.log and time.monotonic() < until:
+                self.run_until(time.monotonic() + 0.1)
+            if "caught up after" in balancer.log:
+                logged_times_s.append(float(balancer.log.split("caught up after ")[1].split()[0]))
+        figures = {
+            "start_s": fmean(times_s) if times_s else None,
+            "starts": len(times_s),
+            "start_bytes": fmean(bytes_received) if bytes_received else None,
+            "start_said_s": fmean(logged_times_s) if logged_times_s else None,
+            "starts_said": len(logged_times_s),
         }
-        self.row |= found
-        self.of_real |= found
-        self.say(
-            f"{len(seconds)} of those started anew held what the others hold after "
-            f"{found['start_s'] or math.nan:.2f} s and {found['start_bytes'] or math.nan:.0f} bytes in "
-            f"the mean; {len(said)} said so"
+        self.row |= figures
+        self.real_row |= figures
+        self.report_progress(
+            f"{len(times_s)} restarted members caught up, after "
+            f"{figures['start_s'] or math.nan:.2f} s and {figures['start_bytes'] or math.nan:.0f} bytes on "
+            f"average; {len(logged_times_s)} logged it"
         )
