--- a/snowwick/lab/__init__.py
+++ b/snowwick/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: stand-ins, simulated networks, the rig of real processes.  Never imported by ``serve``."""
+"""Test and measurement tools: simulated networks, stand-ins and the rig of real processes.
+
+``serve`` never imports this package.
+"""
--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -1,10 +1,12 @@
-"""All interleavings of a few balancers that move rights, breadth first, on the shipped core.
+"""Explores all interleavings of a few balancers that lend each other rights, breadth first.
 
     python -m snowwick.lab.interleavings [--balancers N] [--depth N] [--most STATES]
 
-A step lets time pass, a balancer ask or grant, one register reach one reader (any version newer than what it
-has: the others were lost, late or came twice), demand change, or a balancer crash and start anew knowing
-nothing (once).  After each the limits together must be within the budget.  Equal states are merged.
+Runs the production code of ``snowwick.fleet.rights``.  In each step time passes, a balancer writes a request
+or grants, one reader receives a register, the demand changes, or a balancer crashes and restarts without its
+state (at most once).  A reader can receive any version newer than the one that it has, which covers versions
+that are lost, late or duplicated.  After each step the sum of all limits must be within the budget.  Equal
+states are merged.
 """
 
 from __future__ import annotations
@@ -16,8 +18,10 @@
 
 from snowwick.fleet.rights import Budget, Grant, LeaseRequest
 
-PART, LEASE, STEP = 4.0, 3.0, 1.0  # each one's part; s of a lease here, and of a step of time
-WANTED = (0.0, 7.0)  # what is wanted, in turns
+STATIC_SHARE = 4.0  # of each balancer
+LEASE_S = 3.0
+TIME_STEP_S = 1.0
+DEMANDS = (0.0, 7.0)  # between which the demand of a balancer switches
 
 
 @dataclass
@@ -26,107 +30,111 @@
 
     budgets: dict[str, Budget]
     boots: dict[str, int]
-    wanted: dict[str, int]  # which of WANTED
+    demand_indexes: dict[str, int]  # into DEMANDS
     now: float = 0.0
-    crashes: int = 1
+    crashes_left: int = 1
+    # By writer and register: the start of the writer and the value of each version
     written: dict[tuple[str, str], list[tuple[int, LeaseRequest | Grant]]] = field(default_factory=dict)
-    # By reader, writer and register: the start and the version that has come.
-    read: dict[tuple[str, str, str], tuple[int, int]] = field(default_factory=dict)
+    # By reader, writer and register: the start of the writer and the version that was received last
+    received: dict[tuple[str, str, str], tuple[int, int]] = field(default_factory=dict)
 
-    def used(self, name: str) -> float:
-        """The most that it may: whatever the limit allows."""
-        return min(WANTED[self.wanted[name]], self.budgets[name].limit(self.now))
+    def used_amount(self, name: str) -> float:
+        """The most that a balancer may use now: its demand, at most its limit."""
+        return min(DEMANDS[self.demand_indexes[name]], self.budgets[name].limit(self.now))
 
 
-def begin(count: int) -> State:
-    names = "abc"[:count]
+def initial_state(balancer_count: int) -> State:
+    names = "abc"[:balancer_count]
     state = State(
-        {name: Budget(name, PART, True, 0.0, LEASE) for name in names},
+        {name: Budget(name, STATIC_SHARE, True, 0.0, LEASE_S) for name in names},
         dict.fromkeys(names, 1),
         dict.fromkeys(names, 0),
     )
-    state.wanted["a"] = 1
+    state.demand_indexes["a"] = 1
     return state
 
 
-def steps(state: State) -> Iterator[tuple[str, tuple[str, ...]]]:
+def possible_steps(state: State) -> Iterator[tuple[str, tuple[str, ...]]]:
+    """The steps that are possible in a state: the action and its arguments."""
     yield "time", ()
     for name in state.budgets:
-        yield "ask", (name,)
+        yield "request", (name,)
         yield "grant", (name,)
-        if state.crashes:
+        if state.crashes_left:
             yield "crash", (name,)
         if name != "a":
-            yield "want", (name,)
+            yield "demand", (name,)
     for (writer, register), versions in state.written.items():
         for reader in state.budgets:
             if reader == writer or (register.startswith("grant") and register != f"grant {reader}"):
                 continue
-            last = state.read.get((reader, writer, register), (0, -1))
-            for at, (boot, _) in enumerate(versions):
-                if (boot, at) > last:
-                    yield "read", (reader, writer, register, str(at))
+            last_received = state.received.get((reader, writer, register), (0, -1))
+            for version, (boot, _) in enumerate(versions):
+                if (boot, version) > last_received:
+                    yield "receive", (reader, writer, register, str(version))
 
 
-def carry_out(state: State, what: str, of: tuple[str, ...]) -> None:
-    if what == "time":
-        state.now += STEP
+def apply_step(state: State, action: str, arguments: tuple[str, ...]) -> None:
+    if action == "time":
+        state.now += TIME_STEP_S
         return
-    name = of[0]
+    name = arguments[0]
     budget = state.budgets[name]
-    if what == "want":
-        state.wanted[name] = 1 - state.wanted[name]
-    elif what == "ask":
-        budget.peak_demand, budget.peak_at = WANTED[state.wanted[name]], state.now
-        boots = {one: boot for one, boot in state.boots.items() if one != name}
-        ask = budget.make_request(state.used(name), boots, state.now)
-        state.written.setdefault((name, "ask"), []).append((state.boots[name], ask))
-    elif what == "grant":
-        budget.peak_demand, budget.peak_at = WANTED[state.wanted[name]], state.now
-        asks = {}
-        for (reader, writer, register), (boot, version) in state.read.items():
-            _, told = state.written[writer, register][version]
-            if reader == name and isinstance(told, LeaseRequest):
-                asks[writer] = boot, told
-        for to, grant in budget.grant_requests(asks, state.used(name), state.now).items():
-            state.written.setdefault((name, f"grant {to}"), []).append((state.boots[name], grant))
-    elif what == "crash":
-        state.crashes -= 1
+    if action == "demand":
+        state.demand_indexes[name] = 1 - state.demand_indexes[name]
+    elif action == "request":
+        budget.peak_demand, budget.peak_at = DEMANDS[state.demand_indexes[name]], state.now
+        boots = {other: boot for other, boot in state.boots.items() if other != name}
+        request = budget.make_request(state.used_amount(name), boots, state.now)
+        state.written.setdefault((name, "request"), []).append((state.boots[name], request))
+    elif action == "grant":
+        budget.peak_demand, budget.peak_at = DEMANDS[state.demand_indexes[name]], state.now
+        requests = {}
+        for (reader, writer, register), (boot, version) in state.received.items():
+            _, value = state.written[writer, register][version]
+            if reader == name and isinstance(value, LeaseRequest):
+                requests[writer] = boot, value
+        for borrower, grant in budget.grant_requests(requests, state.used_amount(name), state.now).items():
+            state.written.setdefault((name, f"grant {borrower}"), []).append((state.boots[name], grant))
+    elif action == "crash":
+        state.crashes_left -= 1
         state.boots[name] += 1
-        state.budgets[name] = Budget(name, PART, True, state.now + LEASE, LEASE)
-        state.read = {key: row for key, row in state.read.items() if key[0] != name}
+        state.budgets[name] = Budget(name, STATIC_SHARE, True, state.now + LEASE_S, LEASE_S)
+        state.received = {key: version for key, version in state.received.items() if key[0] != name}
     else:
-        reader, writer, register, at = of
-        boot, value = state.written[writer, register][int(at)]
-        state.read[reader, writer, register] = boot, int(at)
+        reader, writer, register, version_text = arguments
+        boot, value = state.written[writer, register][int(version_text)]
+        state.received[reader, writer, register] = boot, int(version_text)
         if isinstance(value, Grant):
             budget.receive_grant(writer, boot, value, state.boots[reader], state.now)
-    for one in state.budgets.values():
-        one.lent_amount(state.now)  # drops what has run out, so that equal states look equal
+    for each_budget in state.budgets.values():
+        each_budget.lent_amount(state.now)  # removes expired grants, so that equal states are equal bytes
 
 
-def explore(count: int, depth: int, most: int) -> tuple[int, int, list[str]]:
-    """States seen, the depth that was searched whole, and the steps to the first that breaks the budget."""
-    frontier: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(begin(count)), ())]
+def explore(balancer_count: int, max_depth: int, max_states: int) -> tuple[int, int, list[str]]:
+    """Returns the number of distinct states, the depth to which all interleavings were explored, and the
+    steps to the first state that exceeds the budget, or an empty list.
+    """
+    frontier: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(initial_state(balancer_count)), ())]
     seen = {frontier[0][0]}
-    for level in range(depth):
-        after: list[tuple[bytes, tuple[str, ...]]] = []
+    for depth in range(max_depth):
+        next_frontier: list[tuple[bytes, tuple[str, ...]]] = []
         for data, path in frontier:
-            for what, of in list(steps(pickle.loads(data))):
+            for action, arguments in list(possible_steps(pickle.loads(data))):
                 state: State = pickle.loads(data)
-                carry_out(state, what, of)
-                here = (*path, " ".join((what, *of)))
-                limits = sum(one.limit(state.now) for one in state.budgets.values())
-                if limits > count * PART + 1e-9:
-                    return len(seen), level, [*here, f"limits together {limits}"]
+                apply_step(state, action, arguments)
+                next_path = (*path, " ".join((action, *arguments)))
+                total_limit = sum(budget.limit(state.now) for budget in state.budgets.values())
+                if total_limit > balancer_count * STATIC_SHARE + 1e-9:
+                    return len(seen), depth, [*next_path, f"sum of limits {total_limit}"]
                 packed = pickle.dumps(state)
                 if packed not in seen:
                     seen.add(packed)
-                    after.append((packed, here))
-                    if len(seen) >= most:
-                        return len(seen), level, []
-        frontier = after
-    return len(seen), depth, []
+                    next_frontier.append((packed, next_path))
+                    if len(seen) >= max_states:
+                        return len(seen), depth, []
+        frontier = next_frontier
+    return len(seen), max_depth, []
 
 
 def main() -> None:
@@ -134,10 +142,10 @@
     parser.add_argument("--balancers", type=int, default=2, choices=[2, 3])
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--most", type=int, default=300_000)
-    given = parser.parse_args()
-    states, depth, broken = explore(given.balancers, given.depth, given.most)
-    print(f"{states} states, whole to depth {depth}", *broken, sep="\n")
-    raise SystemExit(bool(broken))
+    flags = parser.parse_args()
+    states, depth, steps = explore(flags.balancers, flags.depth, flags.most)
+    print(f"{states} states, all interleavings explored to depth {depth}", *steps, sep="\n")
+    raise SystemExit(bool(steps))
 
 
 if __name__ == "__main__":
