--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -23,15 +23,15 @@
 
 from benchmarks.figures import Figure, options, report
 from snowwick.lab.capacity_model import (
-    FORMS,
+    GROWTH_MODELS,
     Estimate,
     Model,
     Row,
-    false_deaths,
-    full_from,
-    merge,
-    of,
-    target,
+    first_full_size,
+    merge_results,
+    row_value,
+    target_value,
+    total_false_deaths,
 )
 from snowwick.lab.scale import run_simulated
 from snowwick.lab.workload import Workload
@@ -71,14 +71,14 @@
 
 def ratio(rows: Sequence[Row], quantity: str) -> float:
     """The largest size's over that of the size before, which is half of it."""
-    some = [of(row, quantity) for row in rows[-2:]]
+    some = [row_value(row, quantity) for row in rows[-2:]]
     one, other = some[0], some[-1]
     return other / one if one and other is not None else math.inf
 
 
 def error(one: Estimate) -> float:
     """Of the size that was left out, without its sign."""
-    return abs(one.left.error) if one.left is not None else math.inf
+    return abs(one.validation.error) if one.validation is not None else math.inf
 
 
 def figures(rows: Sequence[Row], slow: Sequence[Row] = ()) -> tuple[dict[str, Figure], dict[str, float]]:
@@ -87,37 +87,40 @@
     ``slow`` is the series whose largest size is predicted; without it, ``rows`` are.
     """
     model = Model(
-        merge(
+        merge_results(
             [
                 ("simulated", {"form": "simulated", "rows": rows}),
                 ("simulated-slow", {"form": "simulated", "workload": {"load_writes": SLOW}, "rows": slow}),
             ]
         )
     )
-    rows = model.measured.simulated
-    at = {name: model.of(name) for name in BUDGETS}
+    rows = model.measurements.simulated
+    at = {name: model.control_estimate(name) for name in BUDGETS}
     tested = at
     if slow:
-        tested = {f"{name} at {SLOW:g} loads told a second": model.of(name, SLOW) for name in PREDICTED}
-        tested["heed_core"] = model.of("heed_core")
+        tested = {
+            f"{name} at {SLOW:g} loads told a second": model.control_estimate(name, SLOW)
+            for name in PREDICTED
+        }
+        tested["heed_core"] = model.control_estimate("heed_core")
     last = rows[-1]
     count = int(last["members"])
 
     def value(row: Row, name: str) -> float:
-        found = of(row, name)
+        found = row_value(row, name)
         return found if found is not None else math.inf
 
     found = {}
     for name, budget in BUDGETS.items():
         reached = at[name].value
-        found[f"{FORMS[name].title} at 5,700, over its budget"] = Figure(
-            reached / target(budget) if reached is not None else math.inf, 1.0, "lower"
+        found[f"{GROWTH_MODELS[name].title} at 5,700, over its budget"] = Figure(
+            reached / target_value(budget) if reached is not None else math.inf, 1.0, "lower"
         )
-    deaths = [false_deaths(row) for row in rows]
+    deaths = [total_false_deaths(row) for row in rows]
     half = rows[-2]["members"]
     found |= {
         f"everywhere, p99 over 8 s, {count} members": Figure(
-            value(last, "everywhere_p99_s") / target("in force everywhere"), 1.0, "lower"
+            value(last, "everywhere_p99_s") / target_value("in force everywhere"), 1.0, "lower"
         ),
         "size left out, worst relative error": Figure(max(map(error, tested.values())), 0.15, "lower"),
         f"bytes out, {count} members over {half}": Figure(ratio(rows, "bytes_out"), 1.15, "lower"),
@@ -126,13 +129,13 @@
         f"bytes of a start, {count} over {half}": Figure(ratio(rows, "start_bytes"), 1.2, "lower"),
     }
     beside = {
-        f"{name}, error of the size left out": one.left.error
+        f"{name}, error of the size left out": one.validation.error
         for name, one in (at | tested).items()
-        if one.left is not None
+        if one.validation is not None
     }
     # Above 0 where the series that is predicted comes to full frames: the test runs across the change then
     beside["size from which frames are full in the predicted series, 0 for none"] = (
-        full_from(model.measured.series.get(SLOW, ()) if slow else rows) or 0.0
+        first_full_size(model.measurements.series.get(SLOW, ()) if slow else rows) or 0.0
     )
     for row in rows:
         for name in (
@@ -146,7 +149,7 @@
             "shed",
             "start_bytes",
         ):
-            if (one := of(row, name)) is not None:
+            if (one := row_value(row, name)) is not None:
                 beside[f"{name} at {row['members']}"] = one
     return found, beside
 
--- a/snowwick/lab/capacity.py
+++ b/snowwick/lab/capacity.py
@@ -14,13 +14,13 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from snowwick.lab.capacity_model import Measured, merge
+from snowwick.lab.capacity_model import Measurements, merge_results
 from snowwick.lab.capacity_tables import BadPage, render
 
 PAGE, SLOPES = Path("docs/CAPACITY.md"), Path("docs/capacity")
 
 
-def read(folder: Path) -> Measured:
+def read(folder: Path) -> Measurements:
     """The slopes of a folder; raises ValueError with the file's name."""
     files = []
     for path in sorted(folder.glob("*.json")):
@@ -31,7 +31,7 @@
         if not isinstance(file, dict):
             raise ValueError(f"{path.name}: no object")
         files.append((path.name, file))
-    return merge(files)
+    return merge_results(files)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
--- a/snowwick/lab/capacity_model.py
+++ b/snowwick/lab/capacity_model.py
@@ -1,9 +1,9 @@
 """The capacity model: what a balancer costs at the size of the target, from slopes that were measured.
 
-Pure: no I/O, no clock, no chance.  Each quantity has one form, named in ``FORMS`` with its reason before
-anything is fitted.  A larger size is left out of a first fit, which has to predict it (``LeftOut``); the
+Pure: no I/O, no clock, no chance.  Each quantity has one form, in ``GROWTH_MODELS`` with its reason before
+anything is fitted.  A larger size is left out of a first fit, which has to predict it (``Validation``); the
 figures at the target come from a second fit of the same form over all sizes.  Quantities are in the units
-of ``FORMS``: bytes (1 KB is 1,000), s, and parts of a core of the machine that measured them.
+of ``GROWTH_MODELS``: bytes (1 KB is 1,000), s, and parts of a core of the machine that measured them.
 
 What was measured at one rate of telling loads (``load_writes``) is a *series*; series are fitted each on its
 own.  There are two *regimes*: while frames are not full, rumours carry all (RETRANSMIT_FACTOR times log2 N
@@ -25,13 +25,13 @@
 
 Row = Mapping[str, Any]
 
-LEAST_SIZES, LEAST_FACTOR = 4, 16.0  # of a fit: sizes, and the largest over the smallest
-WITHIN = 0.15  # relative error of the size that was left out
+MIN_FIT_SIZES, MIN_FIT_SIZE_RATIO = 4, 16.0  # of a fit: sizes, and the largest over the smallest
+VALIDATION_TOLERANCE_FRACTION = 0.15  # relative error of the size that was left out
 # Of the room of the frames sent, from which on they count as full: pieces carry no news, and the last entry
 # that does not fit leaves a rest
-FULL = 0.75
+FULL_FRAME_FRACTION = 0.75
 
-BASIS: dict[str, Callable[[float], float]] = {
+BASIS_FUNCTIONS: dict[str, Callable[[float], float]] = {
     "1": lambda n: 1.0,
     "1/N": lambda n: 1.0 / n,
     "log2 N": lambda n: math.log2(max(2.0, n)),
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Assumption:
+class ModelInput:
     """A figure that no run of ours gives; ``reason`` says where it is from."""
 
     name: str
@@ -50,122 +50,122 @@
     reason: str
 
 
-TARGET = {
+TARGETS = {
     one.name: one
     for one in (
-        Assumption("balancers", 5_700, "", "the target"),
-        Assumption("connections", 530e6, "", "the target"),
-        Assumption("shards", 840_000, "", "the target: shards of topics"),
-        Assumption("listeners", 350_000, "", "the target: of the largest topic"),
-        Assumption("deliveries", 36e6, "/s", "the target"),
-        Assumption("delivered within", 0.39, "s", "the target: 99 in 100 deliveries"),
-        Assumption("regions", 2, "", "the target"),
-        Assumption("zones", 5, "", "the target: of both regions, as one zone is a fifth of the balancers"),
-        Assumption("changes of configuration", 26_000, "/day", "the target"),
-        Assumption("in force everywhere", 8.0, "s", "the target"),
-        Assumption("control core", 0.028, "core", "the target: of a balancer, for control"),
-        Assumption("control memory", 32e6, "bytes", "the target: of a balancer, for control"),
-        Assumption(
+        ModelInput("balancers", 5_700, "", "the target"),
+        ModelInput("connections", 530e6, "", "the target"),
+        ModelInput("shards", 840_000, "", "the target: shards of topics"),
+        ModelInput("listeners", 350_000, "", "the target: of the largest topic"),
+        ModelInput("deliveries", 36e6, "/s", "the target"),
+        ModelInput("delivered within", 0.39, "s", "the target: 99 in 100 deliveries"),
+        ModelInput("regions", 2, "", "the target"),
+        ModelInput("zones", 5, "", "the target: of both regions, as one zone is a fifth of the balancers"),
+        ModelInput("changes of configuration", 26_000, "/day", "the target"),
+        ModelInput("in force everywhere", 8.0, "s", "the target"),
+        ModelInput("control core", 0.028, "core", "the target: of a balancer, for control"),
+        ModelInput("control memory", 32e6, "bytes", "the target: of a balancer, for control"),
+        ModelInput(
             "control bytes",
             21e3,
             "bytes/s",
             "the target: of a balancer, for control; read as a bound on "
             "what goes out and another on what comes in",
         ),
-        Assumption("control machines", 5, "", "the target"),
-        Assumption("failures", 36, "/day", "the target: machines on an ordinary day"),
-        Assumption("restarts", 2_800, "/day", "the target: restarted or replaced"),
-        Assumption("connections that come back", 106e6, "", "the target: a zone lost"),
+        ModelInput("control machines", 5, "", "the target"),
+        ModelInput("failures", 36, "/day", "the target: machines on an ordinary day"),
+        ModelInput("restarts", 2_800, "/day", "the target: restarted or replaced"),
+        ModelInput("connections that come back", 106e6, "", "the target: a zone lost"),
     )
 }
 
 ASSUMPTIONS = {
     one.name: one
     for one in (
-        Assumption(
+        ModelInput(
             "cores of the data path",
             1.0,
             "core",
             "the program is one loop on one thread; a machine may run several, each a balancer of its own",
         ),
-        Assumption(
+        ModelInput(
             "bytes a member's news", 48.0, "bytes", "a `wire.Member` in msgpack, names of 13 characters"
         ),
-        Assumption(
+        ModelInput(
             "bytes an entry",
             75.0,
             "bytes",
             "a load register of 12 destinations in msgpack; 67 where no count is over 127, 79 where all are",
         ),
-        Assumption("register writes of a member", 1.0, "/s", "loads, as the simulated workload writes them"),
-        Assumption(
+        ModelInput("register writes of a member", 1.0, "/s", "loads, as the simulated workload writes them"),
+        ModelInput(
             "bytes a shard's place",
             16.0,
             "bytes",
             "id and index in a flat table; what Python objects would take is some ten times that",
         ),
-        Assumption(
+        ModelInput(
             "processor a shard's score",
             2e-6,
             "s",
             "one keyed 64-bit hash and a comparison in Python; to be measured when it is built",
         ),
-        Assumption(
+        ModelInput(
             "members of a cell",
             57.0,
             "",
             "a twentieth of a zone; for the estimates of the roles, the options compare several",
         ),
-        Assumption(
+        ModelInput(
             "listeners of a shard at a balancer",
             4.0,
             "",
             "36 million deliveries a second say nothing of "
             "how listeners cluster; it sets how many frames between balancers a delivery costs",
         ),
-        Assumption(
+        ModelInput(
             "bytes a delivery between balancers", 300.0, "bytes", "a line of 200 bytes, a frame's head"
         ),
-        Assumption(
+        ModelInput(
             "processor a frame in or out",
             50e-6,
             "s",
             "sealing, msgpack and the system call, as "
             "`snowwick/fleet` has them; to be measured when it is built",
         ),
-        Assumption(
+        ModelInput(
             "bytes a change of configuration",
             2_000.0,
             "bytes",
             "a team's contract; a whole file is sent by digest and in pieces",
         ),
-        Assumption("bytes a sum", 900.0, "bytes", "the room of one register (`store.MAX_VALUE_BYTES`)"),
-        Assumption(
+        ModelInput("bytes a sum", 900.0, "bytes", "the room of one register (`store.MAX_VALUE_BYTES`)"),
+        ModelInput(
             "s between sums", 1.0, "s", "a load that is a second old is within the age that is stated"
         ),
-        Assumption(
+        ModelInput(
             "sums a member hears",
             5.0,
             "",
             "one a zone, whatever the number of cells: delegates add up those of their zone",
         ),
-        Assumption(
+        ModelInput(
             "processor a held call at discovery",
             0.010,
             "s",
             "8 to 12 ms, docs/fleet.md: of the platform's discovery, not of ours",
         ),
-        Assumption("processor a new watch at discovery", 0.129, "s", "docs/fleet.md, the same"),
-        Assumption("held calls a second a balancer", 1.0, "/s", "`net/pool.py`, WATCH"),
+        ModelInput("processor a new watch at discovery", 0.129, "s", "docs/fleet.md, the same"),
+        ModelInput("held calls a second a balancer", 1.0, "/s", "`net/pool.py`, WATCH"),
     )
 }
 
 
-def target(name: str) -> float:
-    return TARGET[name].value
+def target_value(name: str) -> float:
+    return TARGETS[name].value
 
 
-def assumed(name: str) -> float:
+def assumed_value(name: str) -> float:
     return ASSUMPTIONS[name].value
 
 
@@ -173,7 +173,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Form:
+class GrowthModel:
     """How a quantity grows with the members, by what the mechanism does; ``full`` once frames are full.
 
     Whether they are is read from the sizes of the fit alone.  None in ``full``: the same law in both regimes.
@@ -184,13 +184,13 @@
     unit: str
     basis: tuple[str, ...]
     reason: str
-    full: tuple[str, ...] | None = None
+    full_frames_basis: tuple[str, ...] | None = None
 
 
-FORMS = {
+GROWTH_MODELS = {
     one.quantity: one
     for one in (
-        Form(
+        GrowthModel(
             "bytes_out",
             "control bytes out",
             "bytes/s",
@@ -205,17 +205,17 @@
             "is pulled, in frames whose number grows with the writers (1, log2 N, N), up to what "
             "comparison can "
             "start a period (a ceiling that is counted)",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "bytes_in",
             "control bytes in",
             "bytes/s",
             ("1", "log2 N", "N log2 N"),
             "what all send is what all are sent, less what links lose",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "datagrams_out",
             "datagrams out",
             "/s",
@@ -225,10 +225,17 @@
             "comparison where members differ, which lasts as long as news takes to spread. With full frames "
             "what "
             "is written beyond their room is pulled, in proportion to the writers (N)",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form("datagrams_in", "datagrams in", "/s", ("1", "log2 N"), "as out", full=("1", "log2 N", "N")),
-        Form(
+        GrowthModel(
+            "datagrams_in",
+            "datagrams in",
+            "/s",
+            ("1", "log2 N"),
+            "as out",
+            full_frames_basis=("1", "log2 N", "N"),
+        ),
+        GrowthModel(
             "core",
             "processor of the protocol",
             "core",
@@ -240,17 +247,17 @@
             f"{node.MAX_QUEUED_ENTRIES}). Nothing in a period goes over pairs of owners. Once frames "
             f"are full 1, log2 "
             "N and N are left",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "reference",
             "the protocol's, in reference frames",
             "/s",
             ("1", "N", "N log2 N"),
             "as the processor of the protocol, over what a full frame took on the machine in the same run",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "heed_core",
             "processor of reading the registers",
             "core",
@@ -258,15 +265,15 @@
             "all registers are read at each look, four times a second, by kinds, however rarely they are "
             "written",
         ),
-        Form(
+        GrowthModel(
             "control_core",
             "control processor",
             "core",
             ("1", "N", "N log2 N"),
             "the protocol's and that of reading the registers, added up a size",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "memory",
             "control memory",
             "bytes",
@@ -275,55 +282,55 @@
             "the process that "
             "plays the fleet takes once is shared out over its members (1/N)",
         ),
-        Form(
+        GrowthModel(
             "idle_bytes_out",
             "bytes out when nothing changes",
             "bytes/s",
             ("1", "log2 N"),
             "probes, answers and one root a period",
         ),
-        Form(
+        GrowthModel(
             "idle_core",
             "processor when nothing changes",
             "core",
             ("1", "N"),
             "the root over all owners, twice a period",
         ),
-        Form(
+        GrowthModel(
             "everywhere_p50_s",
             "a change everywhere, half",
             "s",
             ("1", "log2 N"),
             "rounds of spreading (log2 N); with full frames what is left is found by comparison, eight "
             "owners at a time (N)",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "everywhere_p99_s",
             "a change everywhere, 99 in 100",
             "s",
             ("1", "log2 N"),
             "as the half",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "everywhere_worst_s",
             "a change everywhere, the slowest",
             "s",
             ("1", "log2 N"),
             "as the half",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "start_bytes",
             "bytes of a start",
             "bytes",
             ("1", "N"),
             "a copy of each owner's registers. With full frames the same terms, and others' news and pieces "
             "that come meanwhile",
-            full=("1", "N"),
+            full_frames_basis=("1", "N"),
         ),
-        Form(
+        GrowthModel(
             "start_s",
             "s until caught up",
             "s",
@@ -331,23 +338,23 @@
             "pieces are asked for one at a time, eight owners at once. With full frames the same "
             "terms, while "
             "what was written since is pulled too",
-            full=("1", "N"),
+            full_frames_basis=("1", "N"),
         ),
-        Form(
+        GrowthModel(
             "load_age_p99_s",
             "age of a load that is held, 99 in 100",
             "s",
             ("1", "log2 N"),
             "as a change everywhere, beside the time between two of a writer",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
-        Form(
+        GrowthModel(
             "load_late_p99_s",
             "a load that is not held yet is late by, 99 in 100",
             "s",
             ("1", "log2 N"),
             "as a change everywhere",
-            full=("1", "log2 N", "N"),
+            full_frames_basis=("1", "log2 N", "N"),
         ),
     )
 }
@@ -361,15 +368,17 @@
     coefficients: tuple[float, ...]
     sizes: tuple[float, ...]
 
-    def at(self, n: float) -> float:
-        return sum(c * BASIS[name](n) for name, c in zip(self.basis, self.coefficients, strict=True))
+    def value_at(self, n: float) -> float:
+        return sum(
+            c * BASIS_FUNCTIONS[name](n) for name, c in zip(self.basis, self.coefficients, strict=True)
+        )
 
-    def slopes(self, n: float) -> str:
+    def formula_text(self, n: float) -> str:
         """The coefficients of what counts at that size, a thousandth of the whole at least."""
         some = [
             f"{c:.3g} {'' if name == '1' else name}".strip()
             for name, c in zip(self.basis, self.coefficients, strict=True)
-            if c * BASIS[name](n) > 1e-3 * self.at(n)
+            if c * BASIS_FUNCTIONS[name](n) > 1e-3 * self.value_at(n)
         ]
         return " + ".join(some) or "0"
 
@@ -380,7 +389,7 @@
     Exact: of all parts of the basis whose plain least squares have no negative coefficient, the best; the
     optimum is one of those, as its positive coefficients solve their own normal equations.
     """
-    x = np.array([[BASIS[name](n) for name in basis] for n in sizes], dtype=np.float64)
+    x = np.array([[BASIS_FUNCTIONS[name](n) for name in basis] for n in sizes], dtype=np.float64)
     y = np.array(values, dtype=np.float64)
     best = tuple(0.0 for _ in basis)
     if not y.any():
@@ -402,11 +411,11 @@
     return Fit(tuple(basis), best, tuple(sizes))
 
 
-def enough(sizes: Sequence[float]) -> bool:
-    return len(sizes) >= LEAST_SIZES and max(sizes) >= LEAST_FACTOR * min(sizes)
+def enough_sizes(sizes: Sequence[float]) -> bool:
+    return len(sizes) >= MIN_FIT_SIZES and max(sizes) >= MIN_FIT_SIZE_RATIO * min(sizes)
 
 
-def of(row: Row, quantity: str) -> float | None:
+def row_value(row: Row, quantity: str) -> float | None:
     """A finite number of a row; ``zone_lost.core`` is the core of the part ``zone_lost``."""
     part, _, name = quantity.rpartition(".")
     inner = row.get(part) if part else row
@@ -414,53 +423,62 @@
     return float(value) if isinstance(value, int | float) and math.isfinite(value) else None
 
 
-def series(rows: Sequence[Row], quantity: str, size: str = "members") -> tuple[list[float], list[float]]:
+def sizes_and_values(
+    rows: Sequence[Row], quantity: str, size: str = "members"
+) -> tuple[list[float], list[float]]:
     """Sizes and values of the rows that have the quantity, by size."""
-    some = sorted((float(row[size]), value) for row in rows if (value := of(row, quantity)) is not None)
+    some = sorted(
+        (float(row[size]), value) for row in rows if (value := row_value(row, quantity)) is not None
+    )
     return [one for one, _ in some], [one for _, one in some]
 
 
-def is_full(row: Row, part: str = "") -> bool:
+def frames_are_full(row: Row, part: str = "") -> bool:
     """Are the frames that were sent full?"""
-    sent, frames = of(row, f"{part}bytes_out"), of(row, f"{part}datagrams_out")
-    return bool(sent and frames) and (sent or 0.0) >= FULL * wire.MAX_FRAME_BYTES * (frames or 0.0)
+    sent, frames = row_value(row, f"{part}bytes_out"), row_value(row, f"{part}datagrams_out")
+    return bool(sent and frames) and (sent or 0.0) >= FULL_FRAME_FRACTION * wire.MAX_FRAME_BYTES * (
+        frames or 0.0
+    )
 
 
-def of_part(quantity: str) -> str:
+def part_prefix(quantity: str) -> str:
     """The part of the run that a quantity is of, with its dot; "" for the ordinary day."""
     part = quantity.rpartition(".")[0]
     return f"{part}." if part else ""
 
 
-def full_from(rows: Sequence[Row], part: str = "") -> float | None:
+def first_full_size(rows: Sequence[Row], part: str = "") -> float | None:
     """The smallest size whose frames are full; None where none are.
 
     Larger ones are in that regime too, though the small frames that ask for pieces make their mean smaller.
     """
     return min(
-        (float(row["members"]) for row in rows if "members" in row and is_full(row, part)), default=None
+        (float(row["members"]) for row in rows if "members" in row and frames_are_full(row, part)),
+        default=None,
     )
 
 
-def regime(form: Form, quantity: str, rows: Sequence[Row]) -> tuple[tuple[str, ...], Sequence[Row]]:
+def select_regime(
+    form: GrowthModel, quantity: str, rows: Sequence[Row]
+) -> tuple[tuple[str, ...], Sequence[Row]]:
     """The basis and the rows to fit, by whether frames are full at any of these sizes.
 
     Where they are, the sizes at which they are not obey another law: they are left out where the others are
     enough for a fit.
     """
-    start = full_from(rows, of_part(quantity))
-    if form.full is None or start is None:
+    start = first_full_size(rows, part_prefix(quantity))
+    if form.full_frames_basis is None or start is None:
         return form.basis, rows
     some = [row for row in rows if float(row["members"]) >= start]
-    return form.full, some if enough(series(some, quantity)[0]) else rows
+    return form.full_frames_basis, some if enough_sizes(sizes_and_values(some, quantity)[0]) else rows
 
 
-def regime_said(start: float | None) -> str:
-    return "frames not full" if start is None else f"full from {number(start)} on"
+def regime_text(start: float | None) -> str:
+    return "frames not full" if start is None else f"full from {format_number(start)} on"
 
 
 @dataclass(slots=True, frozen=True)
-class LeftOut:
+class Validation:
     """What the fit of the smaller sizes says of a larger one, and what was measured there.
 
     ``start`` is the size of the fit's from which on frames are full; ``filled`` the part of the frames' room
@@ -471,13 +489,15 @@
     size: float
     predicted: float
     measured: float
-    start: float | None = None
-    filled: float | None = None
+    first_full_size: float | None = None
+    expected_frame_fill: float | None = None
 
     @property
-    def across(self) -> bool:
+    def crosses_regimes(self) -> bool:
         """Across the change of regime: frames are full within the fit, or would be overfull by its law."""
-        return self.start is not None or (self.filled is not None and self.filled > 1.0)
+        return self.first_full_size is not None or (
+            self.expected_frame_fill is not None and self.expected_frame_fill > 1.0
+        )
 
     @property
     def error(self) -> float:
@@ -487,78 +507,86 @@
         return self.predicted / self.measured - 1.0
 
     @property
-    def held(self) -> bool:
-        return abs(self.error) <= WITHIN
+    def passed(self) -> bool:
+        return abs(self.error) <= VALIDATION_TOLERANCE_FRACTION
 
 
-def form_of(quantity: str) -> Form:
+def growth_model_of(quantity: str) -> GrowthModel:
     """A part of the run grows by the same law as the ordinary day."""
-    return FORMS[quantity.rpartition(".")[2]]
+    return GROWTH_MODELS[quantity.rpartition(".")[2]]
 
 
-def whole(form: Form, rows: Sequence[Row], quantity: str = "", size: str = "members") -> Fit | None:
+def fit_quantity(
+    form: GrowthModel, rows: Sequence[Row], quantity: str = "", size: str = "members"
+) -> Fit | None:
     """The fit over all these sizes; None where they are too few or too near each other."""
     quantity = quantity or form.quantity
-    if not enough(series(rows, quantity, size)[0]):
+    if not enough_sizes(sizes_and_values(rows, quantity, size)[0]):
         return None
-    basis, some = regime(form, quantity, rows)
-    return fit(*series(some, quantity, size), basis)
+    basis, some = select_regime(form, quantity, rows)
+    return fit(*sizes_and_values(some, quantity, size), basis)
 
 
-def filled(rows: Sequence[Row], at: float, part: str = "") -> float | None:
+def expected_frame_fill(rows: Sequence[Row], at: float, part: str = "") -> float | None:
     """The part of the frames' room that these sizes' fits expect to be used at a size; None without fits."""
-    sent, frames = (whole(FORMS[name], rows, part + name) for name in ("bytes_out", "datagrams_out"))
-    many = frames.at(at) if frames is not None else 0.0
-    return sent.at(at) / (many * wire.MAX_FRAME_BYTES) if sent is not None and many > 0.0 else None
+    sent, frames = (
+        fit_quantity(GROWTH_MODELS[name], rows, part + name) for name in ("bytes_out", "datagrams_out")
+    )
+    many = frames.value_at(at) if frames is not None else 0.0
+    return sent.value_at(at) / (many * wire.MAX_FRAME_BYTES) if sent is not None and many > 0.0 else None
 
 
-def tests(form: Form, rows: Sequence[Row], quantity: str = "", size: str = "members") -> list[LeftOut]:
+def validations(
+    form: GrowthModel, rows: Sequence[Row], quantity: str = "", size: str = "members"
+) -> list[Validation]:
     """Each size that has enough smaller ones, by the fit of all that are smaller; by size."""
-    quantity, found = quantity or form.quantity, list[LeftOut]()
-    part = of_part(quantity)
-    for at, value in zip(*series(rows, quantity, size), strict=True):
+    quantity, found = quantity or form.quantity, list[Validation]()
+    part = part_prefix(quantity)
+    for at, value in zip(*sizes_and_values(rows, quantity, size), strict=True):
         smaller = [row for row in rows if float(row[size]) < at]
-        one = whole(form, smaller, quantity, size)
+        one = fit_quantity(form, smaller, quantity, size)
         if one is not None:
-            fleet = size == "members" and form.full is not None
+            fleet = size == "members" and form.full_frames_basis is not None
             found.append(
-                LeftOut(
+                Validation(
                     one,
                     at,
-                    one.at(at),
+                    one.value_at(at),
                     value,
-                    full_from(smaller, part) if fleet else None,
-                    filled(smaller, at, part) if fleet else None,
+                    first_full_size(smaller, part) if fleet else None,
+                    expected_frame_fill(smaller, at, part) if fleet else None,
                 )
             )
     return found
 
 
-def left_out(form: Form, rows: Sequence[Row], quantity: str = "", size: str = "members") -> LeftOut | None:
+def validate_largest(
+    form: GrowthModel, rows: Sequence[Row], quantity: str = "", size: str = "members"
+) -> Validation | None:
     """The largest size by the fit of all smaller ones; None where those are not enough for one."""
-    sizes = series(rows, quantity or form.quantity, size)[0]
-    some = [one for one in tests(form, rows, quantity, size) if one.size == sizes[-1]]
+    sizes = sizes_and_values(rows, quantity or form.quantity, size)[0]
+    some = [one for one in validations(form, rows, quantity, size) if one.size == sizes[-1]]
     return some[0] if some else None
 
 
-PATH_FORMS = {
+DATA_PATH_GROWTH_MODELS = {
     one.quantity: one
     for one in (
-        Form(
+        GrowthModel(
             "memory",
             "memory with standing connections",
             "bytes",
             ("1", "N"),
             "the program itself, and each connection's objects and buffers; N is connections",
         ),
-        Form(
+        GrowthModel(
             "line_s",
             "processor a line",
             "s",
             ("1", "log2 N"),
             "a fixed number of turns and calls; what is touched more rarely leaves the caches, by levels",
         ),
-        Form("setup_s", "processor a setup", "s", ("1", "log2 N"), "as a line"),
+        GrowthModel("setup_s", "processor a setup", "s", ("1", "log2 N"), "as a line"),
     )
 }
 
@@ -567,7 +595,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Measured:
+class Measurements:
     """The committed files by form, each file's ``rows`` put together; empty where there is none."""
 
     series: Mapping[float, Sequence[Row]] = field(default_factory=dict)  # simulated, by loads told a second
@@ -578,27 +606,29 @@
     @property
     def simulated(self) -> Sequence[Row]:
         """The series of the rate that the target is reckoned with."""
-        return self.series.get(assumed("register writes of a member"), ())
+        return self.series.get(assumed_value("register writes of a member"), ())
 
 
-def writes_of(name: str, file: Mapping[str, Any]) -> float:
+def load_rate_of(name: str, file: Mapping[str, Any]) -> float:
     """Load registers that each member told a second in a run; raises ValueError where it is no number."""
     workload = file.get("workload")
     value = workload.get("load_writes") if isinstance(workload, Mapping) else None
-    value = assumed("register writes of a member") if value is None else value
+    value = assumed_value("register writes of a member") if value is None else value
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError(f"{name}: workload.load_writes: {value!r} is no number")
     return float(value)
 
 
-def control(row: Row) -> Row:
+def with_control_core(row: Row) -> Row:
     """The row with ``control_core`` in each part that has what it is of."""
-    found = {name: control(part) if isinstance(part, Mapping) else part for name, part in row.items()}
-    core, heed = of(row, "core"), of(row, "heed_core")
+    found = {
+        name: with_control_core(part) if isinstance(part, Mapping) else part for name, part in row.items()
+    }
+    core, heed = row_value(row, "core"), row_value(row, "heed_core")
     return {**found, "control_core": core + heed} if core is not None and heed is not None else found
 
 
-def merge(files: Sequence[tuple[str, Mapping[str, Any]]]) -> Measured:
+def merge_results(files: Sequence[tuple[str, Mapping[str, Any]]]) -> Measurements:
     """Rows by form and size, those of the simulated network by series too.  Raises ValueError.
 
     A later name goes over an earlier one within a series; series are never mixed.  Rows marked ``partial``,
@@ -611,15 +641,15 @@
         form = file.get("form")
         if form not in known:
             raise ValueError(f"{name}: form: {form!r} is none of {', '.join(known)}")
-        into = rows.setdefault((form, writes_of(name, file) if form == "simulated" else 0.0), {})
+        into = rows.setdefault((form, load_rate_of(name, file) if form == "simulated" else 0.0), {})
         key = "connections" if form == "data-path" else "members"
         for row in file.get("rows", ()):
             if not isinstance(row, Mapping) or not isinstance(row.get(key), int | float):
                 raise ValueError(f"{name}: a row without {key}")
             if not row.get("partial"):
-                into[float(row[key])] = control(row)
+                into[float(row[key])] = with_control_core(row)
     found = {key: [one for _, one in sorted(some.items())] for key, some in rows.items()}
-    return Measured(
+    return Measurements(
         {writes: some for (form, writes), some in sorted(found.items()) if form == "simulated"},
         found.get(("real", 0.0), ()),
         found.get(("data-path", 0.0), ()),
@@ -627,14 +657,14 @@
     )
 
 
-PERIOD = 0.2  # s: the protocol's, as shipped
-DAY = 86_400.0  # s
+PERIOD_S = 0.2  # s: the protocol's, as shipped
+DAY_S = 86_400.0  # s
 
 
 # -- what the shipped code bounds ----------------------------------------------------------------------------
 
 
-def ranges_bytes(n: int) -> int:
+def range_hashes_frame_bytes(n: int) -> int:
     """Bytes of the frame with the hashes of the ranges at so many owners, names as on the platform."""
     count = 1 << max(0, math.ceil(math.log2(max(1, n / store.OWNERS_PER_RANGE))))
     hashes = [(1 << 63) + 1] * count
@@ -651,44 +681,49 @@
     return 1 + wire.DIGEST_BYTES + wire.encoded_size(frame)
 
 
-def told(n: float) -> float:
+def transmissions_per_entry(n: float) -> float:
     """How often each that hears of a change passes it on, and so about how often each hears of it."""
     return members.RETRANSMIT_FACTOR * math.log2(max(2.0, n))
 
 
 # Owners from which on the ranges' frame is too long, and comparison ends
-BOUND = next(n for n in itertools.count(8) if ranges_bytes(n) > wire.MAX_FRAME_BYTES)
+RANGE_HASHES_OVERFLOW_OWNERS = next(
+    n for n in itertools.count(8) if range_hashes_frame_bytes(n) > wire.MAX_FRAME_BYTES
+)
 
 
-def ask_bytes(others: int, letters: int = 13) -> int:
+def lease_request_bytes(others: int, letters: int = 13) -> int:
     """Bytes of the register of an ask that names so many others, with names of so many characters."""
     holds = {f"{n:0{letters}}": Holding(0.0, 0, 1_700_000_000_000) for n in range(others)}
     return len(registers.pack(LeaseRequest(1, 10.0, 0.0, holds)))
 
 
-def rights_bound(letters: int = 13) -> int:
+def lease_request_overflow_members(letters: int = 13) -> int:
     """Members from which on no ask for rights is told: ``net/fleet.py`` passes over what no frame holds."""
-    return next(n for n in itertools.count(2) if ask_bytes(n - 1, letters) > store.MAX_VALUE_BYTES)
+    return next(n for n in itertools.count(2) if lease_request_bytes(n - 1, letters) > store.MAX_VALUE_BYTES)
 
 
 # The most that a member sends a period, the mean over members, without probes for others: a probe and an
 # answer, news, a root; its receiver answers with ranges, those are answered with rows, and rows with rows;
 # each of the two vectors that a member gets so may start pulls, sent and received, and as many pieces
-FRAMES = 2 + node.GOSSIP_FANOUT + 1 + 1 + 2 + 2 * node.MAX_PULLS + 2 * node.MAX_PULLS
+MAX_FRAMES_PER_PERIOD = 2 + node.GOSSIP_FANOUT + 1 + 1 + 2 + 2 * node.MAX_PULLS + 2 * node.MAX_PULLS
 
 
-def ceiling(n: int) -> float:
+def max_bytes_per_s(n: int) -> float:
     """Bytes a second that a member sends at the most, were the ranges' frame taken at any size."""
-    return (FRAMES * wire.MAX_FRAME_BYTES + max(0, ranges_bytes(n) - wire.MAX_FRAME_BYTES)) / PERIOD
+    return (
+        MAX_FRAMES_PER_PERIOD * wire.MAX_FRAME_BYTES
+        + max(0, range_hashes_frame_bytes(n) - wire.MAX_FRAME_BYTES)
+    ) / PERIOD_S
 
 
-def demand(n: float, writes: float, size: float) -> float:
+def full_propagation_bytes_per_s(n: float, writes: float, size: float) -> float:
     """Bytes a second that a member has to send so that all of its N members' writes are told in full.
 
     ``writes`` are of each member a second, ``size`` bytes each.  What frames have no room for waits, and is
     shed.
     """
-    return n * writes * size * told(n)
+    return n * writes * size * transmissions_per_entry(n)
 
 
 # -- how figures are written ---------------------------------------------------------------------------------
@@ -697,7 +732,7 @@
 NOT_FITTED = "not fitted"
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Three digits, thousands apart; whole numbers under a million as they are."""
     if not math.isfinite(value):
         return "unbounded"
@@ -708,22 +743,24 @@
     return text.rstrip("0").rstrip(".") if "." in text else f"{float(f'{value:.3g}'):,.0f}"
 
 
-def shown(value: float | None, unit: str) -> str:
+def format_value(value: float | None, unit: str) -> str:
     """With its unit, by powers of a thousand."""
     if value is None:
         return NOT_MEASURED
     if unit in ("bytes", "bytes/s"):
         for step, name in ((1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
             if abs(value) >= step:
-                return f"{number(value / step)} {name}{unit[5:]}"
+                return f"{format_number(value / step)} {name}{unit[5:]}"
     if unit == "s" and 0.0 < abs(value) < 1.0:
-        return f"{number(1e3 * value)} ms" if abs(value) >= 1e-3 else f"{number(1e6 * value)} us"
+        return (
+            f"{format_number(1e3 * value)} ms" if abs(value) >= 1e-3 else f"{format_number(1e6 * value)} us"
+        )
     if unit == "core":
-        return f"{number(value)} core" + ("s" if value > 1.0 else "")
-    return f"{number(value)}{'' if unit.startswith('/') or not unit else ' '}{unit}"
+        return f"{format_number(value)} core" + ("s" if value > 1.0 else "")
+    return f"{format_number(value)}{'' if unit.startswith('/') or not unit else ' '}{unit}"
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+def markdown_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
@@ -737,47 +774,55 @@
 
     value: float | None
     fit: Fit | None
-    left: LeftOut | None
+    validation: Validation | None
     sizes: tuple[float, ...]
-    factor: float | None  # the target over the largest size measured
-    why: str  # "" where there is a value
+    extrapolation_factor: float | None  # the target over the largest size measured
+    missing_reason: str  # "" where there is a value
     capped: bool = False  # the fit is over what the code can send; the value is that
-    past: bool = False  # a bound of the code lies between the sizes measured and the target
-    ends: int | None = None  # members at which the frames of the series would be full by its own fits
+    past_bound: bool = False  # a bound of the code lies between the sizes measured and the target
+    regime_end: int | None = None  # members at which the frames of the series would be full by its own fits
 
     @property
-    def stands(self) -> str:
+    def status_text(self) -> str:
         """What the size that was left out says of the figure."""
         if self.value is None:
-            return self.why
-        said = "not tested" if self.left is None else "held" if self.left.held else "MISSED"
-        said += " across the change of regime" if self.left is not None and self.left.across else ""
+            return self.missing_reason
+        said = "not tested" if self.validation is None else "held" if self.validation.passed else "MISSED"
+        said += (
+            " across the change of regime"
+            if self.validation is not None and self.validation.crosses_regimes
+            else ""
+        )
         said += "; cut to what frames hold, counted" if self.capped else ""
-        said += f"; past its regime, which by the fit ends at {number(self.ends)}" if self.ends else ""
-        return said + ("; past a bound" if self.past else "")
+        said += (
+            f"; past its regime, which by the fit ends at {format_number(self.regime_end)}"
+            if self.regime_end
+            else ""
+        )
+        return said + ("; past a bound" if self.past_bound else "")
 
-    def said(self, unit: str) -> str:
+    def text(self, unit: str) -> str:
         if self.value is None:
-            return self.why
-        return shown(self.value, unit) + (", counted ceiling" if self.capped else "")
+            return self.missing_reason
+        return format_value(self.value, unit) + (", counted ceiling" if self.capped else "")
 
 
 # What no fit goes beyond
-CAPS: dict[str, Callable[[int], float]] = {
-    "bytes_out": ceiling,
-    "bytes_in": ceiling,
-    "datagrams_out": lambda n: FRAMES / PERIOD,
-    "datagrams_in": lambda n: FRAMES / PERIOD,
+UPPER_BOUNDS: dict[str, Callable[[int], float]] = {
+    "bytes_out": max_bytes_per_s,
+    "bytes_in": max_bytes_per_s,
+    "datagrams_out": lambda n: MAX_FRAMES_PER_PERIOD / PERIOD_S,
+    "datagrams_in": lambda n: MAX_FRAMES_PER_PERIOD / PERIOD_S,
 }
 
 
-def cap(quantity: str, at: float) -> float:
+def upper_bound(quantity: str, at: float) -> float:
     """What the code can come to at most, infinite where nothing bounds it."""
-    return CAPS[quantity](int(at)) if quantity in CAPS else math.inf
+    return UPPER_BOUNDS[quantity](int(at)) if quantity in UPPER_BOUNDS else math.inf
 
 
 def estimate(
-    form: Form, rows: Sequence[Row], at: float, quantity: str = "", size: str = "members"
+    form: GrowthModel, rows: Sequence[Row], at: float, quantity: str = "", size: str = "members"
 ) -> Estimate:
     """The quantity at a size, by the fit over all that were measured.
 
@@ -785,30 +830,30 @@
     before holds beyond, and the one after ends there.
     """
     quantity = quantity or form.quantity
-    sizes = tuple(series(rows, quantity, size)[0])
-    one = whole(form, rows, quantity, size)
+    sizes = tuple(sizes_and_values(rows, quantity, size)[0])
+    one = fit_quantity(form, rows, quantity, size)
     why = "" if one is not None else NOT_FITTED if sizes else NOT_MEASURED
-    value = one.at(at) if one is not None else None
-    most = cap(form.quantity, at)
-    left, factor = left_out(form, rows, quantity, size), at / sizes[-1] if sizes else None
+    value = one.value_at(at) if one is not None else None
+    most = upper_bound(form.quantity, at)
+    left, factor = validate_largest(form, rows, quantity, size), at / sizes[-1] if sizes else None
     if value is None:
         return Estimate(None, one, left, sizes, factor, why)
-    over = value > most or (math.isfinite(most) and full_from(rows, of_part(quantity)) is not None)
+    over = value > most or (math.isfinite(most) and first_full_size(rows, part_prefix(quantity)) is not None)
     return Estimate(most if over else value, one, left, sizes, factor, why, over)
 
 
 # -- the law while frames are not full -----------------------------------------------------------------------
 
 
-def law(form: Form, rows: Sequence[Row]) -> Fit | None:
+def fit_below_full_frames(form: GrowthModel, rows: Sequence[Row]) -> Fit | None:
     """The fit over the sizes whose frames are not full; None where they are too few or too near."""
-    start = full_from(rows)
+    start = first_full_size(rows)
     some = [row for row in rows if start is None or float(row["members"]) < start]
-    sizes, values = series(some, form.quantity)
-    return fit(sizes, values, form.basis) if enough(sizes) else None
+    sizes, values = sizes_and_values(some, form.quantity)
+    return fit(sizes, values, form.basis) if enough_sizes(sizes) else None
 
 
-def at_rate(one: Fit, times: float) -> Fit:
+def scale_to_load_rate(one: Fit, times: float) -> Fit:
     """The law where loads are told so many times as often.
 
     What is told of loads is the term N log2 N and goes with their rate; the others come at the same rate
@@ -823,7 +868,7 @@
     )
 
 
-def added(one: Fit, other: Fit) -> Fit:
+def sum_of_fits(one: Fit, other: Fit) -> Fit:
     """The sum of two laws."""
     names = tuple(dict.fromkeys((*one.basis, *other.basis)))
     parts = [dict(zip(some.basis, some.coefficients, strict=True)) for some in (one, other)]
@@ -834,36 +879,38 @@
     )
 
 
-MOST_FLEET = 10_000_000
+MAX_FLEET_MEMBERS = 10_000_000
 
 
-def regime_ends(sent: Fit, frames: Fit) -> int:
+def largest_fleet_below_full_frames(sent: Fit, frames: Fit) -> int:
     """The largest fleet whose frames have room for what they carry, by the laws of bytes and datagrams
     out.
     """
-    low, high = 2, MOST_FLEET
+    low, high = 2, MAX_FLEET_MEMBERS
     while high - low > 1:
         middle = (low + high) // 2
         low, high = (
-            (middle, high) if sent.at(middle) <= frames.at(middle) * wire.MAX_FRAME_BYTES else (low, middle)
+            (middle, high)
+            if sent.value_at(middle) <= frames.value_at(middle) * wire.MAX_FRAME_BYTES
+            else (low, middle)
         )
     return low
 
 
-def largest(one: Fit, budget: float) -> int:
+def largest_fleet_within(one: Fit, budget: float) -> int:
     """The largest fleet whose law is within the budget; 0 where two members are over it."""
-    if one.at(2) > budget:
+    if one.value_at(2) > budget:
         return 0
-    low, high = 2, MOST_FLEET
+    low, high = 2, MAX_FLEET_MEMBERS
     while high - low > 1:
         middle = (low + high) // 2
-        low, high = (middle, high) if one.at(middle) <= budget else (low, middle)
+        low, high = (middle, high) if one.value_at(middle) <= budget else (low, middle)
     return low
 
 
 # -- budgets -------------------------------------------------------------------------------------------------
 
-PARTS = {
+RUN_PARTS = {
     "": "an ordinary day",
     "burst.": "a burst of changes",
     "zone_lost.": "a zone lost",
@@ -883,88 +930,113 @@
 }
 
 
-def verdict(over: float) -> str:
+def budget_verdict(over: float) -> str:
     """How a figure stands by its budget, of which it is ``over`` times."""
     if over <= 1.0:
-        return f"within, {number(over)} of it"
-    return f"**over {number(over)} times**" if math.isfinite(over) else "**over: none is allowed**"
+        return f"within, {format_number(over)} of it"
+    return f"**over {format_number(over)} times**" if math.isfinite(over) else "**over: none is allowed**"
 
 
-def false_deaths(row: Row) -> float | None:
+def total_false_deaths(row: Row) -> float | None:
     """Over all parts of a run."""
-    if (every := of(row, "false_deaths_all")) is not None:
+    if (every := row_value(row, "false_deaths_all")) is not None:
         return every
-    some = [value for part in PARTS if (value := of(row, f"{part}false_deaths")) is not None]
+    some = [value for part in RUN_PARTS if (value := row_value(row, f"{part}false_deaths")) is not None]
     return sum(some) if some else None
 
 
 class Model:
     """What was measured, beside the target; figures a balancer."""
 
-    def __init__(self, measured: Measured) -> None:
-        self.measured = measured
-        self.writes = assumed("register writes of a member")
+    def __init__(self, measured: Measurements) -> None:
+        self.measurements = measured
+        self.load_rate = assumed_value("register writes of a member")
         # Who tells loads most rarely, of those that were measured; None where nobody does so more rarely
-        self.slow = min((one for one in measured.series if one < self.writes), default=None)
-        self.n = target("balancers")
-        self.zone = self.n / target("zones")
-        self.held = target("connections") / self.n
-        self.lines = target("deliveries") / self.n
-        self.held_worst = target("connections") / (self.n - self.zone)
-        self.lines_worst = target("deliveries") / (self.n - self.zone)
-
-    def of(self, quantity: str, writes: float | None = None) -> Estimate:
+        self.slowest_load_rate = min((one for one in measured.series if one < self.load_rate), default=None)
+        self.balancers = target_value("balancers")
+        self.balancers_per_zone = self.balancers / target_value("zones")
+        self.connections = target_value("connections") / self.balancers
+        self.lines_per_s = target_value("deliveries") / self.balancers
+        self.connections_zone_lost = target_value("connections") / (self.balancers - self.balancers_per_zone)
+        self.lines_per_s_zone_lost = target_value("deliveries") / (self.balancers - self.balancers_per_zone)
+
+    def control_estimate(self, quantity: str, writes: float | None = None) -> Estimate:
         """Of control at the target's balancers; ``zone_lost.core`` and the like for parts of the run.
 
         ``writes`` names a series by its rate, the target's where it is None.  Reading costs the same however
         rarely is written: where a series has it not, the control processor is its protocol's and the reading
         of the target's series.
         """
-        rows = self.measured.series.get(self.writes if writes is None else writes, ())
-        one = estimate(form_of(quantity), rows, self.n, quantity)
+        rows = self.measurements.series.get(self.load_rate if writes is None else writes, ())
+        one = estimate(growth_model_of(quantity), rows, self.balancers, quantity)
         if quantity == "control_core" and one.value is None:
-            core, heed = estimate(FORMS["core"], rows, self.n), self.of("heed_core") if rows else one
+            core, heed = (
+                estimate(GROWTH_MODELS["core"], rows, self.balancers),
+                self.control_estimate("heed_core") if rows else one,
+            )
             if core.value is not None and heed.value is not None:
                 worse = max(
-                    (some.left for some in (core, heed) if some.left is not None),
+                    (some.validation for some in (core, heed) if some.validation is not None),
                     key=lambda left: abs(left.error),
                     default=None,
                 )
-                one = replace(core, value=core.value + heed.value, left=worse, fit=None)
+                one = replace(core, value=core.value + heed.value, validation=worse, fit=None)
         ends = None
         if (
-            form_of(quantity).full is not None
+            growth_model_of(quantity).full_frames_basis is not None
             and not one.capped
-            and full_from(rows, of_part(quantity)) is None
+            and first_full_size(rows, part_prefix(quantity)) is None
         ):
-            sent, frames = law(FORMS["bytes_out"], rows), law(FORMS["datagrams_out"], rows)
+            sent, frames = (
+                fit_below_full_frames(GROWTH_MODELS["bytes_out"], rows),
+                fit_below_full_frames(GROWTH_MODELS["datagrams_out"], rows),
+            )
             if (
                 sent is not None
                 and frames is not None
-                and sent.at(self.n) > frames.at(self.n) * wire.MAX_FRAME_BYTES
+                and sent.value_at(self.balancers) > frames.value_at(self.balancers) * wire.MAX_FRAME_BYTES
             ):
-                ends = regime_ends(sent, frames)
-        return replace(one, past=bool(one.sizes) and one.sizes[-1] < BOUND <= self.n, ends=ends)
+                ends = largest_fleet_below_full_frames(sent, frames)
+        return replace(
+            one,
+            past_bound=bool(one.sizes) and one.sizes[-1] < RANGE_HASHES_OVERFLOW_OWNERS <= self.balancers,
+            regime_end=ends,
+        )
 
-    def law(self, quantity: str) -> Fit | None:
+    def fit_below_full_frames(self, quantity: str) -> Fit | None:
         """Of the slow series while frames are not full; the control processor's is with the reading's."""
-        rows = self.measured.series.get(self.slow, ()) if self.slow is not None else ()
+        rows = (
+            self.measurements.series.get(self.slowest_load_rate, ())
+            if self.slowest_load_rate is not None
+            else ()
+        )
         if quantity == "control_core":
-            core, heed = law(FORMS["core"], rows), whole(FORMS["heed_core"], self.measured.simulated)
-            return added(core, heed) if core is not None and heed is not None else None
-        return law(FORMS[quantity], rows)
+            core, heed = (
+                fit_below_full_frames(GROWTH_MODELS["core"], rows),
+                fit_quantity(GROWTH_MODELS["heed_core"], self.measurements.simulated),
+            )
+            return sum_of_fits(core, heed) if core is not None and heed is not None else None
+        return fit_below_full_frames(GROWTH_MODELS[quantity], rows)
 
-    def ends(self, writes: float) -> int | None:
+    def regime_end(self, writes: float) -> int | None:
         """Members at which frames are full at that rate, by the slow series' laws."""
-        sent, frames = self.law("bytes_out"), self.law("datagrams_out")
-        if sent is None or frames is None or not self.slow:
+        sent, frames = self.fit_below_full_frames("bytes_out"), self.fit_below_full_frames("datagrams_out")
+        if sent is None or frames is None or not self.slowest_load_rate:
             return None
-        return regime_ends(at_rate(sent, writes / self.slow), frames)
+        return largest_fleet_below_full_frames(
+            scale_to_load_rate(sent, writes / self.slowest_load_rate), frames
+        )
 
-    def path(self, quantity: str, at: float) -> Estimate:
+    def data_path_estimate(self, quantity: str, at: float) -> Estimate:
         """Of the data path at so many connections."""
-        return estimate(PATH_FORMS[quantity], self.measured.data_path, at, size="connections")
+        return estimate(
+            DATA_PATH_GROWTH_MODELS[quantity], self.measurements.data_path, at, size="connections"
+        )
 
-    def days(self) -> tuple[tuple[str, float, float], ...]:
+    def day_scenarios(self) -> tuple[tuple[str, float, float], ...]:
         """The kinds of day, the connections and lines a second on each."""
-        return ("an ordinary day", self.held, self.lines), ("a zone lost", self.held_worst, self.lines_worst)
+        return ("an ordinary day", self.connections, self.lines_per_s), (
+            "a zone lost",
+            self.connections_zone_lost,
+            self.lines_per_s_zone_lost,
+        )
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -8,40 +8,40 @@
 from snowwick.fleet import node, store, wire
 from snowwick.lab.capacity_model import (
     ASSUMPTIONS,
-    BOUND,
     CONTROL_BUDGETS,
-    FORMS,
-    FRAMES,
-    MOST_FLEET,
+    DATA_PATH_GROWTH_MODELS,
+    GROWTH_MODELS,
+    MAX_FLEET_MEMBERS,
+    MAX_FRAMES_PER_PERIOD,
     NOT_MEASURED,
-    PARTS,
-    PATH_FORMS,
-    PERIOD,
-    TARGET,
-    WITHIN,
+    PERIOD_S,
+    RANGE_HASHES_OVERFLOW_OWNERS,
+    RUN_PARTS,
+    TARGETS,
+    VALIDATION_TOLERANCE_FRACTION,
     Estimate,
-    Form,
-    LeftOut,
-    Measured,
+    GrowthModel,
+    Measurements,
     Model,
-    assumed,
-    at_rate,
-    cap,
-    ceiling,
-    false_deaths,
-    form_of,
-    full_from,
-    largest,
-    number,
-    of,
-    ranges_bytes,
-    regime_said,
-    rights_bound,
-    shown,
-    table,
-    target,
-    tests,
-    verdict,
+    Validation,
+    assumed_value,
+    budget_verdict,
+    first_full_size,
+    format_number,
+    format_value,
+    growth_model_of,
+    largest_fleet_within,
+    lease_request_overflow_members,
+    markdown_table,
+    max_bytes_per_s,
+    range_hashes_frame_bytes,
+    regime_text,
+    row_value,
+    scale_to_load_rate,
+    target_value,
+    total_false_deaths,
+    upper_bound,
+    validations,
 )
 from snowwick.lab.capacity_roles import options, others, roles
 
@@ -88,19 +88,23 @@
         counted: str = "",
     ) -> None:
         if value is None:
-            rows.append((-1.0, [name, stands, shown(budget, unit), "-", "-", "-", beside]))
+            rows.append((-1.0, [name, stands, format_value(budget, unit), "-", "-", "-", beside]))
             return
         over = value / budget if budget else (math.inf if value else 0.0)
-        said = f"open: {number(over)} of it, were there no bound" if past and over <= 1.0 else verdict(over)
+        said = (
+            f"open: {format_number(over)} of it, were there no bound"
+            if past and over <= 1.0
+            else budget_verdict(over)
+        )
         rows.append(
             (
                 over,
                 [
                     name,
-                    shown(value, unit) + counted,
-                    shown(budget, unit),
+                    format_value(value, unit) + counted,
+                    format_value(budget, unit),
                     said,
-                    f"{number(factor)} times" if factor is not None else "-",
+                    f"{format_number(factor)} times" if factor is not None else "-",
                     stands,
                     beside,
                 ],
@@ -108,56 +112,60 @@
         )
 
     for quantity, budget in CONTROL_BUDGETS.items():
-        form, one = form_of(quantity), model.of(quantity)
+        form, one = growth_model_of(quantity), model.control_estimate(quantity)
         part = quantity.rpartition(".")[0]
-        title = form.title + (f", {PARTS[part + '.']}" if part else "")
+        title = form.title + (f", {RUN_PARTS[part + '.']}" if part else "")
         add(
             title,
             one.value,
             form.unit,
-            target(budget),
-            one.stands,
-            one.factor,
-            one.past,
-            rarely(model, quantity, form, target(budget)),
+            target_value(budget),
+            one.status_text,
+            one.extrapolation_factor,
+            one.past_bound,
+            rarely(model, quantity, form, target_value(budget)),
             ", counted ceiling" if one.capped else "",
         )
-    for title, held, lines in model.days():
-        one = model.path("line_s", held)
+    for title, held, lines in model.day_scenarios():
+        one = model.data_path_estimate("line_s", held)
         add(
-            f"data path, {title}: {number(lines)} lines a second at {number(held)} connections",
+            f"data path, {title}: {format_number(lines)} lines a second at {format_number(held)} connections",
             None if one.value is None else one.value * lines,
             "core",
-            assumed("cores of the data path"),
-            one.stands,
-            one.factor,
+            assumed_value("cores of the data path"),
+            one.status_text,
+            one.extrapolation_factor,
         )
-    add("members that a balancer takes frames of", model.n, "", float(wire.MAX_SENDERS), "counted")
+    add("members that a balancer takes frames of", model.balancers, "", float(wire.MAX_SENDERS), "counted")
     add(
         "frame with the hashes of the ranges",
-        float(ranges_bytes(int(model.n))),
+        float(range_hashes_frame_bytes(int(model.balancers))),
         "bytes",
         float(wire.MAX_FRAME_BYTES),
         "counted",
     )
-    deaths = [some for row in model.measured.simulated if (some := false_deaths(row)) is not None]
-    slow = model.measured.series.get(model.slow, ()) if model.slow is not None else ()
-    rarer = [some for row in slow if (some := false_deaths(row)) is not None]
+    deaths = [some for row in model.measurements.simulated if (some := total_false_deaths(row)) is not None]
+    slow = (
+        model.measurements.series.get(model.slowest_load_rate, ())
+        if model.slowest_load_rate is not None
+        else ()
+    )
+    rarer = [some for row in slow if (some := total_false_deaths(row)) is not None]
     add(
         "members falsely taken for dead, all sizes played",
         float(sum(deaths)) if deaths else None,
         "",
         0.0,
         "measured" if deaths else NOT_MEASURED,
-        beside=number(sum(rarer)) if rarer else NOT_MEASURED,
+        beside=format_number(sum(rarer)) if rarer else NOT_MEASURED,
     )
     rows += [
         (-0.5, [name, "missing", budget, "**no mechanism**", "-", "-", "the same"])
         for name, budget in MISSING
     ]
     rows.sort(key=lambda row: -row[0])
-    how = f", {number(model.slow)}/s" if model.slow is not None else ""
-    return table(
+    how = f", {format_number(model.slowest_load_rate)}/s" if model.slowest_load_rate is not None else ""
+    return markdown_table(
         [
             "at the target",
             "figure",
@@ -171,60 +179,69 @@
     )
 
 
-def rarely(model: Model, quantity: str, form: Form, budget: float) -> str:
+def rarely(model: Model, quantity: str, form: GrowthModel, budget: float) -> str:
     """The quantity at the target by the slowest series, and how it stands by its budget."""
-    if model.slow is None:
+    if model.slowest_load_rate is None:
         return NOT_MEASURED
-    one = model.of(quantity, model.slow)
+    one = model.control_estimate(quantity, model.slowest_load_rate)
     if one.value is None:
-        return one.why
+        return one.missing_reason
     over = one.value / budget
-    said = f"open: {number(over)} of it" if (one.past or one.ends) and over <= 1.0 else verdict(over)
-    return f"{one.said(form.unit)}, {said}; {one.stands}"
+    said = (
+        f"open: {format_number(over)} of it"
+        if (one.past_bound or one.regime_end) and over <= 1.0
+        else budget_verdict(over)
+    )
+    return f"{one.text(form.unit)}, {said}; {one.status_text}"
 
 
 # -- slopes and the size that was left out -------------------------------------------------------------------
 
 
 def sizes_said(sizes: Sequence[float]) -> str:
-    return ", ".join(number(one) for one in sizes) or "none"
+    return ", ".join(format_number(one) for one in sizes) or "none"
 
 
 def told_said(writes: float | None) -> str:
-    return f"{number(writes)}/s" if writes is not None else "-"
+    return f"{format_number(writes)}/s" if writes is not None else "-"
 
 
 def rates(model: Model) -> list[float]:
     """The series, the target's first."""
     return [
-        model.writes,
-        *(one for one in sorted(model.measured.series, reverse=True) if one != model.writes),
+        model.load_rate,
+        *(one for one in sorted(model.measurements.series, reverse=True) if one != model.load_rate),
     ]
 
 
 def slopes(model: Model) -> str:
-    some: list[tuple[float | None, float, Form, Estimate]] = [
-        (writes, model.n, form, model.of(form.quantity, writes))
+    some: list[tuple[float | None, float, GrowthModel, Estimate]] = [
+        (writes, model.balancers, form, model.control_estimate(form.quantity, writes))
         for writes in rates(model)
-        for form in FORMS.values()
+        for form in GROWTH_MODELS.values()
+    ]
+    some += [
+        (None, model.connections, form, model.data_path_estimate(form.quantity, model.connections))
+        for form in DATA_PATH_GROWTH_MODELS.values()
     ]
-    some += [(None, model.held, form, model.path(form.quantity, model.held)) for form in PATH_FORMS.values()]
     rows = []
     for writes, at, form, one in some:
         rows.append(
             [
                 form.title,
-                one.fit.slopes(at) if one.fit is not None else one.why or "of its two parts",
+                one.fit.formula_text(at) if one.fit is not None else one.missing_reason or "of its two parts",
                 form.unit,
                 sizes_said(one.sizes),
                 sizes_said(one.fit.sizes) if one.fit is not None else "-",
-                one.said(form.unit),
-                f"{number(one.factor)} times" if one.factor is not None else "-",
-                one.stands,
+                one.text(form.unit),
+                f"{format_number(one.extrapolation_factor)} times"
+                if one.extrapolation_factor is not None
+                else "-",
+                one.status_text,
                 told_said(writes),
             ]
         )
-    return table(
+    return markdown_table(
         [
             "quantity",
             "slope",
@@ -240,19 +257,25 @@
     )
 
 
-def _tested(form: Form, writes: float | None, unit: str, left: LeftOut) -> list[str]:
-    said = "-" if writes is None else "either, one law" if form.full is None else regime_said(left.start)
+def _tested(form: GrowthModel, writes: float | None, unit: str, left: Validation) -> list[str]:
+    said = (
+        "-"
+        if writes is None
+        else "either, one law"
+        if form.full_frames_basis is None
+        else regime_text(left.first_full_size)
+    )
     return [
         form.title,
         told_said(writes),
         said,
         sizes_said(left.fit.sizes),
-        f"{number(left.size)} {unit}",
-        f"{100.0 * left.filled:.0f}%" if left.filled is not None else "-",
-        shown(left.predicted, form.unit),
-        shown(left.measured, form.unit),
+        f"{format_number(left.size)} {unit}",
+        f"{100.0 * left.expected_frame_fill:.0f}%" if left.expected_frame_fill is not None else "-",
+        format_value(left.predicted, form.unit),
+        format_value(left.measured, form.unit),
         f"{100.0 * left.error:+.1f}%",
-        "held" if left.held else "MISSED",
+        "held" if left.passed else "MISSED",
     ]
 
 
@@ -266,13 +289,13 @@
     "predicted",
     "measured",
     "error",
-    f"within {100.0 * WITHIN:.0f}%",
+    f"within {100.0 * VALIDATION_TOLERANCE_FRACTION:.0f}%",
 ]
 
 
-def _all_tests(model: Model, writes: float) -> list[tuple[Form, list[LeftOut]]]:
-    rows = model.measured.series.get(writes, ())
-    return [(form, tests(form, rows)) for form in FORMS.values()]
+def _all_tests(model: Model, writes: float) -> list[tuple[GrowthModel, list[Validation]]]:
+    rows = model.measurements.series.get(writes, ())
+    return [(form, validations(form, rows)) for form in GROWTH_MODELS.values()]
 
 
 def left_out(model: Model) -> str:
@@ -280,10 +303,14 @@
     rows = []
     for writes in rates(model):
         for form, some in _all_tests(model, writes):
-            within = [one for one in some if not one.across]
+            within = [one for one in some if not one.crosses_regimes]
             rows += [_tested(form, writes, "members", one) for one in within]
             if not within:
-                why = "across the change of regime: below" if some else model.of(form.quantity, writes).why
+                why = (
+                    "across the change of regime: below"
+                    if some
+                    else model.control_estimate(form.quantity, writes).missing_reason
+                )
                 if not some and not why and form.quantity == "control_core":
                     why = "its parts are: the protocol's here, reading at the target's rate"
                 rows.append(
@@ -294,19 +321,19 @@
                         *["-"] * (len(TESTED) - 3),
                     ]
                 )
-    for form in PATH_FORMS.values():
-        path = model.path(form.quantity, model.held)
+    for form in DATA_PATH_GROWTH_MODELS.values():
+        path = model.data_path_estimate(form.quantity, model.connections)
         rows.append(
-            _tested(form, None, "connections", path.left)
-            if path.left is not None
+            _tested(form, None, "connections", path.validation)
+            if path.validation is not None
             else [
                 form.title,
                 "-",
-                path.why or "not tested: too few sizes under the largest",
+                path.missing_reason or "not tested: too few sizes under the largest",
                 *["-"] * (len(TESTED) - 3),
             ]
         )
-    return table(TESTED, rows)
+    return markdown_table(TESTED, rows)
 
 
 def across(model: Model) -> str:
@@ -318,9 +345,9 @@
         for writes in rates(model)
         for form, some in _all_tests(model, writes)
         for one in some
-        if one.across
+        if one.crosses_regimes
     ]
-    return table(TESTED, rows or [["none", *["-"] * (len(TESTED) - 1)]])
+    return markdown_table(TESTED, rows or [["none", *["-"] * (len(TESTED) - 1)]])
 
 
 # -- the law of the regime -----------------------------------------------------------------------------------
@@ -331,37 +358,51 @@
 
 def allowed(model: Model) -> str:
     """The largest fleet that each budget bears while frames are not full, and what the target would take."""
-    some = (model.writes, model.slow if model.slow is not None else model.writes)
+    some = (
+        model.load_rate,
+        model.slowest_load_rate if model.slowest_load_rate is not None else model.load_rate,
+    )
     rows = []
     for name in ALLOWED:
-        form, budget, one = FORMS[name], target(CONTROL_BUDGETS[name]), model.law(name)
-        row = [f"{form.title}, {shown(budget, form.unit)}"]
-        if one is None or model.slow is None:
+        form, budget, one = (
+            GROWTH_MODELS[name],
+            target_value(CONTROL_BUDGETS[name]),
+            model.fit_below_full_frames(name),
+        )
+        row = [f"{form.title}, {format_value(budget, form.unit)}"]
+        if one is None or model.slowest_load_rate is None:
             rows.append([*row, NOT_MEASURED, *["-"] * 3, _brackets(model, name, budget), "-", "-"])
             continue
-        row += [one.slopes(model.n), sizes_said(one.sizes)]
-        laws = [at_rate(one, writes / model.slow) for writes in some]
+        row += [one.formula_text(model.balancers), sizes_said(one.sizes)]
+        laws = [scale_to_load_rate(one, writes / model.slowest_load_rate) for writes in some]
         for writes, each in zip(some, laws, strict=True):
-            fleet, ends = largest(each, budget), model.ends(writes) if form.full is not None else None
-            past = f", were there no bound at {number(BOUND)}" if fleet >= BOUND else ""
-            many = "any size" if fleet >= MOST_FLEET - 1 else f"{number(fleet)} members"
+            fleet, ends = (
+                largest_fleet_within(each, budget),
+                model.regime_end(writes) if form.full_frames_basis is not None else None,
+            )
+            past = (
+                f", were there no bound at {format_number(RANGE_HASHES_OVERFLOW_OWNERS)}"
+                if fleet >= RANGE_HASHES_OVERFLOW_OWNERS
+                else ""
+            )
+            many = "any size" if fleet >= MAX_FLEET_MEMBERS - 1 else f"{format_number(fleet)} members"
             if ends is not None and fleet > ends:
-                many, past = f"{number(ends)} members, where frames are full and the law ends", ""
+                many, past = f"{format_number(ends)} members, where frames are full and the law ends", ""
             row.append(f"{many}{past}" if fleet else "none")
         row += [
             _brackets(model, name, budget),
-            " and ".join(shown(each.at(model.n), form.unit) for each in laws),
+            " and ".join(format_value(each.value_at(model.balancers), form.unit) for each in laws),
         ]
-        most = cap(name, model.n)
-        row.append(shown(most, form.unit) if math.isfinite(most) else "-")
+        most = upper_bound(name, model.balancers)
+        row.append(format_value(most, form.unit) if math.isfinite(most) else "-")
         rows.append(row)
-    return table(
+    return markdown_table(
         [
             "budget of a balancer",
             "law",
             "fitted at",
             *(f"largest fleet at {told_said(writes)}" for writes in some),
-            f"sizes measured at {told_said(model.writes)}",
+            f"sizes measured at {told_said(model.load_rate)}",
             "the target by the law, at " + " and ".join(map(told_said, some)),
             "counted ceiling: what is over it is not told",
         ],
@@ -373,13 +414,13 @@
     """Between which sizes measured at the target's rate the budget ends."""
     some = [
         (float(row["members"]), value)
-        for row in model.measured.simulated
-        if (value := of(row, name)) is not None
+        for row in model.measurements.simulated
+        if (value := row_value(row, name)) is not None
     ]
     over = min((size for size, value in some if value > budget), default=math.inf)
     within = max((size for size, value in some if size < over), default=0.0)
-    said = [f"within to {number(within)}"] if within else []
-    said += [f"over at {number(over)}"] if math.isfinite(over) else []
+    said = [f"within to {format_number(within)}"] if within else []
+    said += [f"over at {format_number(over)}"] if math.isfinite(over) else []
     return ", ".join(said) or NOT_MEASURED
 
 
@@ -388,33 +429,42 @@
     full.
     """
     rows = []
-    start = full_from(model.measured.simulated)
+    start = first_full_size(model.measurements.simulated)
     for name in BY_RATE:
-        one, form = model.law(name), FORMS[name]
-        for row in model.measured.simulated if one is not None and model.slow else ():
-            value, size = of(row, name), float(row["members"])
-            if one is None or not model.slow or value is None or (start is not None and size >= start):
+        one, form = model.fit_below_full_frames(name), GROWTH_MODELS[name]
+        for row in model.measurements.simulated if one is not None and model.slowest_load_rate else ():
+            value, size = row_value(row, name), float(row["members"])
+            if (
+                one is None
+                or not model.slowest_load_rate
+                or value is None
+                or (start is not None and size >= start)
+            ):
                 continue
-            said = one if name == "memory" else at_rate(one, model.writes / model.slow)
-            off = said.at(size) / value - 1.0 if value else math.inf
+            said = (
+                one
+                if name == "memory"
+                else scale_to_load_rate(one, model.load_rate / model.slowest_load_rate)
+            )
+            off = said.value_at(size) / value - 1.0 if value else math.inf
             rows.append(
                 [
                     form.title,
-                    number(size),
-                    shown(said.at(size), form.unit),
-                    shown(value, form.unit),
+                    format_number(size),
+                    format_value(said.value_at(size), form.unit),
+                    format_value(value, form.unit),
                     f"{100.0 * off:+.1f}%",
-                    "held" if abs(off) <= WITHIN else "MISSED",
+                    "held" if abs(off) <= VALIDATION_TOLERANCE_FRACTION else "MISSED",
                 ]
             )
-    return table(
+    return markdown_table(
         [
             "quantity",
             "members",
             "by the law at the target's rate",
             "measured",
             "error",
-            f"within {100.0 * WITHIN:.0f}%",
+            f"within {100.0 * VALIDATION_TOLERANCE_FRACTION:.0f}%",
         ],
         rows or [[NOT_MEASURED, *["-"] * 5]],
     )
@@ -422,12 +472,12 @@
 
 def forms(model: Model) -> str:
     rows = []
-    for form in (*FORMS.values(), *PATH_FORMS.values()):
+    for form in (*GROWTH_MODELS.values(), *DATA_PATH_GROWTH_MODELS.values()):
         text = ", ".join(form.basis)
-        if form.full is not None:
-            text += f"; with full frames {', '.join(form.full)}"
+        if form.full_frames_basis is not None:
+            text += f"; with full frames {', '.join(form.full_frames_basis)}"
         rows.append([form.title, text, form.reason])
-    return table(["quantity", "form", "reason"], rows)
+    return markdown_table(["quantity", "form", "reason"], rows)
 
 
 # -- what was measured ---------------------------------------------------------------------------------------
@@ -436,7 +486,7 @@
 def machine_said(machine: object) -> str:
     if not isinstance(machine, Mapping):
         return "-"
-    memory = shown(of(machine, "memory_bytes"), "bytes")
+    memory = format_value(row_value(machine, "memory_bytes"), "bytes")
     return f"{machine.get('cores')} cores, {memory}, Python {machine.get('python')}"
 
 
@@ -451,9 +501,9 @@
             str(sum(1 for row in file.get("rows", ()) if not row.get("partial"))),
             "whole" if file.get("complete") else f"not whole: {file.get('ended', '')}",
         ]
-        for name, file in model.measured.runs
+        for name, file in model.measurements.runs
     ]
-    return table(
+    return markdown_table(
         ["file", "form", "command", "date", "machine", "sizes", "run"],
         rows or [["none", NOT_MEASURED, *["-"] * 5]],
     )
@@ -462,54 +512,57 @@
 def sizes(model: Model) -> str:
     rows = []
     for writes in rates(model):
-        some = model.measured.series.get(writes, ())
-        start = full_from(some)
+        some = model.measurements.series.get(writes, ())
+        start = first_full_size(some)
         for row in some:
-            sent, frames = of(row, "bytes_out"), of(row, "datagrams_out")
+            sent, frames = row_value(row, "bytes_out"), row_value(row, "datagrams_out")
             room = f"{100.0 * sent / frames / wire.MAX_FRAME_BYTES:.0f}%" if sent and frames else "-"
             if start is not None and float(row["members"]) >= start:
                 room += ", full"
             rows.append(
                 [
-                    number(float(row["members"])),
+                    format_number(float(row["members"])),
                     told_said(writes),
                     room,
-                    *(shown(of(row, name), FORMS[name].unit) for name in SIZES),
-                    shown(of(row, "load_error"), ""),
-                    shown(of(row, "shed"), "/s"),
-                    shown(false_deaths(row), ""),
+                    *(format_value(row_value(row, name), GROWTH_MODELS[name].unit) for name in SIZES),
+                    format_value(row_value(row, "load_error"), ""),
+                    format_value(row_value(row, "shed"), "/s"),
+                    format_value(total_false_deaths(row), ""),
                 ]
             )
     head = [
         "members",
         "loads told",
         "frames filled",
-        *(FORMS[name].title for name in SIZES),
+        *(GROWTH_MODELS[name].title for name in SIZES),
         "error of the sums",
         "shed",
         "false deaths, whole run",
     ]
-    return table(head, rows or [[NOT_MEASURED, *["-"] * (len(head) - 1)]])
+    return markdown_table(head, rows or [[NOT_MEASURED, *["-"] * (len(head) - 1)]])
 
 
 def worst(model: Model) -> str:
     """Each part of the run at the largest size that played it, and at the target by the same forms."""
     rows = []
-    for part, title in PARTS.items():
-        some = [row for row in model.measured.simulated if of(row, f"{part}core") is not None]
+    for part, title in RUN_PARTS.items():
+        some = [row for row in model.measurements.simulated if row_value(row, f"{part}core") is not None]
         last = max(some, key=lambda row: float(row["members"]), default={})
-        cells = [title, number(float(last["members"])) if last else "-"]
+        cells = [title, format_number(float(last["members"])) if last else "-"]
         for name in WORST:
-            unit, one = FORMS[name].unit, model.of(f"{part}{name}")
-            at = f"{one.said(unit)} ({one.stands})" if one.value is not None else one.why
-            cells.append(f"{shown(of(last, part + name), unit)}; {at}")
-        cells += [shown(of(last, f"{part}false_deaths"), ""), shown(of(last, f"{part}healed_s"), "s")]
+            unit, one = GROWTH_MODELS[name].unit, model.control_estimate(f"{part}{name}")
+            at = f"{one.text(unit)} ({one.status_text})" if one.value is not None else one.missing_reason
+            cells.append(f"{format_value(row_value(last, part + name), unit)}; {at}")
+        cells += [
+            format_value(row_value(last, f"{part}false_deaths"), ""),
+            format_value(row_value(last, f"{part}healed_s"), "s"),
+        ]
         rows.append(cells)
-    return table(
+    return markdown_table(
         [
             "part of the run",
             "members",
-            *(f"{FORMS[name].title}; at the target" for name in WORST),
+            *(f"{GROWTH_MODELS[name].title}; at the target" for name in WORST),
             "false deaths",
             "agreed after",
         ],
@@ -520,16 +573,20 @@
 def real(model: Model) -> str:
     """What real processes took, and how many times what the simulated network says at the same size."""
     rows = []
-    for row in model.measured.real:
-        same = [one for one in model.measured.simulated if one["members"] == row["members"]]
-        cells = [number(float(row["members"])), shown(of(row, "real"), ""), shown(of(row, "hollow"), "")]
+    for row in model.measurements.real:
+        same = [one for one in model.measurements.simulated if one["members"] == row["members"]]
+        cells = [
+            format_number(float(row["members"])),
+            format_value(row_value(row, "real"), ""),
+            format_value(row_value(row, "hollow"), ""),
+        ]
         for name in ("bytes_out", "bytes_in", "core", "memory", "everywhere_p99_s"):
-            mine = of(row, f"of_real.{name}")
-            mine = of(row, name) if mine is None else mine
-            theirs = of(same[0], name) if same else None
+            mine = row_value(row, f"of_real.{name}")
+            mine = row_value(row, name) if mine is None else mine
+            theirs = row_value(same[0], name) if same else None
             cells.append(
-                shown(mine, FORMS[name].unit)
-                + (f", {number(mine / theirs)} times" if mine is not None and theirs else "")
+                format_value(mine, GROWTH_MODELS[name].unit)
+                + (f", {format_number(mine / theirs)} times" if mine is not None and theirs else "")
             )
         rows.append(cells)
     head = [
@@ -542,41 +599,43 @@
         "memory",
         "a change everywhere, 99 in 100",
     ]
-    return table(head, rows or [[NOT_MEASURED, *["-"] * (len(head) - 1)]])
+    return markdown_table(head, rows or [[NOT_MEASURED, *["-"] * (len(head) - 1)]])
 
 
 def data_path(model: Model) -> str:
     rows = []
-    for row in model.measured.data_path:
+    for row in model.measurements.data_path:
         rows.append(
             [
-                number(float(row["connections"])),
-                shown(of(row, "memory"), "bytes"),
-                shown(of(row, "pss"), "bytes"),
-                shown(of(row, "line_s"), "s"),
-                shown(of(row, "line_reference"), ""),
-                shown(of(row, "setup_s"), "s"),
-                shown(of(row, "lines_a_second"), "/s"),
+                format_number(float(row["connections"])),
+                format_value(row_value(row, "memory"), "bytes"),
+                format_value(row_value(row, "pss"), "bytes"),
+                format_value(row_value(row, "line_s"), "s"),
+                format_value(row_value(row, "line_reference"), ""),
+                format_value(row_value(row, "setup_s"), "s"),
+                format_value(row_value(row, "lines_a_second"), "/s"),
             ]
         )
     rows = rows or [[NOT_MEASURED, *["-"] * 6]]
-    for title, held, lines in model.days():
-        memory, line, setup = (model.path(name, held) for name in ("memory", "line_s", "setup_s"))
+    for title, held, lines in model.day_scenarios():
+        memory, line, setup = (
+            model.data_path_estimate(name, held) for name in ("memory", "line_s", "setup_s")
+        )
         busy = ""
         if line.value is not None:
-            busy = f"; {shown(line.value * lines, 'core')} at {number(lines)}/s"
+            busy = f"; {format_value(line.value * lines, 'core')} at {format_number(lines)}/s"
         rows.append(
             [
-                f"**{number(held)}**, {title}",
-                memory.said("bytes"),
+                f"**{format_number(held)}**, {title}",
+                memory.text("bytes"),
                 "-",
-                f"{line.said('s')}{busy}",
+                f"{line.text('s')}{busy}",
                 "-",
-                setup.said("s"),
+                setup.text("s"),
                 "-",
             ]
         )
-    return table(
+    return markdown_table(
         [
             "connections",
             "memory",
@@ -594,45 +653,48 @@
 
 
 def the_target(model: Model) -> str:
-    return table(
+    return markdown_table(
         ["target", "value", "where from"],
-        [[one.name, shown(one.value, one.unit), one.reason] for one in TARGET.values()],
+        [[one.name, format_value(one.value, one.unit), one.reason] for one in TARGETS.values()],
     )
 
 
 def assumptions(model: Model) -> str:
-    return table(
+    return markdown_table(
         ["assumption", "value", "reason"],
-        [[one.name, shown(one.value, one.unit), one.reason] for one in ASSUMPTIONS.values()],
+        [[one.name, format_value(one.value, one.unit), one.reason] for one in ASSUMPTIONS.values()],
     )
 
 
 def walls(model: Model) -> str:
     """What in the shipped code ends before the target, whatever the slopes."""
-    n = int(model.n)
+    n = int(model.balancers)
     waiting = n / node.MAX_QUEUED_ENTRIES
-    return table(
+    return markdown_table(
         ["bound", "where", "at the target", "reached at"],
         [
             [
                 "members whose frames are taken",
                 "`wire.MAX_SENDERS`",
-                f"{number(n)} of {number(wire.MAX_SENDERS)}: frames of the others are dropped as "
+                f"{format_number(n)} of {format_number(wire.MAX_SENDERS)}: frames of the others are "
+                "dropped as "
                 f"`too-many-senders`",
                 f"{wire.MAX_SENDERS + 1:,} members",
             ],
             [
                 "the frame with the hashes of the ranges",
                 "`wire.MAX_FRAME_BYTES`, `store.OWNERS_PER_RANGE`",
-                f"{number(ranges_bytes(n))} of {number(wire.MAX_FRAME_BYTES)} bytes: dropped as "
+                f"{format_number(range_hashes_frame_bytes(n))} of {format_number(wire.MAX_FRAME_BYTES)} "
+                "bytes: dropped as "
                 "`too-long`, and nothing else "
                 "finds what news did not bring",
-                f"{BOUND:,} owners",
+                f"{RANGE_HASHES_OVERFLOW_OWNERS:,} owners",
             ],
             [
                 "what a member can send",
                 "`node.MAX_PULLS`, `node.GOSSIP_FANOUT`, `wire.MAX_FRAME_BYTES`",
-                f"{shown(ceiling(n), 'bytes/s')} in {number(FRAMES / PERIOD)} frames/s: a fit over "
+                f"{format_value(max_bytes_per_s(n), 'bytes/s')} in "
+                f"{format_number(MAX_FRAMES_PER_PERIOD / PERIOD_S)} frames/s: a fit over "
                 f"it is cut down "
                 "to it, "
                 "and what is over it does not arrive",
@@ -641,14 +703,14 @@
             [
                 "what waits to be passed on",
                 "`node.MAX_QUEUED_ENTRIES`",
-                f"one entry of each member is {number(waiting)} times what may wait; those told most "
+                f"one entry of each member is {format_number(waiting)} times what may wait; those told most "
                 f"are shed",
                 f"{node.MAX_QUEUED_ENTRIES:,} entries at once",
             ],
             [
                 "a round of probes",
                 "`members.Membership._next_probe_target`",
-                f"{shown(n * PERIOD, 's')} until a member has probed each other once; how often a "
+                f"{format_value(n * PERIOD_S, 's')} until a member has probed each other once; how often a "
                 f"given one is "
                 "probed by anybody does not depend on the size",
                 "-",
@@ -656,11 +718,11 @@
             [
                 "an ask for rights names every member",
                 "`rights.LeaseRequest.holdings`, `store.MAX_VALUE_BYTES`",
-                f"longer than the {number(store.MAX_VALUE_BYTES)} bytes of a value: refused, which "
+                f"longer than the {format_number(store.MAX_VALUE_BYTES)} bytes of a value: refused, which "
                 f"`net/fleet.py` passes over "
                 "(`_write`), so that rights stop moving (read in the code and computed, not played)",
-                f"{number(rights_bound())} members with names of 13 characters, "
-                f"{number(rights_bound(3))} with "
+                f"{format_number(lease_request_overflow_members())} members with names of 13 characters, "
+                f"{format_number(lease_request_overflow_members(3))} with "
                 "names of 3",
             ],
             [
@@ -683,10 +745,10 @@
 def _caught(model: Model) -> str:
     """The sizes at which nobody that started heard it within the run."""
     some = [
-        f"{number(float(row['members']))} members at {told_said(writes)}"
+        f"{format_number(float(row['members']))} members at {told_said(writes)}"
         for writes in rates(model)
-        for row in model.measured.series.get(writes, ())
-        if of(row, "starts") and of(row, "start_said_s") is None
+        for row in model.measurements.series.get(writes, ())
+        if row_value(row, "starts") and row_value(row, "start_said_s") is None
     ]
     return f"not said within the run at {', '.join(some)}" if some else NOT_MEASURED
 
@@ -695,13 +757,15 @@
     """What reading costs beside the protocol."""
     some = [
         (float(row["members"]), heed / core)
-        for row in model.measured.simulated
-        if (heed := of(row, "heed_core")) is not None and (core := of(row, "core"))
+        for row in model.measurements.simulated
+        if (heed := row_value(row, "heed_core")) is not None and (core := row_value(row, "core"))
     ]
     if not some:
         return NOT_MEASURED
     least, most = min(one for _, one in some), max(one for _, one in some)
-    return f"{number(least)} to {number(most)} times the protocol's processor, at all sizes played"
+    return (
+        f"{format_number(least)} to {format_number(most)} times the protocol's processor, at all sizes played"
+    )
 
 
 TABLES: dict[str, Callable[[Model], str]] = {
@@ -730,7 +794,7 @@
     """The page's markers are not as they have to be."""
 
 
-def render(page: str, measured: Measured) -> str:
+def render(page: str, measured: Measurements) -> str:
     """The page with its tables between their markers, ``<!-- NAME -->`` and ``<!-- end of NAME -->``.
 
     Raises BadPage where a marker is missing or twice there.
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,22 +14,22 @@
 from snowwick.fleet import store, wire
 from snowwick.lab import capacity, capacity_model
 from snowwick.lab.capacity_model import (
-    BASIS,
-    BOUND,
-    FORMS,
-    PATH_FORMS,
-    Form,
+    BASIS_FUNCTIONS,
+    DATA_PATH_GROWTH_MODELS,
+    GROWTH_MODELS,
+    RANGE_HASHES_OVERFLOW_OWNERS,
+    GrowthModel,
     Model,
-    ceiling,
+    budget_verdict,
     estimate,
     fit,
-    left_out,
-    merge,
-    number,
-    ranges_bytes,
-    shown,
-    verdict,
-    whole,
+    fit_quantity,
+    format_number,
+    format_value,
+    max_bytes_per_s,
+    merge_results,
+    range_hashes_frame_bytes,
+    validate_largest,
 )
 from snowwick.lab.capacity_tables import TABLES, BadPage, render
 
@@ -40,7 +40,10 @@
 
 def grown(quantity: str, n: float, *coefficients: float) -> float:
     """A value that follows the quantity's own form."""
-    return sum(c * BASIS[name](n) for c, name in zip(coefficients, FORMS[quantity].basis, strict=True))
+    return sum(
+        c * BASIS_FUNCTIONS[name](n)
+        for c, name in zip(coefficients, GROWTH_MODELS[quantity].basis, strict=True)
+    )
 
 
 def row(n: int, **other: Any) -> dict[str, Any]:
@@ -109,8 +112,10 @@
 
 
 def test_fit_recovers_each_basis_alone_among_all() -> None:
-    for at, name in enumerate(BASIS):
-        found = fit(SIZES, [7.0 * BASIS[name](n) for n in SIZES], tuple(BASIS)).coefficients
+    for at, name in enumerate(BASIS_FUNCTIONS):
+        found = fit(
+            SIZES, [7.0 * BASIS_FUNCTIONS[name](n) for n in SIZES], tuple(BASIS_FUNCTIONS)
+        ).coefficients
         assert found[at] == pytest.approx(7.0, rel=1e-6)
         assert sum(found) == pytest.approx(7.0, rel=1e-6)
 
@@ -127,38 +132,38 @@
 
 
 def test_fit_of_zeros_is_zero() -> None:
-    assert fit(SIZES, [0.0] * len(SIZES), ("1", "N")).at(5700) == 0.0
+    assert fit(SIZES, [0.0] * len(SIZES), ("1", "N")).value_at(5700) == 0.0
 
 
 # -- the model can fail --------------------------------------------------------------------------------------
 
 
-LINEAR = Form("memory", "memory", "bytes", ("1", "N"), "for the test")
+LINEAR = GrowthModel("memory", "memory", "bytes", ("1", "N"), "for the test")
 
 
 def test_left_out_is_predicted_by_the_smaller_sizes_alone() -> None:
     rows = [{"members": n, "memory": 100.0 + n} for n in SIZES]
-    one = left_out(LINEAR, rows)
+    one = validate_largest(LINEAR, rows)
     assert one is not None and one.size == 256 and one.fit.sizes == SIZES[:-1]
-    assert one.held and one.error == pytest.approx(0.0, abs=1e-9)
+    assert one.passed and one.error == pytest.approx(0.0, abs=1e-9)
     rows[-1]["memory"] *= 2.0  # what is left out changes nothing in its prediction
-    other = left_out(LINEAR, rows)
-    assert other is not None and other.predicted == pytest.approx(one.predicted) and not other.held
+    other = validate_largest(LINEAR, rows)
+    assert other is not None and other.predicted == pytest.approx(one.predicted) and not other.passed
 
 
 @pytest.mark.parametrize(("off", "held"), [(1.10, True), (0.90, True), (1.25, False), (0.80, False)])
 def test_left_out_holds_within_fifteen_percent(off: float, held: bool) -> None:
     rows = [{"members": n, "memory": 100.0 + n} for n in SIZES]
     rows[-1]["memory"] /= off
-    one = left_out(LINEAR, rows)
-    assert one is not None and one.error == pytest.approx(off - 1.0) and one.held is held
+    one = validate_largest(LINEAR, rows)
+    assert one is not None and one.error == pytest.approx(off - 1.0) and one.passed is held
 
 
 def test_superlinear_series_misses_and_the_page_says_so(tmp_path: Path) -> None:
     rows = [row(n, memory=10.0 * n**2) for n in SIZES]
-    one = left_out(FORMS["memory"], rows)
+    one = validate_largest(GROWTH_MODELS["memory"], rows)
     assert one is not None and one.error < -0.15
-    page = render(EMPTY, merge([("simulated.json", simulated(rows))]))
+    page = render(EMPTY, merge_results([("simulated.json", simulated(rows))]))
     (line,) = [line for line in lines_of(page, "left-out") if line.startswith("| control memory")]
     assert "MISSED" in line and f"{100.0 * one.error:+.1f}%" in line
     assert "655 KB" in line  # measured: 10 x 256 x 256 bytes
@@ -170,19 +175,19 @@
 
 @pytest.mark.parametrize("sizes", [(8, 16, 32, 64, 100), (8, 16, 32, 200), (8, 128, 256)])
 def test_too_few_sizes_or_too_near_are_not_tested(sizes: tuple[int, ...]) -> None:
-    assert left_out(LINEAR, [{"members": n, "memory": 100.0 + n} for n in sizes]) is None
+    assert validate_largest(LINEAR, [{"members": n, "memory": 100.0 + n} for n in sizes]) is None
 
 
 def test_fewer_than_four_sizes_are_not_fitted() -> None:
     rows = [{"members": n, "memory": 100.0 + n} for n in (8, 64, 256)]
     one = estimate(LINEAR, rows, 5700)
-    assert one.value is None and one.stands == "not fitted" and whole(LINEAR, rows) is None
+    assert one.value is None and one.status_text == "not fitted" and fit_quantity(LINEAR, rows) is None
 
 
 def test_estimate_is_of_all_sizes_and_says_how_far() -> None:
     one = estimate(LINEAR, [{"members": n, "memory": 100.0 + n} for n in SIZES], 5700)
     assert one.value == pytest.approx(5800.0) and one.fit is not None and one.fit.sizes == SIZES
-    assert one.factor == pytest.approx(5700 / 256) and one.stands == "held"
+    assert one.extrapolation_factor == pytest.approx(5700 / 256) and one.status_text == "held"
 
 
 def test_sizes_with_full_frames_are_fitted_apart() -> None:
@@ -190,21 +195,25 @@
     full = 30.0 * wire.MAX_FRAME_BYTES
     sizes = (4, 8, 16, 32, 64, 128, 256, 512)
     rows = [row(n, bytes_out=full if n >= 16 else full * n / 16.0) for n in sizes]
-    one = whole(FORMS["bytes_out"], rows)
-    assert one is not None and one.sizes == sizes[2:] and one.at(5700) == pytest.approx(full)
-    assert one.basis == FORMS["bytes_out"].full
+    one = fit_quantity(GROWTH_MODELS["bytes_out"], rows)
+    assert one is not None and one.sizes == sizes[2:] and one.value_at(5700) == pytest.approx(full)
+    assert one.basis == GROWTH_MODELS["bytes_out"].full_frames_basis
 
 
 def test_whether_frames_are_full_is_not_read_from_the_size_left_out() -> None:
     rows = [row(n, bytes_out=1000.0) for n in SIZES]
     rows[-1]["bytes_out"] = 30.0 * wire.MAX_FRAME_BYTES
-    one = left_out(FORMS["bytes_out"], rows)
-    assert one is not None and one.fit.basis == FORMS["bytes_out"].basis and not one.held
+    one = validate_largest(GROWTH_MODELS["bytes_out"], rows)
+    assert one is not None and one.fit.basis == GROWTH_MODELS["bytes_out"].basis and not one.passed
 
 
 def test_every_form_is_of_the_basis_and_has_a_reason() -> None:
-    for form in (*FORMS.values(), *PATH_FORMS.values()):
-        assert {*form.basis, *(form.full or ())} <= BASIS.keys() and form.reason and form.title
+    for form in (*GROWTH_MODELS.values(), *DATA_PATH_GROWTH_MODELS.values()):
+        assert (
+            {*form.basis, *(form.full_frames_basis or ())} <= BASIS_FUNCTIONS.keys()
+            and form.reason
+            and form.title
+        )
 
 
 # -- series and regimes --------------------------------------------------------------------------------------
@@ -212,7 +221,7 @@
 
 def test_series_are_merged_by_size_and_never_mixed() -> None:
     slow = {"load_writes": 0.125}
-    found = merge(
+    found = merge_results(
         [
             ("simulated.json", simulated([row(8, core=1.0), row(16, core=2.0)])),
             ("simulated-slow.json", simulated([row(8, core=3.0), row(32, core=4.0)], workload=slow)),
@@ -229,21 +238,26 @@
 @pytest.mark.parametrize("rate", ["1", True, math.inf])
 def test_a_rate_that_is_no_number_is_refused(rate: object) -> None:
     with pytest.raises(ValueError, match=r"simulated\.json: workload\.load_writes"):
-        merge([("simulated.json", simulated([row(8)], workload={"load_writes": rate}))])
+        merge_results([("simulated.json", simulated([row(8)], workload={"load_writes": rate}))])
 
 
 def test_a_series_alone_is_not_the_target_s() -> None:
-    slow = merge([("simulated.json", simulated([row(n) for n in SIZES], workload={"load_writes": 0.125}))])
+    slow = merge_results(
+        [("simulated.json", simulated([row(n) for n in SIZES], workload={"load_writes": 0.125}))]
+    )
     model = Model(slow)
-    assert slow.simulated == () and model.slow == 0.125
-    assert model.of("memory").why == "not measured" and model.of("memory", 0.125).value is not None
+    assert slow.simulated == () and model.slowest_load_rate == 0.125
+    assert (
+        model.control_estimate("memory").missing_reason == "not measured"
+        and model.control_estimate("memory", 0.125).value is not None
+    )
 
 
 def test_each_size_with_enough_under_it_is_left_out_once() -> None:
     rows: list[dict[str, Any]] = [{"members": n, "memory": 100.0 + n} for n in SIZES]
     rows.append({"members": 512, "memory": 2000.0})
-    found = capacity_model.tests(LINEAR, rows)
-    assert [(one.size, one.fit.sizes, one.held) for one in found] == [
+    found = capacity_model.validations(LINEAR, rows)
+    assert [(one.size, one.fit.sizes, one.passed) for one in found] == [
         (256, SIZES[:-1], True),
         (512, SIZES, False),
     ]
@@ -256,9 +270,9 @@
         row(16, bytes_out=25.0 * wire.MAX_FRAME_BYTES),
         row(32, bytes_out=18.0 * wire.MAX_FRAME_BYTES),
     ]
-    assert capacity_model.full_from(rows) == 16 and capacity_model.full_from(rows[:1]) is None
-    assert capacity_model.regime_said(16.0) == "full from 16 on"
-    assert capacity_model.regime_said(None) == "frames not full"
+    assert capacity_model.first_full_size(rows) == 16 and capacity_model.first_full_size(rows[:1]) is None
+    assert capacity_model.regime_text(16.0) == "full from 16 on"
+    assert capacity_model.regime_text(None) == "frames not full"
 
 
 def regimes() -> list[dict[str, Any]]:
@@ -270,22 +284,24 @@
 
 def test_across_is_read_from_the_fit_alone() -> None:
     rows = regimes()
-    one = left_out(FORMS["bytes_out"], rows)
-    assert one is not None and one.start is None and one.across and not one.held
-    assert one.filled == pytest.approx(
+    one = validate_largest(GROWTH_MODELS["bytes_out"], rows)
+    assert one is not None and one.first_full_size is None and one.crosses_regimes and not one.passed
+    assert one.expected_frame_fill == pytest.approx(
         grown("bytes_out", 256, 900.0, 50.0, 30.0) / (30.0 * wire.MAX_FRAME_BYTES)
     )
     rows[-1]["bytes_out"] = 1.0  # what is left out decides neither where it stands nor what is predicted
-    other = left_out(FORMS["bytes_out"], rows)
-    assert other is not None and other.across and other.filled == one.filled
+    other = validate_largest(GROWTH_MODELS["bytes_out"], rows)
+    assert (
+        other is not None and other.crosses_regimes and other.expected_frame_fill == one.expected_frame_fill
+    )
     for sent in (1.0, 1e9):
         inside = [row(n) for n in SIZES[:-1]] + [row(256, bytes_out=sent)]
-        one = left_out(FORMS["bytes_out"], inside)
-        assert one is not None and not one.across and not one.held
+        one = validate_largest(GROWTH_MODELS["bytes_out"], inside)
+        assert one is not None and not one.crosses_regimes and not one.passed
 
 
 def test_what_missed_across_the_change_has_a_table_of_its_own_and_stays_on_the_page() -> None:
-    page = render(EMPTY, merge([("simulated.json", simulated(regimes()))]))
+    page = render(EMPTY, merge_results([("simulated.json", simulated(regimes()))]))
     (line,) = [line for line in lines_of(page, "across") if line.startswith("| control bytes out")]
     assert "| 1/s | frames not full | 8, 16, 32, 64, 128 | 256 members |" in line and "MISSED" in line
     (line,) = [line for line in lines_of(page, "left-out") if line.startswith("| control bytes out")]
@@ -295,16 +311,16 @@
 
 
 def test_what_is_said_of_a_figure_names_a_test_across_the_change() -> None:
-    model = Model(merge([("simulated.json", simulated(regimes()))]))
-    assert model.of("bytes_out").stands.startswith("MISSED across the change of regime")
-    assert model.of("core").stands.startswith("held across the change of regime")
-    assert model.of("memory").stands.startswith("held; ")
+    model = Model(merge_results([("simulated.json", simulated(regimes()))]))
+    assert model.control_estimate("bytes_out").status_text.startswith("MISSED across the change of regime")
+    assert model.control_estimate("core").status_text.startswith("held across the change of regime")
+    assert model.control_estimate("memory").status_text.startswith("held; ")
 
 
 def test_a_miss_within_a_regime_stays_in_the_first_table() -> None:
     rows = [row(n) for n in SIZES]
     rows[-1]["bytes_out"] *= 1.5
-    page = render(EMPTY, merge([("simulated.json", simulated(rows))]))
+    page = render(EMPTY, merge_results([("simulated.json", simulated(rows))]))
     (line,) = [line for line in lines_of(page, "left-out") if line.startswith("| control bytes out")]
     assert "frames not full" in line and "MISSED" in line
     assert lines_of(page, "across")[2].startswith("| none |")
@@ -312,10 +328,10 @@
 
 def test_a_series_with_full_frames_has_the_counted_ceiling_at_the_target() -> None:
     rows = [row(n, bytes_out=min(n * 600.0, 30.0 * wire.MAX_FRAME_BYTES)) for n in SIZES]
-    model = Model(merge([("simulated.json", simulated(rows))]))
-    one = model.of("bytes_out")
-    assert one.capped and one.value == ceiling(5700) and not model.of("memory").capped
-    page = render(EMPTY, model.measured)
+    model = Model(merge_results([("simulated.json", simulated(rows))]))
+    one = model.control_estimate("bytes_out")
+    assert one.capped and one.value == max_bytes_per_s(5700) and not model.control_estimate("memory").capped
+    page = render(EMPTY, model.measurements)
     (line,) = [line for line in lines_of(page, "glance") if line.startswith("| control bytes out |")]
     assert "320 KB/s, counted ceiling" in line
 
@@ -341,7 +357,7 @@
         for n in SIZES
     ]
     return Model(
-        merge(
+        merge_results(
             [
                 ("simulated.json", simulated(often)),
                 ("simulated-slow.json", simulated(rare, workload={"load_writes": 0.125})),
@@ -352,66 +368,79 @@
 
 def test_largest_fleet_within_a_budget() -> None:
     one = fit(SIZES, [100.0 + n for n in SIZES], ("1", "N"))
-    assert capacity_model.largest(one, 1100.0) in (999, 1000) and capacity_model.largest(one, 101.0) == 0
-    by = capacity_model.at_rate(
+    assert (
+        capacity_model.largest_fleet_within(one, 1100.0) in (999, 1000)
+        and capacity_model.largest_fleet_within(one, 101.0) == 0
+    )
+    by = capacity_model.scale_to_load_rate(
         fit(SIZES, [1.0 + n + 3.0 * n * math.log2(n) for n in SIZES], ("1", "N", "N log2 N")), 8.0
     )
-    assert by.at(64) == pytest.approx(1.0 + 64.0 + 24.0 * 64.0 * 6.0)
+    assert by.value_at(64) == pytest.approx(1.0 + 64.0 + 24.0 * 64.0 * 6.0)
 
 
 def test_what_a_budget_allows_follows_the_rate() -> None:
     model = two_series()
-    page = render(EMPTY, model.measured)
+    page = render(EMPTY, model.measurements)
     (line,) = [line for line in lines_of(page, "allowed") if line.startswith("| control bytes out")]
-    law = model.law("bytes_out")
+    law = model.fit_below_full_frames("bytes_out")
     assert law is not None
     for writes, times in ((1.0, 8.0), (0.125, 1.0)):
-        fleet = capacity_model.largest(capacity_model.at_rate(law, times), 21e3)
+        fleet = capacity_model.largest_fleet_within(capacity_model.scale_to_load_rate(law, times), 21e3)
         assert (
             grown("bytes_out", fleet, 900.0, 50.0, 3.0 * times)
             <= 21e3
             < grown("bytes_out", fleet + 1, 900.0, 50.0, 3.0 * times)
         ), writes
-        assert f"| {number(fleet)} members" in line
+        assert f"| {format_number(fleet)} members" in line
     over = min(n for n in SIZES if grown("bytes_out", n, 900.0, 50.0, 24.0) > 21e3)
     assert f"| within to {over // 2}, over at {over} |" in line
-    needs = [shown(grown("bytes_out", 5700, 900.0, 50.0, slope), "bytes/s") for slope in (24.0, 3.0)]
+    needs = [format_value(grown("bytes_out", 5700, 900.0, 50.0, slope), "bytes/s") for slope in (24.0, 3.0)]
     assert " and ".join(needs) in line and line.endswith("| 320 KB/s |")
 
 
 def test_the_law_ends_where_its_own_frames_are_full() -> None:
     model = two_series()  # 30 frames a second
     for writes, slope in ((1.0, 24.0), (0.125, 3.0)):
-        ends = model.ends(writes)
+        ends = model.regime_end(writes)
         assert ends is not None and grown(
             "bytes_out", ends, 900.0, 50.0, slope
         ) <= 30.0 * wire.MAX_FRAME_BYTES < grown("bytes_out", ends + 1, 900.0, 50.0, slope)
-    one = model.of("everywhere_p99_s", 0.125)
-    assert one.ends == model.ends(0.125) and "past its regime" in one.stands
-    assert model.of("memory", 0.125).ends is None and model.of("idle_bytes_out", 0.125).ends is None
-    page = render(EMPTY, model.measured)
+    one = model.control_estimate("everywhere_p99_s", 0.125)
+    assert one.regime_end == model.regime_end(0.125) and "past its regime" in one.status_text
+    assert (
+        model.control_estimate("memory", 0.125).regime_end is None
+        and model.control_estimate("idle_bytes_out", 0.125).regime_end is None
+    )
+    page = render(EMPTY, model.measurements)
     (line,) = [line for line in lines_of(page, "allowed") if line.startswith("| a change everywhere")]
-    assert f"| {number(model.ends(0.125) or 0)} members, where frames are full and the law ends |" in line
+    assert (
+        f"| {format_number(model.regime_end(0.125) or 0)} members, where frames are full and the law ends |"
+        in line
+    )
     full = [
         {**one, "burst": {**one, "everywhere_p99_s": 0.1 * math.log2(one["members"])}}
-        for one in model.measured.series[0.125]
+        for one in model.measurements.series[0.125]
     ]
     full.append(row(512, bytes_out=30.0 * wire.MAX_FRAME_BYTES, burst=row(512, everywhere_p99_s=0.9)))
-    both = Model(merge([("simulated.json", simulated(full, workload={"load_writes": 0.125}))]))
-    assert both.of("everywhere_p99_s", 0.125).ends is None
-    assert both.of("burst.everywhere_p99_s", 0.125).ends == model.ends(0.125)  # its own frames were not full
-    few = Model(merge([("simulated.json", simulated([row(n, bytes_out=2000.0) for n in SIZES]))]))
-    assert few.of("everywhere_p99_s").ends is None  # frames have room for it at the target
+    both = Model(merge_results([("simulated.json", simulated(full, workload={"load_writes": 0.125}))]))
+    assert both.control_estimate("everywhere_p99_s", 0.125).regime_end is None
+    assert both.control_estimate("burst.everywhere_p99_s", 0.125).regime_end == model.regime_end(
+        0.125
+    )  # its own frames were not full
+    few = Model(merge_results([("simulated.json", simulated([row(n, bytes_out=2000.0) for n in SIZES]))]))
+    assert (
+        few.control_estimate("everywhere_p99_s").regime_end is None
+    )  # frames have room for it at the target
 
 
 def test_the_law_of_the_rare_series_is_tried_at_the_target_s_rate() -> None:
-    page = render(EMPTY, two_series().measured)
+    page = render(EMPTY, two_series().measurements)
     found = [line for line in lines_of(page, "by-rate") if line.startswith("| control bytes out")]
     assert found and all("| held |" in line for line in found)
     rows = [row(n, bytes_out=grown("bytes_out", n, 900.0, 50.0, 36.0)) for n in SIZES]
     rare = [row(n, bytes_out=grown("bytes_out", n, 900.0, 50.0, 3.0)) for n in SIZES]
     model = Model(
-        merge(
+        merge_results(
             [
                 ("simulated.json", simulated(rows)),
                 ("simulated-slow.json", simulated(rare, workload={"load_writes": 0.125})),
@@ -420,34 +449,37 @@
     )
     found = [
         line
-        for line in lines_of(render(EMPTY, model.measured), "by-rate")
+        for line in lines_of(render(EMPTY, model.measurements), "by-rate")
         if line.startswith("| control bytes out")
     ]
     assert any("MISSED" in line for line in found)
 
 
 def test_the_control_processor_of_a_series_without_reading_takes_the_target_s() -> None:
-    one = two_series().of("control_core", 0.125)
+    one = two_series().control_estimate("control_core", 0.125)
     assert one.value == pytest.approx(grown("core", 5700, 0.001, 1e-5, 1e-6) + 0.57)
-    assert two_series(None).of("control_core", 0.125).value is None
+    assert two_series(None).control_estimate("control_core", 0.125).value is None
 
 
 def test_an_ask_for_rights_outgrows_a_value() -> None:
     for letters in (3, 13):
-        bound = capacity_model.rights_bound(letters)
+        bound = capacity_model.lease_request_overflow_members(letters)
         assert (
-            capacity_model.ask_bytes(bound - 2, letters)
+            capacity_model.lease_request_bytes(bound - 2, letters)
             <= store.MAX_VALUE_BYTES
-            < capacity_model.ask_bytes(bound - 1, letters)
+            < capacity_model.lease_request_bytes(bound - 1, letters)
         )
-    assert (capacity_model.rights_bound(), capacity_model.rights_bound(3)) == (27, 38)
+    assert (
+        capacity_model.lease_request_overflow_members(),
+        capacity_model.lease_request_overflow_members(3),
+    ) == (27, 38)
 
 
 # -- what is put together ------------------------------------------------------------------------------------
 
 
 def test_files_of_one_form_are_merged_and_the_later_name_holds() -> None:
-    found = merge(
+    found = merge_results(
         [
             ("simulated-b.json", simulated([{"members": 8, "core": 2.0}])),
             ("simulated.json", simulated([{"members": 4, "core": 9.0}, {"members": 16, "core": 5.0}])),
@@ -470,20 +502,20 @@
 
 
 def test_a_size_that_was_not_played_to_its_end_is_left_out() -> None:
-    found = merge([("simulated.json", simulated([row(8), row(16, partial=True)]))])
+    found = merge_results([("simulated.json", simulated([row(8), row(16, partial=True)]))])
     assert [one["members"] for one in found.simulated] == [8]
 
 
 def test_control_is_the_protocol_and_the_reading_and_not_measured_without_either() -> None:
     rows = [row(8, zone_lost={"core": 0.5, "heed_core": 0.25}), row(16, heed_core=None)]
-    one, other = merge([("simulated.json", simulated(rows))]).simulated
+    one, other = merge_results([("simulated.json", simulated(rows))]).simulated
     assert one["control_core"] == pytest.approx(0.01 + 8e-5 + 8e-4)
     assert one["zone_lost"]["control_core"] == 0.75 and "control_core" not in other
 
 
 def test_parts_of_a_run_are_fitted_by_the_same_form() -> None:
     rows = [row(n, zone_lost={"core": 0.5 + 0.01 * n, "false_deaths": 1}) for n in SIZES]
-    one = Model(merge([("simulated.json", simulated(rows))])).of("zone_lost.core")
+    one = Model(merge_results([("simulated.json", simulated(rows))])).control_estimate("zone_lost.core")
     assert one.value == pytest.approx(0.5 + 57.0, rel=1e-6)
 
 
@@ -492,7 +524,7 @@
 
 def test_glance_is_sorted_by_factor_and_names_what_is_over() -> None:
     rows = [row(n, memory=1000.0 * n + 1e4, false_deaths=n == 256) for n in SIZES]
-    page = render(EMPTY, merge([("simulated.json", simulated(rows))]))
+    page = render(EMPTY, merge_results([("simulated.json", simulated(rows))]))
     found = lines_of(page, "glance")[2:]
     assert all(line.endswith((" | not measured |", " | the same |")) for line in found)  # no second series
     assert "falsely taken for dead" in found[0] and "none is allowed" in found[0]
@@ -509,22 +541,22 @@
 
 
 def test_verdict_at_the_budget() -> None:
-    assert verdict(1.0) == "within, 1 of it" and verdict(1.01) == "**over 1.01 times**"
+    assert budget_verdict(1.0) == "within, 1 of it" and budget_verdict(1.01) == "**over 1.01 times**"
 
 
 def test_data_path_at_the_target() -> None:
-    page = render(EMPTY, merge([("data-path.json", {"form": "data-path", "rows": path_rows()})]))
+    page = render(EMPTY, merge_results([("data-path.json", {"form": "data-path", "rows": path_rows()})]))
     (line,) = [line for line in lines_of(page, "glance") if "an ordinary day" in line]
     busy = (36e6 / 5700) * (1e-4 + 1e-5 * math.log2(530e6 / 5700))
-    assert f"{number(busy)} cores" in line
+    assert f"{format_number(busy)} cores" in line
     (line,) = [line for line in lines_of(page, "data-path") if line.startswith("| **116,000**")]
-    assert shown(2e7 + 5000.0 * 530e6 / 4560, "bytes") in line
+    assert format_value(2e7 + 5000.0 * 530e6 / 4560, "bytes") in line
 
 
 def test_real_rows_stand_beside_the_simulated_of_the_same_size() -> None:
     real = {"form": "real", "rows": [{"members": 64, "real": 8, "hollow": 56, "of_real": {"core": 0.04}}]}
     rows = [row(64, core=0.02)]
-    page = render(EMPTY, merge([("real.json", real), ("simulated.json", simulated(rows))]))
+    page = render(EMPTY, merge_results([("real.json", real), ("simulated.json", simulated(rows))]))
     assert "| 64 | 8 | 56 | not measured |" in lines_of(page, "real")[2] and "0.04 core, 2 times" in page
 
 
@@ -545,29 +577,33 @@
 
 
 def test_a_run_that_was_not_whole_says_so() -> None:
-    page = render(EMPTY, merge([("simulated.json", simulated([row(8)], complete=False, ended="memory"))]))
+    page = render(
+        EMPTY, merge_results([("simulated.json", simulated([row(8)], complete=False, ended="memory"))])
+    )
     assert "not whole: memory" in "\n".join(lines_of(page, "runs"))
 
 
 def test_no_fit_goes_beyond_what_frames_hold() -> None:
-    most, size = ceiling(5700), BASIS["N log2 N"]
+    most, size = max_bytes_per_s(5700), BASIS_FUNCTIONS["N log2 N"]
     for slope, capped in ((most / size(5700) * 0.9, False), (most / size(5700) * 1.1, True)):
         rows = [row(n, bytes_out=slope * size(n)) for n in SIZES]
-        one = Model(merge([("simulated.json", simulated(rows))])).of("bytes_out")
+        one = Model(merge_results([("simulated.json", simulated(rows))])).control_estimate("bytes_out")
         assert one.capped is capped and one.value == pytest.approx(most if capped else slope * size(5700))
-        assert ("counted ceiling" in one.said("bytes/s")) is capped
-        assert ("cut to what frames hold" in one.stands) is capped
+        assert ("counted ceiling" in one.text("bytes/s")) is capped
+        assert ("cut to what frames hold" in one.status_text) is capped
 
 
 def test_a_bound_between_the_sizes_and_the_target_is_said() -> None:
     for sizes, past in ((SIZES, True), ((128, 256, 512, 1024, 2048), False)):
-        one = Model(merge([("simulated.json", simulated([row(n) for n in sizes]))])).of("memory")
-        assert one.past is past and ("past a bound" in one.stands) is past
+        one = Model(merge_results([("simulated.json", simulated([row(n) for n in sizes]))])).control_estimate(
+            "memory"
+        )
+        assert one.past_bound is past and ("past a bound" in one.status_text) is past
 
 
 def test_options_cost_a_delegate_both_fleets() -> None:
     rows = [row(n, bytes_out=grown("bytes_out", n, 1000.0, 0.0, 2.0)) for n in SIZES]
-    page = render(EMPTY, merge([("simulated.json", simulated(rows))]))
+    page = render(EMPTY, merge_results([("simulated.json", simulated(rows))]))
     (line,) = [line for line in lines_of(page, "options") if line.startswith("| cells of 57, 100 delegates")]
     # 1000 + 2 x 57 x log2 57, and beside it 1000 + 2 x 100 x log2 100
     assert "1.66 KB/s, within, 0.0793 of it; delegate 3.99 KB/s" in line
@@ -576,13 +612,18 @@
 
 def test_options_are_cut_to_what_frames_hold() -> None:
     rows = [row(n, bytes_out=1000.0 * n) for n in SIZES]
-    page = render(EMPTY, merge([("simulated.json", simulated(rows))]))
+    page = render(EMPTY, merge_results([("simulated.json", simulated(rows))]))
     line = lines_of(page, "options")[-1]
-    assert line.startswith(f"| all, as it is | {shown(ceiling(5700), 'bytes/s')}, **over 15.2 times**")
+    assert line.startswith(
+        f"| all, as it is | {format_value(max_bytes_per_s(5700), 'bytes/s')}, **over 15.2 times**"
+    )
 
 
 def test_the_frame_of_the_ranges_is_counted_from_the_shipped_code() -> None:
-    assert ranges_bytes(1024) <= wire.MAX_FRAME_BYTES < ranges_bytes(1025) and BOUND == 1025
+    assert (
+        range_hashes_frame_bytes(1024) <= wire.MAX_FRAME_BYTES < range_hashes_frame_bytes(1025)
+        and RANGE_HASHES_OVERFLOW_OWNERS == 1025
+    )
 
 
 @pytest.mark.parametrize(
@@ -604,7 +645,7 @@
     ],
 )
 def test_figures_are_written_with_their_unit(value: float | None, unit: str, text: str) -> None:
-    assert shown(value, unit) == text
+    assert format_value(value, unit) == text
 
 
 # -- the benchmark -------------------------------------------------------------------------------------------
@@ -621,7 +662,7 @@
         )
         for n in SIZES
     ]
-    found, _ = scale.figures(merge([("simulated", simulated(rows))]).simulated)
+    found, _ = scale.figures(merge_results([("simulated", simulated(rows))]).simulated)
     kept = {name: one.kept for name, one in found.items()}
     assert kept == {
         "control bytes out at 5,700, over its budget": True,
@@ -718,5 +759,5 @@
         assert capacity.main(["--page", str(page), "--slopes", str(tmp_path)]) == 2
         assert page.read_text() == text and "markers" in capsys.readouterr().err
     with pytest.raises(BadPage):
-        render("", merge([]))
+        render("", merge_results([]))
     assert capacity.main(["--page", str(tmp_path / "none.md"), "--slopes", str(tmp_path)]) == 2
