--- a/snowwick/__main__.py
+++ b/snowwick/__main__.py
@@ -66,8 +66,8 @@
         service = Service(
             settings,
             Loop(Log(style=style)),
-            contracts=read_contracts,
-            fleet=(lambda: _load_fleet(fleet)) if fleet is not None else None,
+            read_contracts=read_contracts,
+            read_fleet=(lambda: _load_fleet(fleet)) if fleet is not None else None,
         )
     except ValueError as error:
         if contracts is None:
--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -53,7 +53,7 @@
     """A transfer of one owner's entries from one member, which takes one or more requests."""
 
     peer: str
-    retry_at: float
+    expires_at: float
     received_seqs: set[int] | None  # sequence numbers received so far in a full transfer, else None
 
 
@@ -99,13 +99,13 @@
         self.members = Membership(name, address, epoch, boot, period_s, rng)
         self.store = Store(name, epoch)
         self.replay_filter = wire.ReplayFilter(name, boot)
-        self.clock = HybridClock()
+        self.hybrid_clock = HybridClock()
         self.counts = TrafficCounts()
         self.last_seq = 0
         self.outbox: list[tuple[str, bytes]] = []  # (address, datagram) to send
         self.events: list[object] = []  # MemberChange, CaughtUp, DuplicateName
         self.pulls: dict[str, ActivePull] = {}  # by owner
-        self.next_gossip = self.next_comparison = self.next_join = self.next_stale_reply = 0.0
+        self.next_gossip = self.next_comparison = self.next_join = self.next_ping_to_stale_sender = 0.0
         self.started_at: float | None = None
         self.caught_up = False
         self.leaving = False
@@ -134,7 +134,7 @@
         ``remaining_s`` limits how long others may act on it; 0 means no limit.
         """
         self.store.write(
-            kind, key, value, self.clock.next_timestamp(self.wall_ms()), now, int(1000.0 * remaining_s)
+            kind, key, value, self.hybrid_clock.next_timestamp(self.wall_ms()), now, int(1000.0 * remaining_s)
         )
 
     def leave(self, now: float) -> None:
@@ -201,7 +201,7 @@
 
     def _start_comparison(self, now: float) -> None:
         """Give up unanswered pulls and send the root hash to a random member."""
-        for owner in [owner for owner, pull in self.pulls.items() if now >= pull.retry_at]:
+        for owner in [owner for owner, pull in self.pulls.items() if now >= pull.expires_at]:
             del self.pulls[owner]
         alive = [record.name for record in self.members.alive()]
         if alive:
@@ -349,9 +349,9 @@
             frame.receiver == self.name
             and frame.receiver_boot
             and frame.receiver_boot != self.members.local.boot
-            and now >= self.next_stale_reply
+            and now >= self.next_ping_to_stale_sender
         ):
-            self.next_stale_reply = now + self.period_s
+            self.next_ping_to_stale_sender = now + self.period_s
             self._send_frame(frame.address, frame.sender, 0, wire.Ping(0), now)
 
     def _on_duplicate_name(self, frame: Frame, now: float) -> None:
@@ -379,7 +379,7 @@
                 # from that epoch.
                 self.store.adopt_epoch(entry.epoch + 1, now)
         elif self.members.is_member(entry.owner):  # a third member must not bring back a dead one's entries
-            self.clock.observe(entry.timestamp, self.wall_ms())
+            self.hybrid_clock.observe(entry.timestamp, self.wall_ms())
             self.store.merge_entry(entry, now)
 
     def _apply_member_changes(self, now: float) -> None:
@@ -522,14 +522,14 @@
         if name == self.name or not self.members.is_member(name) or pull is None or pull.peer != frame.sender:
             return
         for entry in body.entries:
-            self.clock.observe(entry.timestamp, self.wall_ms())
+            self.hybrid_clock.observe(entry.timestamp, self.wall_ms())
         self.store.merge_batch(
             summary, body.after, body.up_to, [entry for entry in body.entries if entry.owner == name], now
         )
         if pull.received_seqs is not None:
             pull.received_seqs.update(entry.seq for entry in body.entries)
         if body.more:
-            pull.retry_at = now + PULL_RETRY_PERIODS * self.period_s
+            pull.expires_at = now + PULL_RETRY_PERIODS * self.period_s
             self._send_to_member(
                 frame.sender, wire.PullRequest(name, summary.epoch, body.up_to, body.full), now
             )
--- a/snowwick/lab/member_host.py
+++ b/snowwick/lab/member_host.py
@@ -72,16 +72,16 @@
     def __init__(self, loop: Loop) -> None:
         self.loop, self.pool_config = loop, PoolConfig(lambda _: None)
 
-    def last_answer_times(self) -> Iterable[tuple[int, float]]:
+    def last_reply_times(self) -> Iterable[tuple[int, float]]:
         return ()
 
     def connection_counts(self) -> Iterable[Mapping[int, int]]:
         return ()
 
-    def report_silent(self, message: DestinationSilent) -> None:
+    def apply_silence_report(self, message: DestinationSilent) -> None:
         """Ignored: there are no destinations."""
 
-    def apply_pool_news(self, news: PoolUpdate) -> None:
+    def apply_pool_update(self, update: PoolUpdate) -> None:
         """Ignored: there are no destinations."""
 
 
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -233,7 +233,7 @@
             summary = msgspec.msgpack.decode(encoded_summary, type=wire.OwnerSummary)
             entries = msgspec.msgpack.decode(encoded_entries, type=list[wire.Entry])
             for entry in entries:
-                node.clock.observe(entry.timestamp, node.wall_ms())
+                node.hybrid_clock.observe(entry.timestamp, node.wall_ms())
             node.store.merge_batch(summary, 0, summary.complete_seq, entries, network.now)
     for machine in machines:
         machine.node.members.gossip_queue.clear()
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -227,7 +227,7 @@
     def _share_health(self, now: float, destination_count: int) -> None:
         """Publish own verdicts, and report to the balancer the destinations that others found silent."""
         health = self.health
-        for destination, answered_at in self.host.last_answer_times():
+        for destination, answered_at in self.host.last_reply_times():
             destination_health = health.destinations.setdefault(destination, registers.DestinationHealth())
             destination_health.last_served = max(destination_health.last_served, answered_at)
         health.forget(self.host.pool_config.addresses.__contains__)
@@ -250,7 +250,7 @@
             del self.published_verdicts[destination]
             self._write_register(registers.HEALTH, str(destination), None, now)
         for destination in health.update_avoided(verdicts, now):
-            self.host.report_silent(DestinationSilent(destination))
+            self.host.apply_silence_report(DestinationSilent(destination))
 
     def _share_list(self, now: float) -> None:
         """Publish discovery's list, and drain destinations that a newer list of another member drains."""
@@ -278,7 +278,7 @@
                 count=len(added),
                 version=pool.version,
             )
-            self.host.apply_pool_news(
+            self.host.apply_pool_update(
                 PoolUpdate(
                     i.ListKind.CHANGES,
                     [_as_draining(pool.entries[destination]) for destination in sorted(added)],
@@ -290,7 +290,7 @@
             if destination in pool.entries and pool.entries[destination].state is i.State.READY
         ]
         if restored:  # the newer list was withdrawn, for example when discovery was restored from a backup
-            self.host.apply_pool_news(
+            self.host.apply_pool_update(
                 PoolUpdate(i.ListKind.CHANGES, [pool.entries[destination] for destination in restored])
             )
         self.leaving = frozenset(drained)
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -31,14 +31,14 @@
 # A front socket is not evicted within this time after it was accepted or answered
 MIN_IDLE_S = 0.05
 # Most time to set up again a connection that existed before this program started
-RESUME_TIMEOUT_S = 40.0
+MAX_ANSWER_WAIT_S = 40.0
 
 
 class EvictIdle:
     """To a front without a request: close, because descriptors are running out."""
 
 
-class ShuttingDown:
+class ShutdownEnding:
     """To a front: the program is shutting down.
 
     A pending request is answered, an established connection is moved, and an idle front socket is closed.
@@ -88,13 +88,15 @@
         self.reason = "fault"
         self.detail = ""
         self.request: Request | None = None
-        self.route_step: Destination | None = None
+        self.destination_side: Destination | None = None
         # at_decider: the request has been handed to the decider; False for resumed connections
         self.at_decider = self.established = False
         # A destination may have executed the request: a busy reply, which promises the opposite, is ruled out
         self.may_have_run = False
-        self.destination_number = -1
-        self.accepted_at = self.started_at = self.answer_deadline = self.answered_at = self.loop.clock()
+        self.last_destination = -1
+        self.accepted_at = self.request_started_at = self.answer_deadline = self.answered_at = (
+            self.loop.clock()
+        )
 
     def run(self) -> Coroutine:
         try:
@@ -116,9 +118,9 @@
         if self.request is None:
             return
         if self.at_decider and not self.established:
-            self.request.post(ClientLeft(self, self.route_step is not None))
-        if self.route_step is not None:
-            self.route_step.post(PeerEnded())
+            self.request.post(ClientLeft(self, self.destination_side is not None))
+        if self.destination_side is not None:
+            self.destination_side.post(PeerEnded())
             self._finish_route_step(Outcome.CANCELLED, 0.0, final=True)
         self.host.request_path.on_ended(self.request)
 
@@ -151,7 +153,7 @@
             )
             end_reason = ""
             for message in self.take_messages():
-                end_reason = "draining" if isinstance(message, ShuttingDown) else "made-room"
+                end_reason = "draining" if isinstance(message, ShutdownEnding) else "made-room"
             # Read the socket even when closing: a request that has already arrived must be answered.
             still_open = self.receive() if wake_flags & (READABLE | TIMED_OUT) or end_reason else True
             while (line := lines.take_line(self.input_buffer)) is not None:
@@ -182,8 +184,8 @@
                 return None
 
     def _start_request(self, request: Request) -> None:
-        self.started_at = self.loop.clock()
-        self.answer_deadline = self.started_at + min(request.wait_ms / 1000.0, RESUME_TIMEOUT_S)
+        self.request_started_at = self.loop.clock()
+        self.answer_deadline = self.request_started_at + min(request.wait_ms / 1000.0, MAX_ANSWER_WAIT_S)
         self.host.on_request(self)
         if request.resumed_destination:
             self._start_route_step(self.host.destination_number(request.resumed_destination), request.wait_ms)
@@ -214,7 +216,7 @@
                     self._establish(message)
                     return None
                 elif isinstance(message, ConnectionEnded):
-                    self.route_step = None
+                    self.destination_side = None
                     self.may_have_run = self.may_have_run or message.outcome not in NOT_EXECUTED
                     if not self.at_decider:
                         self.reason = f"kept-{message.outcome.value}"
@@ -228,9 +230,11 @@
                     self.at_decider = False
                     self.reason = "failed"
                     return lines.ERR
-                elif isinstance(message, ShuttingDown):
+                elif isinstance(message, ShutdownEnding):
                     self.reason = "draining"
-                    safe_to_retry = self.at_decider and self.route_step is None and not self.may_have_run
+                    safe_to_retry = (
+                        self.at_decider and self.destination_side is None and not self.may_have_run
+                    )
                     return lines.busy_line(self.host.retry_after_ms()) if safe_to_retry else lines.ERR
             if deadline_passed:
                 # The decider normally answers earlier; this guards against a fault in it.
@@ -241,13 +245,13 @@
 
     def _start_route_step(self, destination: int, wait_ms: float) -> None:
         assert self.request is not None
-        self.destination_number = destination
+        self.last_destination = destination
         address = self.host.destination_address(destination)
         if address is None or wait_ms <= 0:
             self.post(ConnectionEnded(Outcome.CONNECT_FAILED if address is None else Outcome.UNSENT, 0.0))
             return
         try:
-            self.route_step = Destination(
+            self.destination_side = Destination(
                 self.loop,
                 self,
                 destination,
@@ -262,26 +266,26 @@
             self.loop.log.event("route-step-failed", "route step failed: {error}", error=str(error))
             self.post(ConnectionEnded(Outcome.CONNECT_FAILED, 0.0))
             return
-        self.route_step.start()
+        self.destination_side.start()
 
     def _establish(self, message: ConnectionEstablished) -> None:
         assert self.request is not None
         self.established = True
-        self.other_side = self.route_step
+        self.other_side = self.destination_side
         self.reason = "client-ended"
         self.output_buffer += message.line
         if self.at_decider:
-            self.request.post(RouteStepEstablished(self, self.destination_number, message.elapsed_ms))
+            self.request.post(RouteStepEstablished(self, self.last_destination, message.elapsed_ms))
         else:
-            self.request.report_resumed(self.destination_number)
+            self.request.report_resumed(self.last_destination)
         self.host.request_path.on_established(self.request)
         self.flush()
 
     def _finish_route_step(self, outcome: Outcome, elapsed_ms: float, final: bool) -> None:
-        self.route_step = None
+        self.destination_side = None
         assert self.request is not None
         if self.at_decider or self.established:
-            self.request.post(RouteStepEnded(self, self.destination_number, outcome, elapsed_ms, final))
+            self.request.post(RouteStepEnded(self, self.last_destination, outcome, elapsed_ms, final))
         if final:
             self.host.request_path.on_ended(self.request)
 
@@ -316,7 +320,7 @@
                 and self.loop.clock() - self.answered_at >= MIN_IDLE_S
             ):
                 self.read_done = self.write_done = True
-        elif isinstance(message, ShuttingDown):
+        elif isinstance(message, ShutdownEnding):
             if self.other_side is not None:
                 self.on_message(MoveAway("draining"))
         elif isinstance(message, MoveAway):
@@ -331,7 +335,7 @@
                 self.request.post(message)
                 self.host.request_path.on_load(self.request, message.load)
         elif isinstance(message, ConnectionEnded):
-            if self.route_step is not None:
+            if self.destination_side is not None:
                 if not self.closing and not self.read_done:
                     self.reason = f"destination-{message.outcome.value}"
                 self._finish_route_step(message.outcome, message.elapsed_ms, final=True)
--- a/snowwick/net/host.py
+++ b/snowwick/net/host.py
@@ -31,7 +31,7 @@
     def contract_stage(self) -> ContractStage | None:
         """Enforces the contracts; None without contracts."""
 
-    def last_answer_times(self) -> Iterable[tuple[int, float]]:
+    def last_reply_times(self) -> Iterable[tuple[int, float]]:
         """The destinations with connections, each with the time of its last answered line.
 
         Times are in seconds on the loop's clock.
@@ -40,8 +40,8 @@
     def connection_counts(self) -> Iterable[Mapping[int, int]]:
         """The number of connections, including those being set up, by destination; one mapping per pool."""
 
-    def report_silent(self, message: DestinationSilent) -> None:
+    def apply_silence_report(self, message: DestinationSilent) -> None:
         """Called when, according to other members, a destination answers no requests."""
 
-    def apply_pool_news(self, news: PoolUpdate) -> None:
+    def apply_pool_update(self, update: PoolUpdate) -> None:
         """Called when, according to other members, destinations are leaving or have returned."""
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -19,7 +19,7 @@
 from snowwick.log import Log
 from snowwick.net.decider import Decider, DestinationSilent, MoveAway, PoolUpdate
 from snowwick.net.delay_monitor import Gauge
-from snowwick.net.front import MIN_IDLE_S, EvictIdle, Front, ShuttingDown
+from snowwick.net.front import MIN_IDLE_S, EvictIdle, Front, ShutdownEnding
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.path import CapacityStage, DeciderStage, OpeningStage, Request, RequestPath
 from snowwick.net.peer import READ_SIZE_BYTES
@@ -35,7 +35,9 @@
     from snowwick.net.fleet import FleetLink
 
 LISTEN_BACKLOG = 1024  # connections
-OWN_SOCKETS = 12  # reserved for the process itself: standard streams, epoll, signals, listening, discovery
+OWN_DESCRIPTORS = (
+    12  # reserved for the process itself: standard streams, epoll, signals, listening, discovery
+)
 ANSWER_SOCKETS = 8  # reserved for sending busy replies when no socket is left for a route step
 ACCEPTS_PER_TURN = 16  # bounded, so that the other actors get their turn in between
 MAX_IDLE_FRACTION = 0.5  # of the sockets not in use by requests, the part that idle clients may hold
@@ -45,7 +47,7 @@
 ARRIVAL_PERIOD_S = 0.4
 MOVE_PERIOD_S = 0.6  # after that, over which clients are moved, so that they do not reconnect all at once
 MAX_DRAIN_DEADLINE_S = 3.0  # the longest request deadline that the shutdown waits for
-DRAIN_GRACE_S = 0.4  # that the shutdown may take beyond this deadline
+SHUTDOWN_GRACE_S = 0.4  # that the shutdown may take beyond this deadline
 FINAL_ANSWER_S = 0.25  # before the end, when pending requests are answered and idle clients closed
 PROTOCOL_TOLERANCE_S = 0.05  # by which each time limit of the protocol may be off
 
@@ -108,13 +110,13 @@
         config: Config,
         loop: Loop | None = None,
         reload_config: Callable[[], Config] = reload,
-        contracts: Callable[[], Contracts] | None = None,
-        fleet: Callable[[], FleetFile] | None = None,
+        read_contracts: Callable[[], Contracts] | None = None,
+        read_fleet: Callable[[], FleetFile] | None = None,
     ) -> None:
         """Create the service without starting it.
 
-        ``contracts`` and ``fleet`` read the operators' files, now and at each reload. They may raise
-        ValueError with the faults. Raises OSError if the fleet link's address cannot be bound.
+        ``read_contracts`` and ``read_fleet`` read the operators' files, now and at each reload. They may
+        raise ValueError with the faults. Raises OSError if the fleet link's address cannot be bound.
         """
         self.config, self.reload_config = config, reload_config
         self.loop = loop or Loop(Log())
@@ -122,7 +124,7 @@
         self.random = random.Random(config.seed)
         self.fronts: set[Front] = set()
         self.idle: dict[Front, None] = {}  # clients without a pending request, the longest idle first
-        self.socket_limit = config.sockets - OWN_SOCKETS
+        self.socket_limit = config.sockets - OWN_DESCRIPTORS
         self.draining = False
         self.unix_offset_ms = 1000.0 * (time.time() - self.loop.clock())  # from the loop's clock to Unix time
         self.pool_deciders = PoolDeciders(
@@ -137,10 +139,12 @@
             None if settings.must_subscribe else settings.drain_grace / 1000.0,
         )
         self.delay_monitor = Gauge(self.loop, self.pool_deciders.forward, config.message_aim_ms)
-        self.read_fleet = fleet
-        self.fleet = self.make_fleet(fleet()) if fleet is not None else None
-        self.read_contracts = contracts
-        self.contract_stage = self.make_contract_stage(contracts()) if contracts is not None else None
+        self.read_fleet = read_fleet
+        self.fleet = self.make_fleet(read_fleet()) if read_fleet is not None else None
+        self.read_contracts = read_contracts
+        self.contract_stage = (
+            self.make_contract_stage(read_contracts()) if read_contracts is not None else None
+        )
         stages = [
             OpeningStage(config.deadlines, config.tenants),
             CapacityStage(self.refusal_reason, self.retry_after_ms),
@@ -156,12 +160,12 @@
             settings, tenants=tuple(tenant for tenant in settings.tenants if tenant.name in tenants)
         )
 
-    def make_decider(self, pool: str, tenants: frozenset[str] | None) -> Decider:
+    def make_decider(self, pool_name: str, tenants: frozenset[str] | None) -> Decider:
         """Create the decider of a pool, with only the tenants of that pool; with all tenants if None."""
         settings, seed = self.config.settings, self.config.seed
         if tenants is not None:
             settings = self.settings_for(tenants)
-            seed ^= crc32(pool.encode())
+            seed ^= crc32(pool_name.encode())
         decider = Decider(
             self.loop, settings, seed, self.now_ms, lambda: self.pool.post(WatchPool()), self.probe
         )
@@ -175,7 +179,7 @@
     def pool_config(self) -> PoolConfig:
         return self.pool.config
 
-    def last_answer_times(self) -> Iterator[tuple[int, float]]:
+    def last_reply_times(self) -> Iterator[tuple[int, float]]:
         return (
             (destination, timing.last_reply) for destination, timing in self.delay_monitor.timings.items()
         )
@@ -183,11 +187,11 @@
     def connection_counts(self) -> Iterator[dict[int, int]]:
         return (decider.connection_counts() for decider in self.pool_deciders.by_pool.values())
 
-    def report_silent(self, message: DestinationSilent) -> None:
+    def apply_silence_report(self, message: DestinationSilent) -> None:
         self.pool_deciders.forward(message)
 
-    def apply_pool_news(self, news: PoolUpdate) -> None:
-        self.pool_deciders.apply_update(news)
+    def apply_pool_update(self, update: PoolUpdate) -> None:
+        self.pool_deciders.apply_update(update)
 
     # -- creation of the parts -----------------------------------------------------------------------
 
@@ -336,7 +340,7 @@
         longest_deadline_s = (
             max([request_class.deadline for request_class in self.config.settings.classes]) / 1000.0
         )
-        end_at = started_at + min(longest_deadline_s, MAX_DRAIN_DEADLINE_S) + DRAIN_GRACE_S
+        end_at = started_at + min(longest_deadline_s, MAX_DRAIN_DEADLINE_S) + SHUTDOWN_GRACE_S
         move_period_s = min(MOVE_PERIOD_S, end_at - FINAL_ANSWER_S - started_at - ARRIVAL_PERIOD_S)
         self.draining = True
         if self.fleet is not None:
@@ -356,7 +360,7 @@
                     front.post(MoveAway("draining"))
             if self.loop.clock() >= end_at - FINAL_ANSWER_S:
                 for front in self.fronts:
-                    front.post(ShuttingDown())
+                    front.post(ShutdownEnding())
             if move_elapsed_s > PROTOCOL_TOLERANCE_S and not self.fronts and not self.accept_pending():
                 break
             yield Wait(until=min(end_at, self.loop.clock() + ACCEPT_PAUSE_S))
@@ -394,8 +398,8 @@
             + " {detail}",
             id=request.opening.id if request else "-",
             reason=front.reason,
-            destination=front.destination_number,
-            seconds=round(self.loop.clock() - front.started_at, 3),
+            destination=front.last_destination,
+            seconds=round(self.loop.clock() - front.request_started_at, 3),
             team=request.team if request else "",
             detail=front.detail,
         )
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -211,7 +211,7 @@
     numbers = {name: world_with_pools.service.destination_number(name) for name in ("s-1", "s-2")}
     world_with_pools.play("".join(established(n, "mn"[n % 2]) for n in range(1, 7)))
     destinations = {
-        (front.request.tenant, front.destination_number)
+        (front.request.tenant, front.last_destination)
         for front in world_with_pools.service.fronts
         if front.request
     }
@@ -249,7 +249,7 @@
         for front in world_with_pools.service.fronts
         if front.request and front.request.opening.id == "3"
     )
-    assert third.destination_number == world_with_pools.service.destination_number("s-3")
+    assert third.last_destination == world_with_pools.service.destination_number("s-3")
 
 
 def test_reload_under_traffic_applies_the_whole_file_or_nothing(world: World) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 
 from snowwick.net.decider import MoveAway, RouteStep
 from snowwick.net.destination import Destination
-from snowwick.net.front import EvictIdle, Front, ShuttingDown
+from snowwick.net.front import EvictIdle, Front, ShutdownEnding
 from snowwick.net.loop import Actor, Coroutine
 from snowwick.net.pool import destination_number
 from snowwick.net.service import Service
@@ -444,7 +444,7 @@
     front = open_idle_connection(world)
     advance_until(world, lambda: world.clock.now >= 1001.3, 2.0)
     assert not front.mailbox
-    front.post(ShuttingDown())
+    front.post(ShutdownEnding())
     world.put_unread("c1", OPEN)
     world.play("c1 expect BUSY *\nc1 end\nc1 close")
     advance_until(world, lambda: shutdown.finished, 1.0)
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -266,7 +266,7 @@
     net.run(net.now + 12.0)
     assert net.has_converged()
     assert all(
-        machine.node.clock.last >> LOGICAL_BITS < 1_700_000_000_000 + 60_000
+        machine.node.hybrid_clock.last >> LOGICAL_BITS < 1_700_000_000_000 + 60_000
         for machine in net.running_machines()
         if machine.name != "m1"
     )
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -138,7 +138,7 @@
             self.config(self.raw_config),
             Loop(log, self.clock),
             reload_config=lambda: self.config(self.raw_config),
-            contracts=self.read_contracts if contracts_text else None,
+            read_contracts=self.read_contracts if contracts_text else None,
         )
         self.loop = self.service.loop
         self.service.start()
