--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -75,6 +75,7 @@
 
 
 def apply_step(state: State, action: str, arguments: tuple[str, ...]) -> None:
+    """Applies a step of ``possible_steps`` to a state in place."""
     if action == "time":
         state.now += TIME_STEP_S
         return
@@ -112,8 +113,10 @@
 
 
 def explore(balancer_count: int, max_depth: int, max_states: int) -> tuple[int, int, list[str]]:
-    """Returns the number of distinct states, the depth to which all interleavings were explored, and the
-    steps to the first state that exceeds the budget, or an empty list.
+    """Explores breadth first, up to a depth and a number of states.
+
+    Returns the number of distinct states, the depth to which all interleavings were explored, and the steps
+    to the first state that exceeds the budget, or an empty list.
     """
     frontier: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(initial_state(balancer_count)), ())]
     seen = {frontier[0][0]}
--- a/snowwick/lab/scale.py
+++ b/snowwick/lab/scale.py
@@ -86,8 +86,10 @@
 
 
 def check_limits(workloads: list[Workload], max_s: float, max_bytes: int) -> tuple[float, int]:
-    """Returns the estimated seconds for all simulated sizes one after the other, and the most bytes that one
-    of them takes.  Raises RunRefused where either exceeds its limit.
+    """Raises RunRefused where the simulated sizes would exceed a limit.
+
+    Returns the estimated seconds for all sizes one after the other, and the most bytes that one of them
+    takes.
     """
     seconds = sum(scale_simulated.estimate_s(workload) for workload in workloads)
     needed_bytes = max(scale_simulated.estimate_bytes(workload) for workload in workloads)
@@ -114,8 +116,9 @@
 
 @dataclass(slots=True)
 class ResultWriter:
-    """Writes the results so far; each write replaces the file atomically, so that it is always complete
-    JSON.
+    """Writes the results so far.
+
+    Each write replaces the file atomically, so that a reader always finds a complete JSON document.
     """
 
     result: ResultFile
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -122,6 +122,7 @@
     false_positives: dict[tuple[str, int, int], float] = field(default_factory=dict)
 
     def record(self, member: wire.Member, is_true_positive: bool, now: float) -> None:
+        """Records a declaration; only the first one for a start and incarnation counts."""
         key = member.name, member.boot, member.incarnation
         if is_true_positive:
             self.true_positives.add(key)
@@ -199,6 +200,7 @@
     fault_ended_at: float = 0.0  # 0 where no fault has ended in the phase
 
     def usage(self, name: str) -> MemberUsage:
+        """The usage of a member, which is created on first use."""
         member_usage = self.usages.get(name)
         if member_usage is None:
             member_usage = self.usages[name] = MemberUsage()
@@ -245,8 +247,9 @@
 
 
 class SimulatedFleet(Network):
-    """The simulated network with zones and regions, which measures the usage of each member, the propagation
-    of changes, starts, and failure detection.
+    """The simulated network with zones and regions and with measurements.
+
+    Measures the usage of each member, the propagation of changes, starts, failure detection and loads.
     """
 
     def __init__(self, workload: Workload) -> None:
@@ -346,9 +349,11 @@
     # -- failure detection --
 
     def is_true_positive(self, member: wire.Member, reporter: str) -> bool:
-        """Whether the reporter has a reason to declare this start of a member dead: it is down, it was paused
-        for at least a suspicion time, or it is cut off from the reporter; or one of the latter two ended less
-        than the longest suspicion time ago.
+        """Whether the reporter has a reason to declare this start of a member dead.
+
+        That is the case if the member is down or has restarted, was paused for at least a suspicion time, or
+        is cut off from the reporter in either direction.  A pause and a cut count until the longest suspicion
+        time after their end.
         """
         machine = self.machines.get(member.name)
         if machine is None or machine.killed or machine.node.members.local.boot != member.boot:
@@ -434,6 +439,7 @@
             self.write_load(int(name[1:]), chunk)
 
     def write_load(self, member: int, chunk: int) -> None:
+        """Writes one load register of a member with the counts of the current time."""
         name = f"m{member}"
         counts = load_value(self.workload, member, chunk, self.now)
         self.write(name, registers.LOAD, str(chunk), registers.pack(counts))
@@ -471,6 +477,7 @@
         self._finish_propagated_changes()
 
     def apply_event(self, event: Event) -> None:
+        """Carries out an event of the schedule; writes of members that are down are skipped."""
         name = f"m{event.member}"
         match event.kind:
             case EventKind.LOAD if self.is_running(name):
@@ -743,8 +750,9 @@
 
 
 def estimate_s(workload: Workload) -> float:
-    """The estimated duration of a run in seconds, from the cost of a member's frames and of the work for each
-    member that it knows.
+    """The estimated duration of a run in seconds.
+
+    It follows from the cost of each member's frames and of the work for each other member that it knows.
     """
     active_s = workload.idle_s * IDLE_RUN_FRACTION + (workload.duration_s() - workload.idle_s)
     return (
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -1,5 +1,6 @@
-"""The workload of the scale run: its parameters, its schedule of events, the reference frame that processor
-time is expressed in, and the structure of the results.
+"""The workload of the scale run: parameters, schedule of events, reference frame and structure of results.
+
+Processor time is reported as a fraction of a core and in reference frames.
 
 Nothing here does I/O, apart from ``reference_frame_cpu_s``, which reads the CPU clock.  Times are in seconds
 from the start of the run; rates are events a second.
@@ -456,11 +457,11 @@
 
 
 class ResultRow(PhaseMeasurements):
-    """The results for one fleet size; values outside ``burst``, ``zone_lost`` and ``region_cut`` are those
-    of the steady phase.
+    """The results for one fleet size.
 
-    ``played_s`` is the simulated time and ``took_s`` the elapsed time, in seconds; ``memory`` is the size of
-    a member's state in bytes.
+    Values outside ``burst``, ``zone_lost`` and ``region_cut`` are those of the steady phase.  ``played_s``
+    is the simulated time and ``took_s`` the elapsed time, in seconds; ``memory`` is the size of a member's
+    state in bytes.
     """
 
     members: int
