--- a/snowwick/lab/connection_load.py
+++ b/snowwick/lab/connection_load.py
@@ -1,6 +1,7 @@
-"""A real program with standing connections that lines pass through; nodes and clients are in this process.
+"""A real program under load: many established connections with lines passing through.
 
-The program holds two descriptors for each connection, and so does this process: the ends of client and node.
+Destinations and clients run in this process.  The program has two file descriptors for each connection, and
+so has this process: the client's socket and the destination's.
 """
 
 from __future__ import annotations
@@ -22,43 +23,42 @@
 
 from snowwick.lab.standins import ROOT, listen_on_loopback, loopback_address, make_settings
 
-LINES_PER_S = (
-    500  # a second, over all connections of a program: few enough that each comes alone, at any size
-)
-MAX_HOLD_S = 2.5  # s that a line is held at most: the program takes 3 for silence
+# Over all connections of a program: few enough that lines arrive one at a time, whatever the number of
+# connections
+LINES_PER_S = 500
+MAX_HOLD_S = 2.5  # for which a destination holds a line; after 3 s the program treats it as silent
 LINE = b"M 1\r\n"
-ANSWER_TIMEOUT_S = 5.0  # s that an accept or an answer may take while connections are opened
-DEFERRED_SIGNALS = (
-    signal.SIGINT,
-    signal.SIGTERM,
-)  # wait while a program is started: it must not be forgotten
-SPARE_DESCRIPTORS = (
-    256  # descriptors of the program beside those of the connections: its own, and room to accept
-)
+ANSWER_TIMEOUT_S = 5.0  # for an accept or an answer while connections are opened
+# Blocked while a program is being started, so that the program is always ended
+DEFERRED_SIGNALS = (signal.SIGINT, signal.SIGTERM)
+SPARE_DESCRIPTORS = 256  # of the program, beyond its connections: for its own use and for accepting
 
 
 def hold_limit_s(connections: int) -> float:
-    """Seconds that a node holds a line at most: not beyond the next line of the same connection."""
+    """Longest time for which a destination holds a line: at most until the connection's next line."""
     return min(MAX_HOLD_S, connections / LINES_PER_S)
 
 
 @dataclass
 class ProgramUnderLoad:
-    """One program with its connections; a context that ends the program by its id.
+    """One program with its connections; a context manager, which ends the program.
 
-    A line is counted where this process writes or reads it: ``sent`` by clients, ``answered`` by nodes,
-    ``delivered`` by nodes without being asked, ``back`` at clients, both kinds.  ConnectionError where the
-    program ends a connection, AssertionError where lines are lost.
+    Lines are counted where this process writes or reads them: ``lines_sent`` by clients, ``lines_answered``
+    by destinations, ``lines_delivered`` by destinations without a request, ``lines_received`` of both kinds
+    by clients.  Raises ConnectionError if the program closes a connection and AssertionError if lines are
+    lost.
     """
 
     process: subprocess.Popen[str]
     front_address: tuple[str, int]
-    listeners: list[socket.socket]  # the nodes' listening sockets; last discovery's, which answers nothing
+    # The destinations' listening sockets and, as the last one, discovery's, which never answers
+    listeners: list[socket.socket]
     clients: list[socket.socket] = field(default_factory=list)
-    destination_sockets: list[socket.socket] = field(default_factory=list)  # of the nodes
+    destination_sockets: list[socket.socket] = field(default_factory=list)
     destination_selector: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
+    # Heap of lines to be sent back: the time due, the file descriptor, the socket, the data
     held_lines: list[tuple[float, int, socket.socket, bytes]] = field(default_factory=list)
-    random: random.Random = field(default_factory=lambda: random.Random(1))
+    rng: random.Random = field(default_factory=lambda: random.Random(1))
     lines_sent: int = 0
     lines_answered: int = 0
     lines_delivered: int = 0
@@ -75,46 +75,49 @@
             sock.close()
 
     def cpu_s(self) -> float:
-        """Seconds of processor that the program has used, as the scheduler counts them."""
+        """CPU time in s that the program has used, as counted by the scheduler."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
     def open_connections(self, count: int) -> None:
-        """Open so many more, all at once; TimeoutError or AssertionError where one does not stand."""
-        fresh = []
+        """Open ``count`` more connections at the same time.
+
+        Raises TimeoutError or AssertionError if one of them is not established.
+        """
+        new_clients = []
         for _ in range(count):
             number = len(self.clients)
             client = socket.create_connection(self.front_address, ANSWER_TIMEOUT_S)
             self.clients.append(client)
-            fresh.append(client)
+            new_clients.append(client)
             client.sendall(b"OPEN %d k%d c=feed,t=n,d=1200\r\n" % (number, number))
-        with selectors.DefaultSelector() as listeners:
-            for door in self.listeners[:-1]:
-                listeners.register(door, selectors.EVENT_READ, door)
-            left = count
-            while left:
-                ready = listeners.select(ANSWER_TIMEOUT_S)
+        with selectors.DefaultSelector() as accept_selector:
+            for listener in self.listeners[:-1]:
+                accept_selector.register(listener, selectors.EVENT_READ, listener)
+            remaining = count
+            while remaining:
+                ready = accept_selector.select(ANSWER_TIMEOUT_S)
                 if not ready:
-                    raise TimeoutError(f"{left} of {count} openings did not come to a node")
+                    raise TimeoutError(f"{remaining} of {count} openings did not reach a destination")
                 for key, _ in ready:
-                    self._take(key.data.accept()[0])
-                    left -= 1
-        for client in fresh:
+                    self._establish(key.data.accept()[0])
+                    remaining -= 1
+        for client in new_clients:
             answer = client.recv(4096)
-            assert answer == b"UP r\r\n", f"answered {answer!r}"
+            assert answer == b"UP r\r\n", f"a client received {answer!r} instead of UP"
             client.setblocking(False)
 
-    def _take(self, end: socket.socket) -> None:
-        """A connection that the program makes to a node."""
-        self.destination_sockets.append(end)
-        end.settimeout(ANSWER_TIMEOUT_S)
-        opening = end.recv(4096)
-        assert opening.startswith(b"OPEN"), f"a node was sent {opening!r}"
-        end.sendall(b"UP r\r\n")
-        end.setblocking(False)
-        self.destination_selector.register(end, selectors.EVENT_READ)
+    def _establish(self, sock: socket.socket) -> None:
+        """Answer the opening on a connection that a destination has accepted."""
+        self.destination_sockets.append(sock)
+        sock.settimeout(ANSWER_TIMEOUT_S)
+        opening = sock.recv(4096)
+        assert opening.startswith(b"OPEN"), f"a destination received {opening!r} instead of an opening"
+        sock.sendall(b"UP r\r\n")
+        sock.setblocking(False)
+        self.destination_selector.register(sock, selectors.EVENT_READ)
 
     def exchange_lines(self, due: int) -> None:
-        """Send lines until so many have been sent, and send back those that the node has held long enough."""
+        """Send lines until ``due`` have been sent, and send back those that have been held long enough."""
         while self.lines_sent < due:
             client = self.clients[self.lines_sent % len(self.clients)]
             self._read(client)
@@ -124,15 +127,15 @@
         for key, _ in self.destination_selector.select(0):
             sock = key.fileobj
             assert isinstance(sock, socket.socket)
-            hold = self.random.random() * hold_limit_s(len(self.clients))
-            heapq.heappush(self.held_lines, (now + hold, sock.fileno(), sock, _some(sock)))
+            hold_s = self.rng.random() * hold_limit_s(len(self.clients))
+            heapq.heappush(self.held_lines, (now + hold_s, sock.fileno(), sock, _receive(sock)))
         while self.held_lines and self.held_lines[0][0] <= now:
             _, _, sock, data = heapq.heappop(self.held_lines)
             sock.send(data)
             self.lines_answered += data.count(LINE)
 
     def send_unrequested_lines(self, due: int) -> None:
-        """Have the nodes send lines that nobody asked for until so many have been sent."""
+        """Let the destinations send lines without a request until ``due`` have been sent."""
         while self.lines_delivered < due:
             index = self.lines_delivered % len(self.destination_sockets)
             self.destination_sockets[index].send(LINE)
@@ -141,23 +144,23 @@
 
     def _read(self, client: socket.socket) -> None:
         with contextlib.suppress(BlockingIOError):
-            self.lines_received += _some(client).count(LINE)
+            self.lines_received += _receive(client).count(LINE)
 
-    def wait_for_all_lines(self, patience: float = MAX_HOLD_S + ANSWER_TIMEOUT_S) -> None:
-        """Turn until every line is at its client; AssertionError where it is not after ``patience`` s."""
-        end, due = time.perf_counter() + patience, self.lines_sent + self.lines_delivered
+    def wait_for_all_lines(self, timeout_s: float = MAX_HOLD_S + ANSWER_TIMEOUT_S) -> None:
+        """Wait until the clients have received every line; raises AssertionError after ``timeout_s``."""
+        end, due = time.perf_counter() + timeout_s, self.lines_sent + self.lines_delivered
         while self.lines_received < due and time.perf_counter() < end:
             self.exchange_lines(self.lines_sent)
             for client in self.clients:
                 self._read(client)
             time.sleep(0.01)
-        assert self.lines_received == due, f"{due} lines sent, {self.lines_received} came back"
+        assert self.lines_received == due, f"{due} lines sent, {self.lines_received} received"
 
 
-def _some(sock: socket.socket) -> bytes:
+def _receive(sock: socket.socket) -> bytes:
     data = sock.recv(4096)
     if not data:
-        raise ConnectionError("the program ended a connection")
+        raise ConnectionError("the program closed a connection")
     return data
 
 
@@ -165,23 +168,23 @@
     folder: Path,
     connections: int,
     destination_count: int = 1,
-    program_arguments: Callable[[str], list[str]] = lambda node: ["snowwick", "serve"],
+    program_arguments: Callable[[str], list[str]] = lambda destination: ["snowwick", "serve"],
 ) -> ProgramUnderLoad:
-    """Start ``python -m WORDS`` with room for so many connections before so many nodes; none is open yet.
+    """Start ``python -m PROGRAM_ARGUMENTS`` with room for ``connections``; none is open yet.
 
-    ``words`` is given the first node's address.  The files are written to ``folder``, a program each.
-    RuntimeError with the program's log where it does not serve.
+    ``program_arguments`` is called with the first destination's address.  Each program needs a ``folder`` of
+    its own, in which its files are written.  Raises RuntimeError with the program's log if it does not serve.
     """
     listeners = [listen_on_loopback() for _ in range(destination_count + 1)]
-    path, log = folder / "config.json", folder / "log"
+    config_path, log_path = folder / "config.json", folder / "log"
     folder.mkdir(exist_ok=True)
     servers = [
-        {"id": f"s-{n}", "addr": loopback_address(door), "state": "in_service"}
-        for n, door in enumerate(listeners[:-1])
+        {"id": f"s-{n}", "addr": loopback_address(listener), "state": "in_service"}
+        for n, listener in enumerate(listeners[:-1])
     ]
-    setup = make_settings(["n"], 600.0)
-    setup["familyInfo"]["messageAim"] = [60_000.0]  # what is held must not count as slow
-    path.write_text(
+    settings = make_settings(["n"], 600.0)
+    settings["familyInfo"]["messageAim"] = [60_000.0]  # ms; held lines must not count as slow answers
+    config_path.write_text(
         json.dumps(
             {
                 "listen": "127.0.0.1:0",
@@ -189,35 +192,35 @@
                 "seed": "bench",
                 "limits": {"sockets": 2 * connections + SPARE_DESCRIPTORS},
                 "known": {"version": 0, "full": True, "servers": servers},
-                "settings": setup,
+                "settings": settings,
             }
         )
     )
-    blocked = signal.pthread_sigmask(signal.SIG_BLOCK, DEFERRED_SIGNALS)
+    old_mask = signal.pthread_sigmask(signal.SIG_BLOCK, DEFERRED_SIGNALS)
     try:
-        with log.open("w") as sink:
+        with log_path.open("w") as log:
             process = subprocess.Popen(
                 [sys.executable, "-m", *program_arguments(loopback_address(listeners[0]))],
                 cwd=ROOT,
                 text=True,
                 stdin=subprocess.DEVNULL,
-                stderr=sink,
-                env={**os.environ, "GW_CONFIG": str(path)},
-                preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_SETMASK, blocked),
+                stderr=log,
+                env={**os.environ, "GW_CONFIG": str(config_path)},
+                preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_SETMASK, old_mask),
             )
-        standing = ProgramUnderLoad(process, ("", 0), listeners)
+        program = ProgramUnderLoad(process, ("", 0), listeners)
     except BaseException:
-        signal.pthread_sigmask(signal.SIG_SETMASK, blocked)
+        signal.pthread_sigmask(signal.SIG_SETMASK, old_mask)
         raise
     try:
-        signal.pthread_sigmask(signal.SIG_SETMASK, blocked)  # a signal that came meanwhile takes effect here
-        while "serving on" not in log.read_text():
+        signal.pthread_sigmask(signal.SIG_SETMASK, old_mask)  # pending signals are handled here
+        while "serving on" not in log_path.read_text():
             if process.poll() is not None:
-                raise RuntimeError(log.read_text())
+                raise RuntimeError(log_path.read_text())
             time.sleep(0.02)
     except BaseException:
-        standing.__exit__()
+        program.__exit__()
         raise
-    host, _, port = log.read_text().split("serving on ")[1].split()[0].rpartition(":")
-    standing.front_address = host, int(port)
-    return standing
+    host, _, port = log_path.read_text().split("serving on ")[1].split()[0].rpartition(":")
+    program.front_address = host, int(port)
+    return program
--- a/snowwick/lab/data_path.py
+++ b/snowwick/lab/data_path.py
@@ -1,22 +1,24 @@
-"""What a standing connection costs a program in memory, and a line and a setup in processor, by their number.
+"""Measures a program's memory by established connections, and its CPU time for a relayed line and a setup.
 
     python -m snowwick.lab.data_path --json FILE [--sizes 250,500,1000,2000,4000,8000] [--quick]
 
-For each size one real ``serve`` is started before four stand-in nodes, and so many connections are opened on
-loopback, sixteen at a time.  ``setup_s`` is the processor of the second half of them.  Then lines pass at a
-fixed rate, half from the clients and half back, a node holding each for a while so that waits stand for many:
-``line_s`` is the processor of one line relayed one way, the median of several windows, and includes whatever
-the program does meanwhile.  ``memory`` and ``pss`` are the program's once every connection has carried lines
-both ways and the figure has stood still.  What the kernel holds for sockets is in none of them: the printed
-table has their buffers (/proc/net/sockstat) and all kernel objects (Slab in /proc/meminfo), both of the whole
-machine and over what was there before the size.  Of a connection's four ends two are the program's.
-
-``line_reference`` is ``line_s`` as a multiple of a line's ``send`` and ``recv`` on a socket pair in this
-process, timed between the windows: what compares from machine to machine.
-
-A size for which the descriptors (two a connection, here and in the program) or half of the memory do not do
-is refused with exit code 2.  A failure or a Ctrl-C ends what was started and exits with 1; the rows that were
-whole are in FILE, which then says ``complete: false``.
+For each size, one real ``serve`` process is started with four stand-in destinations, and that many
+connections are opened on loopback, sixteen at a time.  ``setup_s`` is the CPU time of a setup, over the
+second half of them.  Then lines are sent at a fixed rate, half by the clients and half back by the
+destinations, which hold each line for a while so that many connections wait for an answer.  ``line_s`` is the
+CPU time of one line relayed in one direction, as the median of several windows; it includes everything else
+that the program does meanwhile.  ``memory`` and ``pss`` are the program's, once every connection has carried
+lines in both directions and the figure has settled.  They exclude the kernel's memory for sockets: the
+printed table has the socket buffers (/proc/net/sockstat) and all kernel objects (Slab in /proc/meminfo), both
+of the whole machine and above their values before the size.  Of a connection's four sockets, two are the
+program's.
+
+``line_reference`` is ``line_s`` as a multiple of the CPU time that ``send`` and ``recv`` of a line on a
+socket pair take in this process, measured between the windows.  It is the figure to compare between machines.
+
+A size that needs more file descriptors than allowed (two for each connection, here and in the program) or
+more than half of the memory is refused with exit code 2.  After a failure or Ctrl-C, all processes are ended
+and the exit code is 1; the complete rows are in FILE, which then has ``complete: false``.
 """
 
 from __future__ import annotations
@@ -46,30 +48,35 @@
     start_program,
 )
 
-SIZES = (250, 500, 1000, 2000, 4000, 8000)
-QUICK = (50, 100, 200, 400, 800, 1600)
-NODES = 4
-TOGETHER = 16  # connections opened at once
-EACH = 64 * 1024  # bytes that a connection takes at most, in the program, here and in the kernel
-LOOK, LOOKS, STILL, PATIENCE = 0.1, 6, 65536, 30.0  # memory has settled: s, looks within so many bytes, s
-REPEATS = 5000  # of the reference
+SIZES = (250, 500, 1000, 2000, 4000, 8000)  # connections
+QUICK_SIZES = (50, 100, 200, 400, 800, 1600)
+DESTINATIONS = 4
+CONCURRENT_OPENINGS = 16
+MAX_BYTES_PER_CONNECTION = 64 * 1024  # in the program, in this process and in the kernel together
+# Memory has settled once this many samples in a row lie within the tolerance.
+MEMORY_SAMPLE_INTERVAL_S = 0.1
+MEMORY_SAMPLES = 6
+MEMORY_TOLERANCE_BYTES = 65536
+MEMORY_TIMEOUT_S = 30.0
+REFERENCE_REPEATS = 5000
 
 
 @dataclass(frozen=True)
 class Plan:
-    """How long each size is measured: windows of so many s, with lines both ways and with deliveries only."""
+    """How long each size is measured."""
 
-    windows: int
-    deliveries: int
-    window: float
+    windows: int  # with lines in both directions
+    delivery_windows: int  # with unrequested lines from the destinations only
+    window_s: float
 
 
-WHOLE, SHORT = Plan(8, 4, 3.0), Plan(3, 2, 0.3)
+FULL_PLAN = Plan(8, 4, 3.0)
+QUICK_PLAN = Plan(3, 2, 0.3)
 
 
 @dataclass
 class Row:
-    """What is kept of one size.  Times are s of processor, memory is in bytes."""
+    """The figures of one size that are saved; times are CPU time in s, memory is in bytes."""
 
     connections: int
     memory: int
@@ -83,18 +90,18 @@
 
 @dataclass
 class Beside:
-    """What is printed beside it and not kept."""
+    """Further figures of one size, which are printed only."""
 
     setups_a_second: float
-    delivery_s: float  # a line from a node that no client asked for
-    idle: float  # part of a core, with all connections and no lines
-    buffers: int  # bytes in the buffers of all TCP sockets of the machine, over those before
-    slabs: int  # bytes of the machine's kernel objects, over those before: all four ends of a connection
+    delivery_s: float  # CPU time of an unrequested line from a destination
+    idle: float  # fraction of a core, with all connections and no lines
+    buffers: int  # bytes in all TCP socket buffers of the machine, above those before the size
+    slabs: int  # bytes of the machine's kernel objects, above those before the size, for all four sockets
 
 
 @dataclass
 class Report:
-    """The file; rewritten after each row."""
+    """The contents of the result file, which is rewritten after each row."""
 
     command: str
     date: str
@@ -105,42 +112,42 @@
     ended: str = ""
 
     def write(self, path: Path) -> None:
-        """Replace the file as one, so that a reader never meets half of it."""
-        fresh = path.with_name(path.name + ".new")
-        fresh.write_text(json.dumps(asdict(self), indent=1) + "\n", encoding="utf-8")
-        fresh.replace(path)
+        """Replace the file atomically, so that a reader never gets a part of it."""
+        new_path = path.with_name(path.name + ".new")
+        new_path.write_text(json.dumps(asdict(self), indent=1) + "\n", encoding="utf-8")
+        new_path.replace(path)
 
 
-def machine_memory() -> int:
-    """Bytes."""
+def machine_memory_bytes() -> int:
+    """The machine's physical memory."""
     return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
 
 
-def most() -> tuple[int, int]:
-    """Connections that the descriptors of this process allow, and that half of the machine's memory does."""
+def connection_limits() -> tuple[int, int]:
+    """The connections that this process's file descriptors allow, and that half of the memory allows."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     by_descriptors = (soft - SPARE_DESCRIPTORS) // 2 if soft != resource.RLIM_INFINITY else sys.maxsize
-    return by_descriptors, machine_memory() // 2 // EACH
+    return by_descriptors, machine_memory_bytes() // 2 // MAX_BYTES_PER_CONNECTION
 
 
-def memory_of(pid: int) -> tuple[int, int]:
+def process_memory(pid: int) -> tuple[int, int]:
     """Rss and Pss of a process in bytes."""
     text = Path(f"/proc/{pid}/smaps_rollup").read_text()
-    found = dict(line.split(":", 1) for line in text.splitlines()[1:])
-    return 1024 * int(found["Rss"].split()[0]), 1024 * int(found["Pss"].split()[0])
+    fields = dict(line.split(":", 1) for line in text.splitlines()[1:])
+    return 1024 * int(fields["Rss"].split()[0]), 1024 * int(fields["Pss"].split()[0])
 
 
 def settled_memory(pid: int) -> tuple[int, int]:
-    """The same once it stands still; TimeoutError where it does not."""
-    seen: list[tuple[int, int]] = []
-    end = time.monotonic() + PATIENCE
+    """Rss and Pss of a process in bytes once Rss has settled; raises TimeoutError if it does not."""
+    samples: list[tuple[int, int]] = []
+    end = time.monotonic() + MEMORY_TIMEOUT_S
     while time.monotonic() < end:
-        seen.append(memory_of(pid))
-        last = [rss for rss, _ in seen[-LOOKS:]]
-        if len(last) == LOOKS and max(last) - min(last) <= STILL:
-            return seen[-1]
-        time.sleep(LOOK)
-    raise TimeoutError(f"the program's memory did not settle in {PATIENCE:g} s")
+        samples.append(process_memory(pid))
+        last = [rss for rss, _ in samples[-MEMORY_SAMPLES:]]
+        if len(last) == MEMORY_SAMPLES and max(last) - min(last) <= MEMORY_TOLERANCE_BYTES:
+            return samples[-1]
+        time.sleep(MEMORY_SAMPLE_INTERVAL_S)
+    raise TimeoutError(f"the program's memory did not settle in {MEMORY_TIMEOUT_S:g} s")
 
 
 def kernel_memory() -> tuple[int, int]:
@@ -156,108 +163,124 @@
     return buffers, slabs
 
 
-def reference() -> float:
-    """S of processor that a line's ``send`` and ``recv`` take on a socket pair."""
-    one, other = socket.socketpair()
-    with one, other:
+def reference_line_s() -> float:
+    """CPU time in s that ``send`` and ``recv`` of a line take on a socket pair."""
+    sender, receiver = socket.socketpair()
+    with sender, receiver:
         began = time.thread_time()
-        for _ in range(REPEATS):
-            one.send(LINE)
-            other.recv(4096)
-        return (time.thread_time() - began) / REPEATS
+        for _ in range(REFERENCE_REPEATS):
+            sender.send(LINE)
+            receiver.recv(4096)
+        return (time.thread_time() - began) / REFERENCE_REPEATS
 
 
-def open_all(standing: ProgramUnderLoad, size: int) -> tuple[float, float]:
-    """Open so many connections; s of processor a setup in the second half, and setups a second in all."""
-    together = max(1, min(TOGETHER, size // 8))
+def open_all_connections(program: ProgramUnderLoad, size: int) -> tuple[float, float]:
+    """Open ``size`` connections.
+
+    Returns the CPU time in s of a setup in the second half, and the rate of all setups a second.
+    """
+    concurrent = max(1, min(CONCURRENT_OPENINGS, size // 8))
     began = time.perf_counter()
-    half, cpu = 0, 0.0
-    while (there := len(standing.clients)) < size:
-        if not half and there >= size // 2:
-            half, cpu = there, standing.cpu_s()
-        standing.open_connections(min(together, size - there))
-    return (standing.cpu_s() - cpu) / (size - half), size / (time.perf_counter() - began)
+    half, half_cpu_s = 0, 0.0
+    while (opened := len(program.clients)) < size:
+        if not half and opened >= size // 2:
+            half, half_cpu_s = opened, program.cpu_s()
+        program.open_connections(min(concurrent, size - opened))
+    return (program.cpu_s() - half_cpu_s) / (size - half), size / (time.perf_counter() - began)
 
 
 @dataclass
-class Costs:
-    """Of lines in several windows: s of processor a line and its multiple of the reference, both medians."""
+class LineCosts:
+    """CPU time in s of a line and its multiple of the reference, both medians over several windows."""
 
     line_s: float
     multiple: float
     lines: int
 
 
-def windows(
-    standing: ProgramUnderLoad,
-    go: Callable[[int], None],
-    done: Callable[[], int],
-    rate: float,
-    warm: float,
-    count: int,
-    window: float,
-) -> Costs:
-    """Have ``go`` send its first lines at a rate, for ``warm`` s and so many windows of ``window`` s.
-
-    Lines are counted by ``done``.  The reference is timed between windows, since the machine's speed shifts
-    from one to the next: a window is compared with the mean of the two beside it.
+def measure_windows(
+    program: ProgramUnderLoad,
+    send_until: Callable[[int], None],
+    count_lines: Callable[[], int],
+    lines_per_s: float,
+    warm_up_s: float,
+    window_count: int,
+    window_s: float,
+) -> LineCosts:
+    """Send lines at a rate, for a warm-up and a number of windows, and measure the windows.
+
+    ``send_until`` is called with the number of lines due since the start; ``count_lines`` returns the number
+    of lines so far.  The reference is measured between windows, since the machine's speed changes over time:
+    each window is compared with the mean of the two references next to it.
     """
-    costs, multiples, lines = [], [], 0
-    began, before = time.perf_counter(), reference()
-    for n in range(count + 1):
-        cpu, first = standing.cpu_s(), done()
-        while (now := time.perf_counter() - began) < warm + n * window:
-            go(int(rate * now))
+    costs_s, multiples, lines = [], [], 0
+    began, reference_before = time.perf_counter(), reference_line_s()
+    for n in range(window_count + 1):
+        cpu_s_before, lines_before = program.cpu_s(), count_lines()
+        while (elapsed := time.perf_counter() - began) < warm_up_s + n * window_s:
+            send_until(int(lines_per_s * elapsed))
             time.sleep(0.001)
-        cost, passed = standing.cpu_s() - cpu, done() - first
-        after = reference()
+        cpu_s, passed = program.cpu_s() - cpu_s_before, count_lines() - lines_before
+        reference_after = reference_line_s()
         if n:
-            costs.append(cost / passed)
-            multiples.append(2.0 * costs[-1] / (before + after))
+            costs_s.append(cpu_s / passed)
+            multiples.append(2.0 * costs_s[-1] / (reference_before + reference_after))
             lines += passed
-        before = after
-    return Costs(statistics.median(costs), statistics.median(multiples), lines)
+        reference_before = reference_after
+    return LineCosts(statistics.median(costs_s), statistics.median(multiples), lines)
 
 
 def measure(folder: Path, size: int, plan: Plan) -> tuple[Row, Beside]:
-    """One size, from the start of its program to its end."""
-    before = kernel_memory()
-    with start_program(folder / str(size), size, NODES) as standing:
-        setup_s, setups = open_all(standing, size)
-        # Until each connection has carried a line and as many waits stand as will.
-        warm = size / LINES_PER_S + hold_limit_s(size)
-        both = windows(
-            standing,
-            standing.exchange_lines,
-            lambda: standing.lines_sent + standing.lines_answered,
+    """Measure one size, from the start of its program to its end."""
+    kernel_before = kernel_memory()
+    with start_program(folder / str(size), size, DESTINATIONS) as program:
+        setup_s, setups_per_s = open_all_connections(program, size)
+        # Until each connection has carried a line and the number of held lines is steady
+        warm_up_s = size / LINES_PER_S + hold_limit_s(size)
+        both_ways = measure_windows(
+            program,
+            program.exchange_lines,
+            lambda: program.lines_sent + program.lines_answered,
             LINES_PER_S,
-            warm,
+            warm_up_s,
             plan.windows,
-            plan.window,
+            plan.window_s,
         )
-        standing.wait_for_all_lines()
-        alone = windows(
-            standing,
-            standing.send_unrequested_lines,
-            lambda: standing.lines_delivered,
+        program.wait_for_all_lines()
+        deliveries = measure_windows(
+            program,
+            program.send_unrequested_lines,
+            lambda: program.lines_delivered,
             2 * LINES_PER_S,
             0.2,
-            plan.deliveries,
-            plan.window,
+            plan.delivery_windows,
+            plan.window_s,
+        )
+        program.wait_for_all_lines()
+        memory, pss = settled_memory(program.process.pid)
+        buffers, slabs = (
+            after - before for after, before in zip(kernel_memory(), kernel_before, strict=True)
         )
-        standing.wait_for_all_lines()
-        memory, pss = settled_memory(standing.process.pid)
-        buffers, slabs = (now - then for now, then in zip(kernel_memory(), before, strict=True))
-        cpu, began = standing.cpu_s(), time.perf_counter()
-        time.sleep(plan.window)
-        idle = (standing.cpu_s() - cpu) / (time.perf_counter() - began)
+        cpu_s_before, began = program.cpu_s(), time.perf_counter()
+        time.sleep(plan.window_s)
+        idle = (program.cpu_s() - cpu_s_before) / (time.perf_counter() - began)
     return (
-        Row(size, memory, pss, both.line_s, both.multiple, setup_s, both.lines, 2.0 * LINES_PER_S),
-        Beside(setups, alone.line_s, idle, buffers, slabs),
+        Row(
+            size,
+            memory,
+            pss,
+            both_ways.line_s,
+            both_ways.multiple,
+            setup_s,
+            both_ways.lines,
+            2.0 * LINES_PER_S,
+        ),
+        Beside(setups_per_s, deliveries.line_s, idle, buffers, slabs),
     )
 
 
-def say(row: Row, beside: Beside) -> None:
+def print_row(row: Row, beside: Beside) -> None:
+    """Print one line of the table."""
     print(
         f"{row.connections:11} {row.memory / 1e6:9.2f} {row.pss / 1e6:9.2f} {1e6 * row.line_s:8.1f} "
         f"{row.line_reference:9.1f} {1e6 * beside.delivery_s:11.1f} {1e6 * row.setup_s:9.0f} "
@@ -267,65 +290,72 @@
     )
 
 
-def fits(rows: Sequence[Row]) -> None:
-    """Print the slopes over all sizes but the largest, and what they make of that one."""
-    *used, last = sorted(rows, key=lambda row: row.connections)
-    at = [float(row.connections) for row in used]
-    measured: dict[str, Callable[[Row], float]] = {
+def print_fits(rows: Sequence[Row]) -> None:
+    """Print linear fits over all sizes but the largest, and their predictions for that one."""
+    *fitted, largest = sorted(rows, key=lambda row: row.connections)
+    sizes = [float(row.connections) for row in fitted]
+    figures: dict[str, Callable[[Row], float]] = {
         "memory, kB": lambda row: row.memory / 1e3,
         "pss, kB": lambda row: row.pss / 1e3,
         "a line, us": lambda row: 1e6 * row.line_s,
-        "a line, times the reference": lambda row: row.line_reference,
+        "a line, multiple of the reference": lambda row: row.line_reference,
         "a setup, us": lambda row: 1e6 * row.setup_s,
     }
-    for name, value in measured.items():
-        slope, base = statistics.linear_regression(at, [value(row) for row in used])
-        foretold = base + slope * last.connections
+    for name, value in figures.items():
+        slope, intercept = statistics.linear_regression(sizes, [value(row) for row in fitted])
+        predicted = intercept + slope * largest.connections
         print(
-            f"{name}: {base:.5g} and {slope:.4g} a connection, from {at[0]:g} to {at[-1]:g}; at "
-            f"{last.connections} {foretold:.5g}, measured {value(last):.5g} "
-            f"({100 * (value(last) / foretold - 1):+.1f}%)"
+            f"{name}: {intercept:.5g} plus {slope:.4g} a connection, from {sizes[0]:g} to {sizes[-1]:g}; at "
+            f"{largest.connections} predicted {predicted:.5g}, measured {value(largest):.5g} "
+            f"({100 * (value(largest) / predicted - 1):+.1f}%)"
         )
 
 
-def options() -> argparse.Namespace:
+def parse_arguments() -> argparse.Namespace:
+    """The command line."""
     parser = argparse.ArgumentParser(
         prog="data_path", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--json", type=Path, required=True, help="write the rows there")
+    parser.add_argument("--json", type=Path, required=True, help="write the rows to this file")
     parser.add_argument(
-        "--sizes", type=sizes_of, help="connections, 250,500,1000,2000,4000,8000 if not given"
+        "--sizes", type=parse_sizes, help="numbers of connections (default 250,500,1000,2000,4000,8000)"
     )
-    parser.add_argument("--quick", action="store_true", help="smaller sizes if none are given, short windows")
+    parser.add_argument("--quick", action="store_true", help="smaller default sizes, short windows")
     return parser.parse_args()
 
 
-def sizes_of(text: str) -> tuple[int, ...]:
+def parse_sizes(text: str) -> tuple[int, ...]:
+    """Sizes from a comma-separated list."""
     sizes = tuple(int(word) for word in text.split(","))
     if min(sizes) < 2:
-        raise ValueError("a size is two connections at least")
+        raise ValueError("a size has to be at least 2 connections")
     return sizes
 
 
 def main() -> int:
-    given = options()
-    sizes = given.sizes or (QUICK if given.quick else SIZES)
-    descriptors, memory = most()
-    if max(sizes) > min(descriptors, memory):
+    """Measure the sizes of the command line; returns the exit code."""
+    arguments = parse_arguments()
+    sizes = arguments.sizes or (QUICK_SIZES if arguments.quick else SIZES)
+    by_descriptors, by_memory = connection_limits()
+    if max(sizes) > min(by_descriptors, by_memory):
         print(
-            f"data_path: {max(sizes)} connections do not fit: the descriptors allow {descriptors}, half of "
-            f"the memory allows {memory}",
+            f"data_path: {max(sizes)} connections do not fit: the descriptors allow {by_descriptors}, "
+            f"half of the memory allows {by_memory}",
             file=sys.stderr,
         )
         return 2
     command = "python -m snowwick.lab.data_path --json FILE --sizes " + ",".join(map(str, sizes))
     report = Report(
-        command + " --quick" * given.quick,
+        command + " --quick" * arguments.quick,
         time.strftime("%Y-%m-%d"),
-        {"cores": os.cpu_count(), "memory_bytes": machine_memory(), "python": platform.python_version()},
+        {
+            "cores": os.cpu_count(),
+            "memory_bytes": machine_memory_bytes(),
+            "python": platform.python_version(),
+        },
     )
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    signal.signal(signal.SIGINT, signal.default_int_handler)  # also where the shell had it ignored
+    signal.signal(signal.SIGINT, signal.default_int_handler)  # also if the shell had set it to ignored
     print(
         "connections memory/MB    pss/MB  line/us reference delivery/us  setup/us  setups/s idle/%"
         " buffers/MB slabs/MB   lines",
@@ -334,21 +364,21 @@
     try:
         with tempfile.TemporaryDirectory() as folder:
             for size in sizes:
-                row, beside = measure(Path(folder), size, SHORT if given.quick else WHOLE)
+                row, beside = measure(Path(folder), size, QUICK_PLAN if arguments.quick else FULL_PLAN)
                 report.rows.append(row)
-                report.write(given.json)
-                say(row, beside)
+                report.write(arguments.json)
+                print_row(row, beside)
         report.complete = True
     except KeyboardInterrupt:
         report.ended = "interrupted"
     except (OSError, RuntimeError, AssertionError) as error:
         report.ended = f"{type(error).__name__}: {str(error).strip().rpartition(chr(10))[2]}"
-    report.write(given.json)
+    report.write(arguments.json)
     if report.ended:
         print(f"data_path: {report.ended}", file=sys.stderr)
         return 1
     if len(sizes) > 2:
-        fits(report.rows)
+        print_fits(report.rows)
     return 0
 
 
