--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -127,7 +127,7 @@
 
 def steady(seconds: float, seed: int) -> dict[str, dict[str, ClientStatistics]]:
     """Crowds that honour what they are told, in steady overload of connections, and of a rate."""
-    stack = start_with_destinations(["quiet", "loud"], STEADY, longest_ms=20000.0)
+    stack = start_with_destinations(["quiet", "loud"], STEADY, max_retry_after_ms=20000.0)
     crowds = [(TeamClients("quiet", 3.0), 120), (TeamClients("loud", 1.0), 100)]
     try:
         return play(stack.address, crowds, [("skip quiet loud", 14.0), ("quiet loud", seconds)], seed)
--- a/snowwick/lab/clock_skew.py
+++ b/snowwick/lab/clock_skew.py
@@ -7,8 +7,9 @@
 
 
 def main() -> None:
-    seconds, real = float(sys.argv[1]), time.time
-    time.time = lambda: real() + seconds
+    """Add the offset to ``time.time`` and run the program with the remaining arguments."""
+    offset_s, real_time = float(sys.argv[1]), time.time
+    time.time = lambda: real_time() + offset_s
     sys.argv = ["snowwick", *sys.argv[2:]]
     from snowwick.__main__ import main as program
 
--- a/snowwick/lab/standins.py
+++ b/snowwick/lab/standins.py
@@ -1,9 +1,10 @@
-"""Stand-ins on loopback: nodes with queues, discovery, clients; and the real program as a process.
+"""Stand-ins on loopback for destinations, discovery and clients, and the real program as a process.
 
-    python -m snowwick.lab.standins NODES MESSAGE_MS SETUP_MS [KIND]
+    python -m snowwick.lab.standins DESTINATIONS MESSAGE_MS SETUP_MS [KIND]
 
-serves so many nodes and a discovery that lists them, and prints discovery's address and the list.  A node is
-one queue: every line takes MESSAGE_MS of its time and every opening SETUP_MS, so a crowded node answers late.
+runs that many destinations and a discovery that lists them, and prints discovery's address and the list.
+Each destination has one queue, in which every line takes MESSAGE_MS and every opening SETUP_MS, so that its
+answers are late under high load.
 """
 
 from __future__ import annotations
@@ -28,17 +29,19 @@
 
 
 def listen_on_loopback() -> socket.socket:
+    """A non-blocking listening socket on a free port."""
     sock = socket.create_server(("127.0.0.1", 0), backlog=1024)
     sock.setblocking(False)
     return sock
 
 
 def loopback_address(sock: socket.socket) -> str:
+    """``host:port`` of a socket on loopback."""
     return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 class LineConnection(Actor):
-    """One connection that lines are read from; ends without fuss when the other side does."""
+    """A connection that lines are read from; it ends without an error when the remote end does."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         super().__init__(loop)
@@ -54,19 +57,20 @@
             self.sock.close()
 
     def handle_connection(self) -> Coroutine:
+        """The whole exchange on the connection; the connection is closed after it."""
         raise NotImplementedError
 
     def read_line(self, until: float | None = None) -> Generator[Wait, int, bytes | None]:
-        """The next line; None where the time ran out, b"" at the end."""
+        """The next line; None after the time ``until``, b"" at the end of the stream."""
         while (end := self.input_buffer.find(b"\n") + 1) == 0:
-            woke = yield Wait(self.sock, read=True, until=until)
-            if woke & READABLE:
+            wake_flags = yield Wait(self.sock, read=True, until=until)
+            if wake_flags & READABLE:
                 with contextlib.suppress(BlockingIOError):
                     data = self.sock.recv(65536)
                     if not data:
                         return b""
                     self.input_buffer += data
-            elif woke & TIMED_OUT:
+            elif wake_flags & TIMED_OUT:
                 return None
         line = bytes(self.input_buffer[:end])
         del self.input_buffer[:end]
@@ -76,52 +80,58 @@
 class Acceptor(Actor):
     """Accepts connections and starts an actor for each."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, meet: Callable[[socket.socket], Actor]) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, make_actor: Callable[[socket.socket], Actor]) -> None:
         super().__init__(loop)
-        self.sock, self.meet = sock, meet
+        self.sock, self.make_actor = sock, make_actor
 
     def run(self) -> Coroutine:
         while True:
             yield Wait(self.sock, read=True)
             with contextlib.suppress(BlockingIOError):
                 while True:
-                    self.meet(self.sock.accept()[0]).start()
+                    self.make_actor(self.sock.accept()[0]).start()
 
 
 @dataclass
 class QueueingDestination:
-    """A stand-in destination: when its queue will be empty, and what its work costs in s."""
+    """A destination with a single queue for all its connections; times are in seconds."""
 
-    message: float
-    setup: float
-    free: float = 0.0
+    message_s: float
+    setup_s: float
+    idle_at: float = 0.0  # when the queue will be empty
     open: int = 0
 
-    def work(self, now: float, cost: float) -> float:
-        self.free = max(self.free, now) + cost
-        return self.free
+    def enqueue(self, now: float, work_s: float) -> float:
+        """Add work to the queue; returns the time at which it is done."""
+        self.idle_at = max(self.idle_at, now) + work_s
+        return self.idle_at
 
 
 class QueueingConnection(LineConnection):
-    """A node's side of a connection: UP after the setup's work, then every line back after its own."""
+    """A destination's side of a connection.
 
-    def __init__(self, loop: Loop, sock: socket.socket, node: QueueingDestination) -> None:
+    It sends UP and then every line back, each after its time in the queue.
+    """
+
+    def __init__(self, loop: Loop, sock: socket.socket, destination: QueueingDestination) -> None:
         super().__init__(loop, sock)
-        self.node = node
+        self.destination = destination
 
     def handle_connection(self) -> Coroutine:
         first = yield from self.read_line()
         if not first or not first.startswith(b"OPEN "):
             return
-        yield from self.sleep_until(self.node.work(self.loop.clock(), self.node.setup))
+        yield from self.sleep_until(self.destination.enqueue(self.loop.clock(), self.destination.setup_s))
         self.sock.send(b"UP r\r\n")
         while line := (yield from self.read_line()):
-            yield from self.sleep_until(self.node.work(self.loop.clock(), self.node.message))
+            yield from self.sleep_until(
+                self.destination.enqueue(self.loop.clock(), self.destination.message_s)
+            )
             self.sock.send(line)
 
 
 class DiscoveryConnection(LineConnection):
-    """Tells the whole list to whoever has none, and no news to whoever watches."""
+    """Answers a first request with the whole list, and later ones with an empty change after a wait."""
 
     def __init__(self, loop: Loop, sock: socket.socket, servers: list[dict[str, Any]]) -> None:
         super().__init__(loop, sock)
@@ -131,56 +141,62 @@
         while request := (yield from self.read_line()):
             while (yield from self.read_line()) not in (b"\r\n", b""):
                 pass
-            fresh = b"after=" not in request or b"after=0&" in request
-            if not fresh:
+            is_first = b"after=" not in request or b"after=0&" in request
+            if not is_first:
                 yield from self.sleep_until(self.loop.clock() + 3.0)
-            listed = self.servers if fresh else []
-            body = json.dumps({"version": 1, "full": fresh, "servers": listed}).encode()
+            rows = self.servers if is_first else []
+            body = json.dumps({"version": 1, "full": is_first, "servers": rows}).encode()
             self.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-def serve_destinations(count: int, message: float, setup: float, kind: str) -> None:
+def serve_destinations(count: int, message_s: float, setup_s: float, kind: str) -> None:
+    """Run destinations and discovery until the process is ended."""
     loop, servers = Loop(), []
     for number in range(count):
-        sock, node = listen_on_loopback(), QueueingDestination(message, setup)
-        Acceptor(loop, sock, lambda s, node=node: QueueingConnection(loop, s, node)).start()  # type: ignore[misc]
+        sock, destination = listen_on_loopback(), QueueingDestination(message_s, setup_s)
+        Acceptor(
+            loop,
+            sock,
+            lambda accepted, destination=destination: QueueingConnection(loop, accepted, destination),  # type: ignore[misc]
+        ).start()
         servers.append(
             {"id": f"s-{number}", "addr": loopback_address(sock), "state": "in_service", "kind": kind}
         )
     sock = listen_on_loopback()
-    Acceptor(loop, sock, lambda s: DiscoveryConnection(loop, s, servers)).start()
+    Acceptor(loop, sock, lambda accepted: DiscoveryConnection(loop, accepted, servers)).start()
     print(json.dumps({"discovery": loopback_address(sock), "servers": servers}), flush=True)
     loop.run()
 
 
 @dataclass
 class ClientStatistics:
-    """What a team's clients wanted and got.  Times in s."""
+    """What a team's clients requested and received; times are in seconds, summed over the clients."""
 
-    wanted_s: float = 0.0
-    good_s: float = 0.0
-    established: int = 0  # standing now
-    mean_established: float = 0.0  # in the mean
+    wanted_s: float = 0.0  # during which clients wanted a connection
+    good_s: float = 0.0  # of that, with a connection that answered in time
+    established: int = 0  # connections at present
+    mean_established: float = 0.0
     setups: int = 0
     setups_in_time: int = 0
     refused: int = 0
     moved: int = 0
-    scheduled_retries: int = 0  # tries at a stated come-back time
-    accepted_scheduled_retries: int = 0  # of those, let in
+    scheduled_retries: int = 0  # retries at the time that a busy reply has stated
+    accepted_scheduled_retries: int = 0
 
     @property
     def service_fraction(self) -> float:
+        """The fraction of the wanted time with good service."""
         return self.good_s / self.wanted_s if self.wanted_s else 0.0
 
 
 @dataclass
 class TeamClients:
-    """One team's clients and how they behave; ``tally`` may be exchanged while they run."""
+    """One team's clients and their behaviour; ``statistics`` may be replaced while they run."""
 
     tenant: str
-    mean_lifetime_s: float
-    message_interval_s: float = 0.5  # s between a connection's messages
-    message_aim_s: float = 0.1  # s in which a message is wanted back
+    mean_lifetime_s: float  # of a connection
+    message_interval_s: float = 0.5  # between the messages of a connection
+    message_aim_s: float = 0.1  # within which an answer is good
     setup_aim_s: float = 0.3
     clients_per_group: int = 4
     active: bool = True
@@ -188,90 +204,95 @@
 
 
 class LoadClient(Actor):
-    """One client: wants a connection while its crowd is awake, sends lines on it, comes again when told."""
+    """One client: while its team is active it opens connections, sends lines, and retries when refused.
+
+    It waits for the time that a busy reply states before it retries.
+    """
 
-    number = 0
+    last_opening_id = 0  # of all clients
 
     def __init__(self, loop: Loop, address: tuple[str, int], team: TeamClients, name: str, seed: int) -> None:
         super().__init__(loop)
         self.address, self.team, self.name = address, team, name
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
 
     def run(self) -> Coroutine:
-        yield from self._sleep(1.5 * self.random.random())
-        honoured = False
+        yield from self._sleep(1.5 * self.rng.random())
+        is_scheduled_retry = False
         while True:
             while not self.team.active:
-                yield from self._sleep(0.1 + 0.2 * self.random.random())
-                honoured = False
-            asked = self.loop.clock()
+                yield from self._sleep(0.1 + 0.2 * self.rng.random())
+                is_scheduled_retry = False
+            began = self.loop.clock()
             sock = configure_socket(socket.socket())
-            peer = _LineReader(self.loop, sock, self)
-            wait = None
+            reader = _LineReader(self.loop, sock, self)
+            retry_after_s = None
             try:
-                wait = yield from self._connection(peer, asked, honoured)
+                retry_after_s = yield from self._use_connection(reader, began, is_scheduled_retry)
             except OSError:
                 pass
             finally:
                 self.loop.unregister(self)
                 sock.close()
-            honoured = wait is not None
-            yield from self._sleep(wait if wait is not None else 0.1 + 0.2 * self.random.random())
-            self.team.statistics.wanted_s += self.loop.clock() - asked if honoured else 0.0
+            is_scheduled_retry = retry_after_s is not None
+            yield from self._sleep(
+                retry_after_s if retry_after_s is not None else 0.1 + 0.2 * self.rng.random()
+            )
+            self.team.statistics.wanted_s += self.loop.clock() - began if is_scheduled_retry else 0.0
 
-    def _sleep(self, wait: float) -> Coroutine:
-        yield from self.sleep_until(self.loop.clock() + wait)
+    def _sleep(self, seconds: float) -> Coroutine:
+        yield from self.sleep_until(self.loop.clock() + seconds)
 
-    def _connection(
-        self, peer: _LineReader, asked: float, honoured: bool
+    def _use_connection(
+        self, reader: _LineReader, began: float, is_scheduled_retry: bool
     ) -> Generator[Wait, int, float | None]:
-        """Ask, and use the connection; returns the stated come-back time in s where there is one."""
-        team, sock = self.team, peer.sock
+        """Open and use a connection; returns the retry time in s if a busy reply states one."""
+        team, sock = self.team, reader.sock
         with contextlib.suppress(BlockingIOError):
             sock.connect(self.address)
-        yield Wait(sock, write=True, until=asked + 1.0)
-        LoadClient.number += 1
+        yield Wait(sock, write=True, until=began + 1.0)
+        LoadClient.last_opening_id += 1
         group = f"{team.tenant}-{int(self.name.rpartition('-')[2]) // team.clients_per_group}"
         sock.send(
             b"OPEN %d %s c=feed,t=%s,d=1200,g=%s\r\n"
-            % (LoadClient.number, self.name.encode(), team.tenant.encode(), group.encode())
+            % (LoadClient.last_opening_id, self.name.encode(), team.tenant.encode(), group.encode())
         )
-        answer = yield from peer.read_line(asked + 1.3)
+        answer = yield from reader.read_line(began + 1.3)
         statistics = team.statistics
-        statistics.scheduled_retries += honoured
+        statistics.scheduled_retries += is_scheduled_retry
         if not answer or not answer.startswith(b"UP"):
             statistics.refused += 1
             words = (answer or b"").split()
             if len(words) < 2:
-                statistics.wanted_s += self.loop.clock() - asked
+                statistics.wanted_s += self.loop.clock() - began
             return float(words[1]) / 1000.0 if len(words) > 1 else None
-        statistics.accepted_scheduled_retries += honoured
+        statistics.accepted_scheduled_retries += is_scheduled_retry
         statistics.setups += 1
-        statistics.setups_in_time += self.loop.clock() - asked <= team.setup_aim_s
-        statistics.wanted_s += self.loop.clock() - asked
+        statistics.setups_in_time += self.loop.clock() - began <= team.setup_aim_s
+        statistics.wanted_s += self.loop.clock() - began
         team.statistics.established += 1
-        end = self.loop.clock() + self.random.expovariate(1.0 / team.mean_lifetime_s)
+        end = self.loop.clock() + self.rng.expovariate(1.0 / team.mean_lifetime_s)
         try:
             while self.loop.clock() < end and team.active:
-                sent = self.loop.clock()
+                sent_at = self.loop.clock()
                 sock.send(b"M\r\n")
-                line = yield from peer.read_line(sent + 5.0)
+                line = yield from reader.read_line(sent_at + 5.0)
                 if line == b"MOVE\r\n":
                     team.statistics.moved += 1
                     break
-                answered_in_time = line == b"M\r\n" and self.loop.clock() - sent <= team.message_aim_s
+                answered_in_time = line == b"M\r\n" and self.loop.clock() - sent_at <= team.message_aim_s
                 if not line:
-                    team.statistics.wanted_s += self.loop.clock() - sent
+                    team.statistics.wanted_s += self.loop.clock() - sent_at
                     break
-                left = sent + team.message_interval_s - self.loop.clock()
-                if left > 0 and not peer.input_buffer:
-                    early = yield from peer.read_line(sent + team.message_interval_s)
-                    if early is not None:
-                        team.statistics.moved += early == b"MOVE\r\n"
+                remaining_s = sent_at + team.message_interval_s - self.loop.clock()
+                if remaining_s > 0 and not reader.input_buffer:
+                    unrequested = yield from reader.read_line(sent_at + team.message_interval_s)
+                    if unrequested is not None:
+                        team.statistics.moved += unrequested == b"MOVE\r\n"
                         break
-                spent = self.loop.clock() - sent
-                team.statistics.wanted_s += spent
-                team.statistics.good_s += spent if answered_in_time else 0.0
+                elapsed_s = self.loop.clock() - sent_at
+                team.statistics.wanted_s += elapsed_s
+                team.statistics.good_s += elapsed_s if answered_in_time else 0.0
         finally:
             team.statistics.established -= 1
         return None
@@ -286,7 +307,7 @@
 
 @dataclass
 class ProgramWithDestinations:
-    """Nodes and the real program, as processes of their own."""
+    """The real program and its destinations, each a process."""
 
     destinations: subprocess.Popen[str]
     program: subprocess.Popen[str]
@@ -294,6 +315,7 @@
     folder: tempfile.TemporaryDirectory[str]
 
     def stop(self) -> None:
+        """End both processes and delete their files."""
         for process in (self.program, self.destinations):
             process.kill()
             process.wait()
@@ -302,10 +324,11 @@
         self.folder.cleanup()
 
 
-def start_python(*words: str, root: Path = ROOT, **environment: str) -> subprocess.Popen[str]:
-    # Standard error goes to standard output, which is read up to the first line and then to a file's end.
+def start_python(*arguments: str, root: Path = ROOT, **environment: str) -> subprocess.Popen[str]:
+    """Start a Python process in ``root`` with additional environment variables."""
+    # Standard error is merged into standard output, of which the caller reads only the first line.
     return subprocess.Popen(
-        [sys.executable, *words],
+        [sys.executable, *arguments],
         cwd=root,
         text=True,
         stdout=subprocess.PIPE,
@@ -314,12 +337,18 @@
     )
 
 
-def make_settings(tenants: list[str], longest_ms: float) -> dict[str, Any]:
+def make_settings(tenants: list[str], max_retry_after_ms: float) -> dict[str, Any]:
+    """The settings of a balancer with these tenants."""
     return {
         "classes": [{"name": "feed", "aim": 300.0, "deadline": 1200.0, "effect": "read_like"}],
         "familyInfo": {"groups": True, "messageAim": [50.0]},
-        "tenants": [{"name": n} for n in tenants],
-        "limits": {"mostTries": 3, "connectTimeout": 250.0, "retryAfter": True, "maxRetryAfter": longest_ms},
+        "tenants": [{"name": name} for name in tenants],
+        "limits": {
+            "mostTries": 3,
+            "connectTimeout": 250.0,
+            "retryAfter": True,
+            "maxRetryAfter": max_retry_after_ms,
+        },
         "registryMode": "on_request",
         "nInstances": 1,
         "selfIndex": 0,
@@ -332,48 +361,51 @@
     destination_count: int = 4,
     message_ms: float = 4.0,
     setup_ms: float = 8.0,
-    longest_ms: float = 600.0,
+    max_retry_after_ms: float = 600.0,
 ) -> ProgramWithDestinations:
-    """The program in front of so many nodes; ``contracts`` is a file's text, or empty for none."""
-    stand_ins = start_python(
+    """Start the program with stand-in destinations; returns once it serves.
+
+    ``contracts`` is the text of a contracts file, or empty for none.
+    """
+    destinations = start_python(
         "-m", "snowwick.lab.standins", str(destination_count), str(message_ms), str(setup_ms), "k"
     )
-    assert stand_ins.stdout is not None
-    listed = json.loads(stand_ins.stdout.readline())
+    assert destinations.stdout is not None
+    listing = json.loads(destinations.stdout.readline())
     folder = tempfile.TemporaryDirectory()
-    path, file = Path(folder.name) / "config.json", Path(folder.name) / "contracts.toml"
-    file.write_text(contracts)
-    path.write_text(
+    config_path, contracts_path = Path(folder.name) / "config.json", Path(folder.name) / "contracts.toml"
+    contracts_path.write_text(contracts)
+    config_path.write_text(
         json.dumps(
             {
                 "listen": "127.0.0.1:0",
-                "discovery": listed["discovery"],
+                "discovery": listing["discovery"],
                 "seed": "bench",
                 "limits": {"sockets": 4096},
-                "known": {"version": 0, "full": True, "servers": listed["servers"]},
-                "settings": make_settings(tenants, longest_ms),
+                "known": {"version": 0, "full": True, "servers": listing["servers"]},
+                "settings": make_settings(tenants, max_retry_after_ms),
             }
         )
     )
-    more = ["--contracts", str(file)] if contracts else []
+    contracts_arguments = ["--contracts", str(contracts_path)] if contracts else []
     with (Path(folder.name) / "log").open("w") as log:
         program = subprocess.Popen(
-            [sys.executable, "-m", "snowwick", "serve", *more],
+            [sys.executable, "-m", "snowwick", "serve", *contracts_arguments],
             cwd=ROOT,
             text=True,
             stdout=subprocess.PIPE,
             stderr=log,
-            env={**os.environ, "GW_CONFIG": str(path)},
+            env={**os.environ, "GW_CONFIG": str(config_path)},
         )
-    deadline = 200
+    polls_left = 200
     while "serving on" not in (Path(folder.name) / "log").read_text():
-        deadline -= 1
-        if not deadline or program.poll() is not None:
+        polls_left -= 1
+        if not polls_left or program.poll() is not None:
             raise RuntimeError((Path(folder.name) / "log").read_text())
         with contextlib.suppress(subprocess.TimeoutExpired):
             program.wait(0.05)
-    said = (Path(folder.name) / "log").read_text().split("serving on ")[1].split()[0].rpartition(":")
-    return ProgramWithDestinations(stand_ins, program, (said[0], int(said[2])), folder)
+    address = (Path(folder.name) / "log").read_text().split("serving on ")[1].split()[0].rpartition(":")
+    return ProgramWithDestinations(destinations, program, (address[0], int(address[2])), folder)
 
 
 if __name__ == "__main__":
