--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -342,7 +342,8 @@
 class Fleet:
     """A number of balancers and destinations with one discovery.
 
-    A context manager, which ends every process that it started.
+    A context manager, which ends every process that it started.  The methods take balancers by their numbers,
+    counted from 0.
     """
 
     def __init__(
@@ -686,7 +687,7 @@
         return {member["name"]: member["state"] for member in self.status(number)["members"]}
 
     def all_joined(self, *numbers: int) -> bool:
-        """Whether these balancers, or all of them, have each other alive and no other member."""
+        """Whether these balancers, or all of them, consider each other alive and no other member."""
         names = [self.balancers[n].name for n in numbers or range(len(self.balancers))]
         return all(
             {name for name, state in self.members(n).items() if state in ("self", "alive")} == set(names)
--- a/snowwick/lab/scale_real.py
+++ b/snowwick/lab/scale_real.py
@@ -64,7 +64,7 @@
 MEMBERS_PER_PROCESS = 25  # lightweight members; one core cannot run more of them
 JOINS_PER_S = 5.0  # lightweight members; many joins at one moment would overload the fleet by themselves
 VISIBLE_TIMEOUT_S = 15.0  # for a change to be visible at all real members, after which it is unfinished
-JOIN_TIMEOUT_S = 60.0  # for all members to have each other alive once the last one has started
+JOIN_TIMEOUT_S = 60.0  # for all members to consider each other alive once the last one has started
 EXTRA_WORKLOAD_S = 120.0  # of workload after the measured time, while members are restarted and polled
 DRAIN_S = 10.0  # for the last changes to propagate
 VISIBILITY_TESTS = 5
@@ -316,7 +316,7 @@
             self.fleet.loop.run_once(0.02)
 
     def start_members(self) -> None:
-        """Start all members and wait until each has all others alive."""
+        """Start all members and wait until each considers all others alive."""
         fleet, remaining = self.fleet, self.lightweight
         while remaining:
             fleet.add_member_host(min(MEMBERS_PER_PROCESS, remaining))
@@ -336,8 +336,9 @@
         if unjoined:
             dead = sum(len(answer["deaths"]) for answer in fleet.run_commands(fleet.member_hosts, "counts"))
             raise RunFailed(
-                f"{unjoined} of {self.members} members did not have all others alive {JOIN_TIMEOUT_S:g} s "
-                f"after the last start, {dead} were declared dead: too many for this machine or period"
+                f"{unjoined} of {self.members} members did not consider all others alive "
+                f"{JOIN_TIMEOUT_S:g} s after the last start, {dead} were declared dead: "
+                "too many members for this machine or period"
             )
         self.row["joined_s"] = round(time.monotonic() - began, 1)
         self.report_progress(
@@ -353,14 +354,14 @@
         return process.pid
 
     def count_unjoined(self) -> int:
-        """The number of members that do not have all others alive."""
+        """The number of members that do not consider all others alive."""
         answers = self.fleet.run_commands(self.fleet.member_hosts, "agree")
         count: int = sum(alive != self.members for answer in answers for alive in answer["alive"].values())
         # Real members are polled only after that: each of their answers takes many datagrams.
         return count or sum(len(names) != self.members for names in map(self.alive_members, range(self.real)))
 
     def alive_members(self, number: int) -> set[str]:
-        """The members that a real member has alive, itself included."""
+        """The members that a real member considers alive, itself included."""
         return {name for name, state in self.fleet.members(number).items() if state in ("self", "alive")}
 
     def counts(
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -36,7 +36,7 @@
 
 
 def all_agree(fleet: Fleet, members: int = REAL_MEMBERS + LIGHTWEIGHT_MEMBERS) -> bool:
-    """Whether each member has all others alive and all lightweight members hold the same registers."""
+    """Whether each member considers all others alive and all lightweight members hold the same registers."""
     answers = fleet.run_commands([host for host in fleet.member_hosts if not host.ended_on_purpose], "agree")
     alive_counts = {count for answer in answers for count in answer["alive"].values()}
     root_hashes = {root for answer in answers for root in answer["roots"].values()}
@@ -159,7 +159,7 @@
     fleet.send_signal(0, signal.SIGKILL)
     fleet.start(0)
     fleet.wait_until(lambda: "caught up after" in fleet.balancers[0].log)
-    # Until the restart has propagated, members may have the killed incarnation alive or suspected.
+    # Until the restart has propagated, members may still consider the killed incarnation alive or suspect.
     fleet.wait_until(
         lambda: all(
             view["state"] == ALIVE and view["incarnation"] > incarnation_before for view in views_of_b0()
