--- a/crowgap/interface.py
+++ b/crowgap/interface.py
@@ -92,20 +92,22 @@
     zone: str = ""  # of this balancer
     tenants: tuple[Tenant, ...] = ()  # those with a quota
     must_subscribe: bool = False  # lists are sent after a subscription only; else they are pushed
-    list_refresh_interval: float = 10000.0  # of the list service; scales the first call and the backoff
+    # Refresh interval of the list service in ms; scales the spread of first calls and the longest backoff.
+    ask_every: float = 10000.0
     max_attempts: int = 3  # for each request
-    connect_timeout: float = 250.0
-    max_retry_after: float = 0.0  # longest wait that a refusal names; 0 where refusals name none
-    warmup_time: float = 0.0  # from a backend's start until it reaches its full capacity
-    warmup_start_capacity: float = 1.0  # fraction of its capacity that a backend has at its start
-    # A backend collapses when it is asked for this multiple of its present capacity for the overload window.
-    collapse_multiple: float = 2.0
-    overload_window: float = 1000.0
-    drain_grace: float = 3000.0  # how long after a backend is listed as draining it may still be sent to
+    connect_timeout: float = 250.0  # ms
+    max_retry_after: float = 0.0  # ms; longest wait that a refusal names; 0 where refusals name none
+    cold_time: float = 0.0  # ms of warm-up: from a backend's start until it reaches its full capacity
+    cold_from: float = 1.0  # fraction of its full capacity that a backend has at its start
+    # A backend collapses when it is asked for ``fall_multiple`` times its present capacity for
+    # ``overload_for`` ms.
+    fall_multiple: float = 2.0
+    overload_for: float = 1000.0
+    drain_grace: float = 3000.0  # ms after a backend is listed as draining in which it may still be sent to
     load_reported: bool = False  # the answer to a probe contains the backend's load over its capacity
     live_weights: bool = False  # the list's weights are live figures, which placement ignores
     probes_allowed: bool = False
-    timer_resolution: float = 1.0  # how late a timer may fire
+    tick: float = 1.0  # ms by which a timer may fire late, the caller's timer resolution
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -115,17 +117,17 @@
         if self.max_attempts < 1:
             raise ValueError("max_attempts: at least 1 is needed")
         for name in (
-            "list_refresh_interval",
+            "ask_every",
             "connect_timeout",
             "max_retry_after",
-            "warmup_time",
-            "overload_window",
+            "cold_time",
+            "overload_for",
             "drain_grace",
-            "timer_resolution",
+            "tick",
         ):
             if not getattr(self, name) >= 0:
                 raise ValueError(f"{name}: must not be negative")
-        for name in ("warmup_start_capacity", "collapse_multiple"):
+        for name in ("cold_from", "fall_multiple"):
             if not getattr(self, name) > 0:
                 raise ValueError(f"{name}: must be positive")
         for request_class in self.classes:
--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -314,17 +314,17 @@
         return 0.5 + self.random.random()
 
     def _on_list(self, event: interface.ListUpdate) -> None:
-        list_refresh_interval = self.settings.list_refresh_interval
+        ask_every = self.settings.ask_every
         if not self.monitor_started:
             self.monitor_started = True
             self._set_timer(MONITOR_INTERVAL_MS * self._jitter_factor(), 1)
             if self.settings.must_subscribe:
                 # All balancers may start or restart together: spread their calls to the list service.
                 self._set_timer(
-                    min(0.04 * self.settings.balancers, 0.4) * list_refresh_interval * self.random.random(), 2
+                    min(0.04 * self.settings.balancers, 0.4) * ask_every * self.random.random(), 2
                 )
         if event.kind is interface.ListKind.FAILED:
-            self.list_backoff = min(2 * self.list_backoff, 0.2 * list_refresh_interval)
+            self.list_backoff = min(2 * self.list_backoff, 0.2 * ask_every)
             self._set_timer(self.list_backoff * self._jitter_factor(), 2)
             return
         self.list_backoff = MONITOR_INTERVAL_MS
@@ -464,11 +464,9 @@
     def _capacity_fraction(self, backend: Backend) -> float:
         """Return the fraction of its capacity that a backend has reached in its warm-up."""
         settings, age = self.settings, max(0.0, self.now - backend.entry.started)
-        if backend.entry.started <= 0 or age >= settings.warmup_time:
+        if backend.entry.started <= 0 or age >= settings.cold_time:
             return 1.0
-        return (
-            settings.warmup_start_capacity + (1 - settings.warmup_start_capacity) * age / settings.warmup_time
-        )
+        return settings.cold_from + (1 - settings.cold_from) * age / settings.cold_time
 
     def _has_cold_room(self, flow: Flow, backend: Backend) -> bool:
         """Return whether a cold backend may take one more of this balancer's flows; a warm one always may.
@@ -477,7 +475,7 @@
         """
         settings, capacity_fraction = self.settings, self._capacity_fraction(backend)
         room = (
-            settings.collapse_multiple
+            settings.fall_multiple
             * capacity_fraction
             * max(self.open_connections, 1)
             / max(1, len(self.ready_backends))
@@ -494,7 +492,7 @@
             # The setups that make it collapse within the overload window, plus one, over all balancers.
             # Random rounding of a fractional share gives their sum over all balancers a Poisson distribution.
             room = (
-                room * settings.overload_window / max(1.0, settings.warmup_time)
+                room * settings.overload_for / max(1.0, settings.cold_time)
                 + 1.0 / settings.balancers
                 + backend.rounding_offset
             )
@@ -585,7 +583,7 @@
             or (
                 request_class.effect is interface.Effect.KEYED
                 and all(
-                    self.now + self.settings.connect_timeout + self.settings.timer_resolution
+                    self.now + self.settings.connect_timeout + self.settings.tick
                     < sent_at + request_class.deduplication_window
                     and (
                         not attribute
@@ -606,10 +604,8 @@
         self.recent_arrivals += 1.0
         # Whether so few clients arrive that a cold backend can take as many from each balancer.
         arrivals_are_few = (
-            self.random.random() * self.recent_arrivals * self.settings.warmup_time
-            < self.settings.collapse_multiple
-            * self.settings.overload_window
-            * (1.0 + self.previous_connections)
+            self.random.random() * self.recent_arrivals * self.settings.cold_time
+            < self.settings.fall_multiple * self.settings.overload_for * (1.0 + self.previous_connections)
         )
         flow = Flow(
             event,
@@ -721,7 +717,7 @@
 
     def _refusal_margin(self, flow: Flow) -> float:
         """Return how many ms before its deadline a waiting flow is refused, so that the answer is in time."""
-        return min(50.0 + 4 * self.settings.timer_resolution, 0.3 * flow.request_class.deadline)
+        return min(50.0 + 4 * self.settings.tick, 0.3 * flow.request_class.deadline)
 
     def _refuse(self, flow: Flow) -> None:
         """Give the final answer: refused if a repeat by the client is harmless, else failed.
@@ -959,7 +955,7 @@
         if throttle.active and throttle.refill_rate > 0:
             wait = min(wait, max(0.0, 1.0 - throttle.tokens) / throttle.refill_rate)
         next_refusal = min(flow.deadline - self._refusal_margin(flow) for flow in throttle.waiting)
-        wait = max(min(wait, next_refusal - self.now), self.settings.timer_resolution)
+        wait = max(min(wait, next_refusal - self.now), self.settings.tick)
         if self.now + wait < self.buffer_check_at:
             self.buffer_check_at = self.now + wait
             self._set_timer(wait, 0)
@@ -995,7 +991,7 @@
         """
         self._set_timer(MONITOR_INTERVAL_MS, 1)
         self._plan()
-        decay = math.exp(-MONITOR_INTERVAL_MS / max(1.0, self.settings.overload_window))
+        decay = math.exp(-MONITOR_INTERVAL_MS / max(1.0, self.settings.overload_for))
         self.recent_arrivals, self.previous_connections = (
             self.recent_arrivals * decay,
             self.open_connections + (self.previous_connections - self.open_connections) * decay,
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -18,9 +18,9 @@
     balancers=1,
     max_attempts=5,
     max_retry_after=1000.0,
-    warmup_time=20000.0,
-    warmup_start_capacity=0.2,
-    collapse_multiple=2.5,
+    cold_time=20000.0,
+    cold_from=0.2,
+    fall_multiple=2.5,
 )
 FINAL_ACTIONS = (interface.Refuse, interface.Fail)
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -14,10 +14,10 @@
 COLD_COUNT = 10
 CLIENT_COUNT = 900
 SETTINGS: dict[str, Any] = {
-    "warmup_time": 14000.0,
-    "warmup_start_capacity": 0.2,
-    "collapse_multiple": 3.0,
-    "overload_window": 2000.0,
+    "cold_time": 14000.0,
+    "cold_from": 0.2,
+    "fall_multiple": 3.0,
+    "overload_for": 2000.0,
 }
 
 
@@ -36,7 +36,7 @@
 def test_cold_backends_survive_all_clients_at_once_from_restarted_balancers() -> None:
     """All balancers have just restarted without quotas; all clients arrive within one overload window.
 
-    The budget of a backend is ``collapse_multiple`` times its present capacity, for the part of the warm-up
+    The budget of a backend is ``fall_multiple`` times its present capacity, for the part of the warm-up
     that the overload window is.  Up to 2 * sqrt(budget) + 2 more are attributed to chance.
     """
     age, warm_capacity = (
@@ -63,10 +63,10 @@
     start: one client from nearly every balancer.  The budget is as above, with two fifths of the fleet full.
     """
     settings: dict[str, Any] = {
-        "warmup_time": 15000.0,
-        "warmup_start_capacity": 0.25,
-        "collapse_multiple": 2.0,
-        "overload_window": 1000.0,
+        "cold_time": 15000.0,
+        "cold_from": 0.25,
+        "fall_multiple": 2.0,
+        "overload_for": 1000.0,
     }
     warm, cold = range(1, 9), range(101, 104)
     fleet = Fleet(balancers, ready_entries(*warm), probes_allowed=True, **settings)
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("balancers", [1, 30, 200])
 def test_each_backend_takes_a_client_if_all_are_cold(balancers: int) -> None:
     """With a random bound alone, a balancer that has just restarted could find no backend at all."""
-    harness = BalancerHarness(backends=0, balancers=balancers, warmup_time=15000.0)
+    harness = BalancerHarness(backends=0, balancers=balancers, cold_time=15000.0)
     harness.handle_event(
         interface.ListUpdate(
             interface.ListKind.RESTORED, ready_entries(*range(1, 9), started=harness.now - 500.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -54,7 +54,7 @@
 def test_cold_backend_is_used_but_not_overloaded_when_all_clients_reconnect(balancers: int) -> None:
     """All balancers have just restarted without any state; every client reconnects within 1.5 s.
 
-    The budget is ``collapse_multiple`` times the part of its capacity that a backend takes in its warm-up.
+    The budget is ``fall_multiple`` times the part of its capacity that a backend takes in its warm-up.
     """
     warm, clients, cold = 26, 700, 99
     fleet = Fleet(
@@ -62,10 +62,10 @@
         ready_entries(*range(1, warm + 1)) + ready_entries(cold, started=1000.0),
         probes_allowed=True,
         tenants=(interface.Tenant("t", 1.8 * clients),),
-        warmup_time=8800.0,
-        warmup_start_capacity=0.3,
-        collapse_multiple=3.0,
-        overload_window=3000.0,
+        cold_time=8800.0,
+        cold_from=0.3,
+        fall_multiple=3.0,
+        overload_for=3000.0,
     )
     names = [(f"g{rank}", f"c{n}") for rank in range(1, 41) for n in range(round(0.23 * clients / rank))]
     for group, client in fleet.random.sample(names, len(names)):
@@ -103,10 +103,10 @@
         ready_entries(*range(1, warm + 1)) + ready_entries(cold, started=1000.0),
         probes_allowed=True,
         load_reported=True,
-        warmup_time=24000.0,
-        warmup_start_capacity=0.14,
-        collapse_multiple=3.0,
-        overload_window=3000.0,
+        cold_time=24000.0,
+        cold_from=0.14,
+        fall_multiple=3.0,
+        overload_for=3000.0,
     )
     for harness in fleet.harnesses:
         for backend in (*range(1, warm + 1), cold):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -300,7 +300,7 @@
 def test_calls_to_the_list_service_are_spread_and_back_off_after_failures() -> None:
     probed_backends = []
     for seed in range(20):
-        harness = BalancerHarness(seed=seed, must_subscribe=True, list_refresh_interval=10000.0)
+        harness = BalancerHarness(seed=seed, must_subscribe=True, ask_every=10000.0)
         harness.run_until(harness.now + 5000.0)
         probed_backends += [at for at, action in harness.actions if isinstance(action, interface.Subscribe)]
     # The spread grows with the number of balancers: few balancers should not wait long with an old list.
@@ -328,10 +328,10 @@
             backends=9,
             balancers=balancers,
             index=n,
-            warmup_time=8800.0,
-            warmup_start_capacity=0.3,
-            collapse_multiple=3.0,
-            overload_window=3000.0,
+            cold_time=8800.0,
+            cold_from=0.3,
+            fall_multiple=3.0,
+            overload_for=3000.0,
             tenants=(interface.Tenant("t", 450.0),),
         )
         for n in range(balancers)
@@ -358,9 +358,9 @@
     """New backends stayed empty beside full ones for half a minute, because no client was moved to them."""
     harness = BalancerHarness(
         backends=9,
-        warmup_time=8800.0,
-        warmup_start_capacity=0.3,
-        collapse_multiple=3.0,
+        cold_time=8800.0,
+        cold_from=0.3,
+        fall_multiple=3.0,
         tenants=(interface.Tenant("t", 4500.0),),
     )  # far from full, so that there are no other moves
     for n in range(200):
@@ -414,9 +414,9 @@
     harness = BalancerHarness(
         backends=4,
         balancers=40,
-        warmup_time=8800.0,
-        warmup_start_capacity=0.3,
-        collapse_multiple=3.0,
+        cold_time=8800.0,
+        cold_from=0.3,
+        fall_multiple=3.0,
         tenants=(interface.Tenant("t", 450.0),),
     )
     harness.handle_event(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -243,8 +243,8 @@
     [
         ({"classes": ()}, "classes"),
         ({"balancers": 0}, "balancers"),
-        ({"list_refresh_interval": -1.0}, "list_refresh_interval"),
-        ({"warmup_time": -5.0}, "warmup_time"),
+        ({"ask_every": -1.0}, "ask_every"),
+        ({"cold_time": -5.0}, "cold_time"),
         ({"connect_timeout": -1.0}, "connect_timeout"),
         ({"max_attempts": 0}, "max_attempts"),
         ({"classes": (replace(SAFE_CLASS, deadline=0.0),)}, "classes"),
