--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -1,9 +1,27 @@
 """The protocol of one balancer in the fleet: datagrams in, datagrams and events out, without I/O.
 
-Combines the replay filter, the membership and the register store.  Every frame carries recent updates beside
-its body (gossip).  Anti-entropy finds updates that were lost: two members compare a root hash, then the
-hashes of ranges of owners, then version vectors, and pull the missing entries.  Times are in seconds on the
-caller's clock.
+Combines the replay filter, the membership and the register store.  Every frame to a member whose boot number
+is known carries recent updates beside its body (gossip).  Anti-entropy finds updates that were lost: two
+members compare a root hash, then the hashes of ranges of owners, then version vectors, and pull the missing
+entries.  Times are in seconds on the caller's clock, which is monotonic.
+
+Terms:
+
+- The boot number is a random number that identifies one start of a balancer.  Frames are addressed to the
+  boot number of their receiver; 0 stands for an unknown one.
+- The epoch orders the starts of one name and versions its registers: entries of a higher epoch replace all
+  entries of lower ones.  By default it is the Unix time of the start in ms.
+- The incarnation is SWIM's counter, which a member raises to refute a suspicion.  It begins at the epoch, so
+  that a restarted member normally has a higher one than its earlier starts.
+- The owner of a register is the one balancer that writes it.  A register has a kind (fleet/registers.py), a
+  key and a value; an entry is one version of it.
+- A range of owners is a bucket: the owners whose id, a hash of their name, has the same remainder modulo the
+  number of ranges.
+- An incremental pull requests an owner's entries above the sequence number up to which none is missing here.
+  A full pull requests all live entries of the owner, and then removes the entries held here that did not
+  come.
+- The sequence number of an entry counts the writes of its owner; that of a frame counts the frames of its
+  sender, for the replay filter.
 """
 
 from __future__ import annotations
@@ -27,8 +45,10 @@
 GOSSIP_FANOUT = 2  # members that receive gossip each period, beside the one that is probed
 COMPARISON_PERIODS = 1.0  # periods between comparisons with a random member
 MAX_QUEUED_ENTRIES = 2048  # entries queued for gossip; beyond that the most often sent ones are removed
-MAX_PULLS = 8  # owners whose entries are pulled at the same time
-PULL_RETRY_PERIODS = 1.0  # periods after which an unanswered pull is given up and may be made again
+# Owners whose entries are pulled at the same time; also the ranges whose summaries are sent in answer to
+# range hashes
+MAX_PULLS = 8
+PULL_RETRY_PERIODS = 1.0  # periods without a reply after which a pull is given up and may be made again
 LEAVE_FANOUT = 3  # members that a leaving balancer notifies
 STATUS_REPLY_S = 1.0  # a status reply is kept this long, so that all its parts come from one snapshot
 STATUS_PART_BYTES = 1000  # bytes of a status reply in one frame
@@ -45,23 +65,26 @@
 class DuplicateName:
     """Event: another process uses this balancer's name and started before it."""
 
-    address: str
+    address: str  # of the other process
 
 
 @dataclass(slots=True)
 class ActivePull:
     """A transfer of one owner's entries from one member, which takes one or more requests."""
 
-    peer: str
-    expires_at: float
-    received_seqs: set[int] | None  # sequence numbers received so far in a full transfer, else None
+    peer: str  # name of the member that sends the entries
+    expires_at: float  # given up at the first comparison after this time; each reply extends it
+    received_seqs: (
+        set[int] | None
+    )  # numbers of the entries received in a full pull; None in an incremental one
 
 
 @dataclass(slots=True)
 class TrafficCounts:
-    """Frames and bytes since the start; ``dropped`` counts frames by drop reason.
+    """Frames and bytes since the start; ``dropped`` counts received frames by drop reason.
 
-    ``shed`` counts entries removed from the gossip queue because it was full.
+    ``frames_in`` and ``bytes_in`` include dropped frames.  ``shed`` counts entries removed from the gossip
+    queue because it was full.
     """
 
     frames_in: int = 0
@@ -86,32 +109,36 @@
         period_s: float = 0.2,
         epoch: int = 0,
     ) -> None:
-        """Frames are sent under the first of ``keys`` and accepted under any of them.
+        """Frames are authenticated (not encrypted) with the first of ``keys`` and accepted under any of them.
 
-        ``seeds`` are addresses of members to join; ``wall_ms`` returns Unix time in ms; ``period_s`` is
-        the probe period.  ``epoch`` numbers this start of the balancer and must be higher than that
-        of earlier starts; 0 takes the wall clock in ms.
+        ``seeds`` are addresses of members to join; ``wall_ms`` returns Unix time in ms; ``period_s`` is the
+        period of probes, gossip and comparisons.  ``epoch`` should be higher than that of earlier starts of
+        this name; 0 takes the wall clock in ms.  If it is not higher, the balancer continues from the higher
+        epoch and incarnation that other members send back.
         """
         self.name, self.keys, self.seeds, self.rng = name, list(keys), list(seeds), rng
         self.wall_ms, self.period_s = wall_ms, period_s
-        boot = rng.getrandbits(63) | 1
+        boot = rng.getrandbits(63) | 1  # never 0, which stands for an unknown boot number
         epoch = epoch or int(wall_ms())
         self.members = Membership(name, address, epoch, boot, period_s, rng)
         self.store = Store(name, epoch)
         self.replay_filter = wire.ReplayFilter(name, boot)
-        self.hybrid_clock = HybridClock()
+        self.hybrid_clock = HybridClock()  # timestamps of entries
         self.counts = TrafficCounts()
-        self.last_seq = 0
+        self.last_seq = 0  # sequence number of the last frame sent
         self.outbox: list[tuple[str, bytes]] = []  # (address, datagram) to send
         self.events: list[object] = []  # MemberChange, CaughtUp, DuplicateName
         self.pulls: dict[str, ActivePull] = {}  # by owner
         self.next_gossip = self.next_comparison = self.next_join = self.next_ping_to_stale_sender = 0.0
         self.started_at: float | None = None
         self.caught_up = False
-        self.leaving = False
+        self.leaving = (
+            False  # for good: ``tick`` starts nothing more, while received frames are still answered
+        )
         self.forget_at: dict[str, float] = {}  # when the registers of dead members are removed
         self.extra_status: Callable[[], dict[str, Any]] = dict  # what the caller adds to status replies
-        # By number of the request: until when the reply is kept, and its parts
+        # By number of the request: until when the reply is kept, and its parts.  Two tools that choose the
+        # same number within that time get the same reply.
         self.status_replies: dict[int, tuple[float, list[bytes]]] = {}
         self.handlers: dict[type, Callable[[Frame, Any, float], None]] = {
             wire.Ping: self._on_ping,
@@ -131,14 +158,19 @@
     def write(self, kind: int, key: str, value: bytes | None, now: float, remaining_s: float = 0.0) -> None:
         """Set an own register, or remove it where ``value`` is None.
 
-        ``remaining_s`` limits how long others may act on it; 0 means no limit.
+        ``kind`` is one of the numbers in fleet/registers.py.  Other members ignore the value once
+        ``remaining_s`` have passed, though it stays stored; 0 means no limit.  Raises ValueError where the
+        value is too long for a frame.
         """
         self.store.write(
             kind, key, value, self.hybrid_clock.next_timestamp(self.wall_ms()), now, int(1000.0 * remaining_s)
         )
 
     def leave(self, now: float) -> None:
-        """Announce to some members that this balancer leaves; it takes no further part in the protocol."""
+        """Announce to some members that this balancer leaves.
+
+        From then on it sends no probes, gossip or comparisons of its own, but still answers received frames.
+        """
         self.leaving = True
         self.members.leave()
         alive = [record.name for record in self.members.alive()]
@@ -154,6 +186,7 @@
         if self.leaving:
             return
         for action, name, number in self.members.tick(now):
+            # For "ask", ``name`` is a helper that is to ping the probed member; else it is the one to ping.
             probe = self.members.active_probe
             if action == "ask" and probe is not None:
                 self._send_to_member(name, wire.PingReq(number, probe.name), now)
@@ -179,11 +212,18 @@
         self._apply_member_changes(now)
 
     def next_due(self) -> float:
-        """The time at which ``tick`` has to be called next."""
+        """The time at which ``tick`` has to be called next.
+
+        Joins, relayed probes and expiries are checked at these calls, and so up to a period late.  After
+        ``leave`` the time is no longer advanced and soon lies in the past.
+        """
         return min(self.members.next_due(), self.next_gossip, self.next_comparison)
 
     def _join(self, now: float) -> None:
-        """Ping the seeds that are not known members, less often once other members are known."""
+        """Ping the seeds that are not known members: each period, or every fourth once a member is known.
+
+        Pings with the number 0 belong to no probe: their ack is not awaited.
+        """
         self.next_join = now + self.period_s * (1.0 if not self.members.alive() else 4.0)
         known = {record.address for record in self.members.records.values()} | {self.members.local.address}
         for address in self.seeds:
@@ -210,16 +250,19 @@
     # -- sending -----------------------------------------------------------------------------------------
 
     def _ping(self, name: str, number: int, now: float) -> None:
-        """Ping a member; a suspected one also learns that it is suspected, so that it can refute it."""
+        """Ping a member; ``number`` is that of the probe, 0 for none.
+
+        A suspected member also gets its own record (``_add_members``), so that it can refute the suspicion.
+        """
         record = self.members.records.get(name)
-        if record is not None and record.state > SUSPECT:
+        if record is not None and record.state > SUSPECT:  # dead or left
             # Sent without a boot number: the member may have restarted and know nobody in the fleet yet.
             self._send_frame(record.address, name, 0, wire.Ping(number), now)
         elif record is not None:
             self._send_to_member(name, wire.Ping(number, record.state == SUSPECT), now)
 
     def _send_to_member(self, name: str, body: wire.Body, now: float) -> None:
-        """Send a frame to the start of a member that is on record; unknown members are ignored."""
+        """Send a frame to a member, addressed to the boot number on record; unknown members are ignored."""
         record = self.members.records.get(name)
         if record is not None:
             self._send_frame(record.address, name, record.boot, body, now)
@@ -233,9 +276,9 @@
         now: float,
         members: Sequence[wire.Member] = (),
     ) -> None:
-        """Queue a frame to send, filled up with gossip where the receiver's boot is known.
+        """Queue a frame to send, filled up with gossip where the receiver's boot number is known (not 0).
 
-        ``members`` are sent in place of gossip.
+        Membership updates given as ``members`` are sent in place of gossip.
         """
         local, self.last_seq = self.members.local, self.last_seq + 1
         frame = Frame(
@@ -249,10 +292,11 @@
             body,
             [*members],
         )
+        # 1 byte is the version of the format; 6 are for the longer length fields of lists that are filled up
         room = wire.MAX_FRAME_BYTES - 1 - wire.DIGEST_BYTES - wire.encoded_size(frame) - 6
         if receiver_boot and not members:
             room = self._add_members(frame, room, receiver)
-            if not isinstance(body, wire.PullReply):
+            if not isinstance(body, wire.PullReply):  # a pull reply is filled with the entries that it sends
                 self._add_entries(frame, room, now)
         datagram = wire.seal(frame, self.keys[0])
         self.counts.frames_out += 1
@@ -260,9 +304,14 @@
         self.outbox.append((address, datagram))
 
     def _add_members(self, frame: Frame, room: int, receiver: str) -> int:
-        """Add queued membership updates to a frame; returns the bytes that are left."""
+        """Add queued membership updates to a frame; returns the bytes that are left.
+
+        The result is negative if an update did not fit; no entries are added to the frame then.
+        """
         updates = list(self.members.members_to_gossip())
-        if self.members.records[receiver].state != ALIVE:  # it can only refute a suspicion that it has seen
+        if (
+            self.members.records[receiver].state != ALIVE
+        ):  # it can only refute a suspicion that it has received
             updates.insert(0, self.members.records[receiver].member())
         for member in updates:
             room -= wire.encoded_size(member)
@@ -273,7 +322,7 @@
         return room
 
     def _add_entries(self, frame: Frame, room: int, now: float) -> None:
-        """Add queued register entries to a frame."""
+        """Add queued register entries to a frame, as many as fit ``room`` bytes."""
         for entry in self.store.entries_to_gossip(
             math.ceil(RETRANSMIT_FACTOR * self.members.log2_size()), now
         ):
@@ -289,6 +338,12 @@
         """Process a datagram; an invalid one is counted by its reason and dropped.
 
         ``source`` is the address that it came from; status replies are sent there.
+
+        The reason "replayed" covers more than repeated frames: also frames addressed to another start of this
+        balancer (or to none, except pings, acks and status requests), and frames of a start of the sender
+        whose incarnation is not above that of the start seen before.  Two kinds get a reply: the sender may
+        not have noticed the restart of this balancer, or may itself have restarted with a clock that went
+        back.
         """
         self.counts.frames_in += 1
         self.counts.bytes_in += len(datagram)
@@ -308,7 +363,7 @@
             self._on_status_request(frame.body, now, source)
             return
         self.members.record_contact(frame.sender, frame.address, frame.incarnation, frame.boot, now)
-        # Another start of the sender is on record with an incarnation that is not lower
+        # Still another boot number on record: that start has an incarnation that is not below the frame's
         if self.members.boot_of(frame.sender) != frame.boot:
             self._send_known_incarnation(frame, now)
             return
@@ -319,7 +374,7 @@
                 and member.state <= SUSPECT
                 and member.address != self.members.local.address
             ):
-                # Finds out whether it is an earlier start of this balancer or another process of its name
+                # Either an earlier start of this balancer, or another process of its name, which then replies
                 self._send_frame(member.address, self.name, 0, wire.Ping(0), now)
             self.members.receive_update(member, frame.sender, now)
         for entry in frame.entries:
@@ -333,17 +388,18 @@
         """Send a restarted member the incarnation that is on record for its earlier start.
 
         A member whose clock went back starts with an incarnation that is not above the earlier one.  Its
-        frames are ignored until it continues from the incarnation sent here.  A replayed ping causes one
-        frame and no other effect.
+        frames are ignored until it continues from the incarnation sent here.  Only a ping is answered: an
+        attacker who replays pings of an earlier start gets one frame for each and changes no state.
         """
         known = self.members.records.get(frame.sender)
         if isinstance(frame.body, wire.Ping) and known is not None and known.boot != frame.boot:
             self._send_frame(frame.address, frame.sender, frame.boot, wire.Gossip(), now, [known.member()])
 
     def _reply_to_stale_sender(self, frame: Frame, now: float) -> None:
-        """Ping a member that still sends to an earlier start of this balancer, so that it learns of this one.
+        """Ping a member that still sends to an earlier start of this balancer.
 
-        At most one such ping is sent per period.
+        The ping carries the boot number and incarnation of this start.  At most one such ping is sent per
+        period, whatever the number of senders.
         """
         if (
             frame.receiver == self.name
@@ -357,7 +413,9 @@
     def _on_duplicate_name(self, frame: Frame, now: float) -> None:
         """Handle a frame of another process with this balancer's name; the younger of the two leaves.
 
-        The younger one is the one with the higher epoch, or with the higher boot number at equal epochs.
+        The younger one is the one with the higher epoch, or with the higher boot number at equal epochs.  It
+        does not announce that it leaves, since the name remains in use.  Acks between the two processes carry
+        the sender's epoch in place of the number of the ping.
         """
         local = self.members.local
         if frame.boot == local.boot or frame.address == local.address:
@@ -372,18 +430,25 @@
                 self.events.append(DuplicateName(frame.address))
 
     def _merge_entry(self, entry: wire.Entry, now: float) -> None:
-        """Merge an entry that came as gossip."""
+        """Merge an entry that came as gossip.
+
+        Entries of owners that are not members are ignored: gossip that arrives late must not restore the
+        registers of a dead member.
+        """
         if entry.owner == self.name:
             if entry.epoch > self.store.owners[self.name].epoch:
                 # Written by an earlier start with a higher epoch, as this machine's clock went back: continue
                 # from that epoch.
                 self.store.adopt_epoch(entry.epoch + 1, now)
-        elif self.members.is_member(entry.owner):  # a third member must not bring back a dead one's entries
+        elif self.members.is_member(entry.owner):
             self.hybrid_clock.observe(entry.timestamp, self.wall_ms())
             self.store.merge_entry(entry, now)
 
     def _apply_member_changes(self, now: float) -> None:
-        """Report membership changes as events and plan the removal of dead members' registers."""
+        """Report membership changes as events, and remove the registers of members that left or died.
+
+        Those of a dead member are removed only after ``DEAD_REGISTERS_RETENTION_S``.
+        """
         for change in self.members.changes:
             self.events.append(change)
             name = change.member.name
@@ -399,7 +464,10 @@
         self._send_to_member(frame.sender, wire.Ack(body.number), now)
 
     def _on_ack(self, frame: Frame, body: wire.Ack, now: float) -> None:
-        """Record the ack of the active probe, or forward the ack of an indirect probe to its requester."""
+        """Record the ack of the active probe, or forward the ack of an indirect probe to its requester.
+
+        The number 0 belongs to no probe.
+        """
         relayed = self.members.relayed_probes.pop(body.number, None) if body.number else None
         if relayed is not None:
             self._send_to_member(relayed[0], wire.Ack(relayed[1]), now)
@@ -412,7 +480,10 @@
             self.members.probe_acked(body.number)
 
     def _on_ping_req(self, frame: Frame, body: wire.PingReq, now: float) -> None:
-        """Ping a member for the sender, and remember whom to answer until half a period from now."""
+        """Ping a member on behalf of the sender (indirect probe).
+
+        If no ack has come after half a period, ``tick`` sends the sender a nack.
+        """
         self.members.last_probe_number += 1
         self.members.relayed_probes[self.members.last_probe_number] = (
             frame.sender,
@@ -427,7 +498,10 @@
     # -- anti-entropy ------------------------------------------------------------------------------------
 
     def _on_root_hash(self, frame: Frame, body: wire.RootHash, now: float) -> None:
-        """Answer a differing root hash with range hashes, or with all summaries where there is one range."""
+        """Answer a differing root hash with range hashes, or with all summaries where there is one range.
+
+        A summary is the state of one owner's registers held here; a list of summaries is a version vector.
+        """
         if body.hash == self.store.root_hash():
             self._mark_caught_up(now)
             return
@@ -438,13 +512,13 @@
             self._send_vector(frame.sender, self.store.summaries(), True, now, 1, [0])
 
     def _on_range_hashes(self, frame: Frame, body: wire.RangeHashes, now: float) -> None:
-        """Answer with the summaries of the owners in some of the differing ranges."""
+        """Answer with the summaries of the owners in at most ``MAX_PULLS`` of the differing ranges."""
         count = len(body.hashes)
-        if not 1 <= count <= 1 << 16:
+        if not 1 <= count <= 1 << 16:  # a sanity check; one frame holds far fewer hashes
             return
         hashes = self.store.range_hashes(count)
         differing = [index for index in range(count) if hashes[index] != body.hashes[index]]
-        self.rng.shuffle(differing)  # ranges that do not fit this time get their turn later
+        self.rng.shuffle(differing)  # so that each range is selected in one of the next comparisons
         ranges = differing[:MAX_PULLS]
         self._send_vector(frame.sender, self.store.summaries(set(ranges), count), True, now, count, ranges)
 
@@ -457,8 +531,14 @@
         range_count: int = 1,
         ranges: Sequence[int] = (),
     ) -> None:
-        """Send as many of the summaries as fit one frame; names the ranges only where all of them fit."""
-        room = wire.MAX_FRAME_BYTES - 300
+        """Send as many of the summaries as fit one frame, selected at random; shuffles ``summaries``.
+
+        ``ranges`` is sent only where all summaries fit, since the receiver concludes that the sender does not
+        have the owners of these ranges that are not listed.
+        """
+        room = (
+            wire.MAX_FRAME_BYTES - 300
+        )  # for the digest, the frame's header and the other fields of the body
         selected = list[wire.OwnerSummary]()
         self.rng.shuffle(summaries)
         for summary in summaries:
@@ -475,11 +555,12 @@
         )
 
     def _on_version_vector(self, frame: Frame, body: wire.VersionVector, now: float) -> None:
-        """Send the own summaries where they are asked for, and pull what is missing here."""
+        """Send the summaries held here where they are asked for, and pull what is missing here."""
         if body.wants_reply:
             listed = {summary.owner for summary in body.summaries}
             reply = [owner.summary(name) for name, owner in self.store.owners.items() if name in listed]
-            # The sender may not know an owner that it did not list, as gossip can be lost: gossip it again.
+            # The sender has no registers of an owner in these ranges that it did not list.  It may not even
+            # have that owner as a member, as gossip can be lost, so the membership is queued for gossip again.
             for name, owner in self.store.owners.items():
                 if name not in listed and owner.id % max(1, body.range_count) in body.ranges:
                     reply.append(owner.summary(name))
@@ -493,7 +574,10 @@
                 self._start_pull(frame.sender, summary, now)
 
     def _start_pull(self, peer: str, summary: wire.OwnerSummary, now: float) -> None:
-        """Request an owner's entries from a member whose summary shows entries that are missing here."""
+        """Request an owner's entries from a member whose summary shows entries that are missing here.
+
+        Does nothing while a pull of this owner or ``MAX_PULLS`` pulls are running.
+        """
         if summary.owner in self.pulls or len(self.pulls) >= MAX_PULLS:
             return
         start = self.store.pull_start(summary)
@@ -505,7 +589,11 @@
             self._send_to_member(peer, wire.PullRequest(summary.owner, summary.epoch, after, full), now)
 
     def _on_pull_request(self, frame: Frame, body: wire.PullRequest, now: float) -> None:
-        """Send the next entries of the requested owner."""
+        """Send the next entries of the requested owner.
+
+        If the owner has a higher epoch here than in the request, the entries start from its first one.
+        """
+        # Leaves room for the digest, the frame's header and the other fields of the reply, with their names
         room = wire.MAX_FRAME_BYTES - 260 - len(self.name) - 2 * len(body.owner)
         found = self.store.entries_after(body.owner, body.epoch, body.after, room, now)
         if found is not None:
@@ -534,9 +622,11 @@
                 frame.sender, wire.PullRequest(name, summary.epoch, body.up_to, body.full), now
             )
             return
+        # A late reply to an earlier incremental pull does not hold all entries, so nothing is removed then.
         if pull.received_seqs is not None and body.full:
             self.store.keep_only(name, pull.received_seqs)
         del self.pulls[name]
+        # If the incremental pull was not enough, as entries here were removed elsewhere, start a full one now.
         start = self.store.pull_start(summary)
         if start is not None and pull.received_seqs is None and start[1]:
             self._start_pull(frame.sender, summary, now)
@@ -550,7 +640,10 @@
     # -- status requests ---------------------------------------------------------------------------------
 
     def _on_status_request(self, body: wire.StatusRequest, now: float, source: str) -> None:
-        """Send one part of the status to the requester; parts are small enough for a frame."""
+        """Send one part of the status to the requester; parts are small enough for a frame.
+
+        The whole status is kept for ``STATUS_REPLY_S``, so that the requested parts belong together.
+        """
         self.status_replies = {
             number: reply for number, reply in self.status_replies.items() if now < reply[0]
         }
@@ -567,7 +660,11 @@
             )
 
     def describe(self, now: float) -> dict[str, Any]:
-        """The status that ``snowwick fleet status`` prints."""
+        """The node's part of the status that ``snowwick fleet status`` prints.
+
+        ``for_s`` is how long a member has been in its state, ``alone`` that no other member is alive;
+        ``kinds`` is by number of the register kind.
+        """
         local = self.members.local
         members = [
             {
@@ -621,7 +718,7 @@
         return datagrams
 
     def take_events(self) -> Iterator[object]:
-        """Return and clear the events since the last call."""
+        """Yield the pending events, oldest first; they are cleared when the iteration begins."""
         events, self.events = self.events, []
         yield from events
 
