--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -74,9 +74,8 @@
 
     peer: str  # name of the member that sends the entries
     expires_at: float  # given up at the first comparison after this time; each reply extends it
-    received_seqs: (
-        set[int] | None
-    )  # numbers of the entries received in a full pull; None in an incremental one
+    # Sequence numbers of the entries received in a full pull; None in an incremental one
+    received_seqs: set[int] | None
 
 
 @dataclass(slots=True)
@@ -132,9 +131,8 @@
         self.next_gossip = self.next_comparison = self.next_join = self.next_ping_to_stale_sender = 0.0
         self.started_at: float | None = None
         self.caught_up = False
-        self.leaving = (
-            False  # for good: ``tick`` starts nothing more, while received frames are still answered
-        )
+        # Once set, ``tick`` starts nothing more, while received frames are still answered
+        self.leaving = False
         self.forget_at: dict[str, float] = {}  # when the registers of dead members are removed
         self.extra_status: Callable[[], dict[str, Any]] = dict  # what the caller adds to status replies
         # By number of the request: until when the reply is kept, and its parts.  Two tools that choose the
@@ -559,8 +557,8 @@
         if body.wants_reply:
             listed = {summary.owner for summary in body.summaries}
             reply = [owner.summary(name) for name, owner in self.store.owners.items() if name in listed]
-            # The sender has no registers of an owner in these ranges that it did not list.  It may not even
-            # have that owner as a member, as gossip can be lost, so the membership is queued for gossip again.
+            # The sender has no registers of the owners in these ranges that it did not list.  It may not even
+            # have them as members, as gossip can be lost, so their membership is queued for gossip again.
             for name, owner in self.store.owners.items():
                 if name not in listed and owner.id % max(1, body.range_count) in body.ranges:
                     reply.append(owner.summary(name))
@@ -626,7 +624,7 @@
         if pull.received_seqs is not None and body.full:
             self.store.keep_only(name, pull.received_seqs)
         del self.pulls[name]
-        # If the incremental pull was not enough, as entries here were removed elsewhere, start a full one now.
+        # An incremental pull is not enough where entries held here were removed elsewhere: start a full one
         start = self.store.pull_start(summary)
         if start is not None and pull.received_seqs is None and start[1]:
             self._start_pull(frame.sender, summary, now)
