--- a/crowgap/benchlink.py
+++ b/crowgap/benchlink.py
@@ -51,15 +51,17 @@
     """Translate the simulator's settings; unknown keys are ignored, missing ones take defaults."""
     family, limits = setup.get("familyInfo", {}), setup.get("limits", {})
     invariants = setup.get("invariants", {})
-    message_aims = family.get("messageAim") or []
+    target_message_delays = family.get("messageAim") or []
     quotas = family.get("tenantQuotaConnections") or []
     classes = tuple(
         interface.RequestClass(
             name=class_setup["name"],
-            aim=class_setup.get("aim", class_setup["deadline"]),
+            target_setup_time=class_setup.get("aim", class_setup["deadline"]),
             deadline=class_setup["deadline"],
             priority=class_setup.get("points", 1.0),
-            message_aim=message_aims[class_index] if class_index < len(message_aims) else 0.0,
+            target_message_delay=target_message_delays[class_index]
+            if class_index < len(target_message_delays)
+            else 0.0,
             effect=EFFECTS[class_setup.get("effect", "non_idempotent")],
             deduplication_scope=interface.DeduplicationScope(class_setup.get("keyScope", "all")),
             deduplication_window=class_setup.get("memorySpan", 0.0),
--- a/crowgap/interface.py
+++ b/crowgap/interface.py
@@ -65,10 +65,10 @@
     """One kind of request: its latency targets, its priority, and whether it may be repeated."""
 
     name: str
-    aim: float  # target time from the request to the open connection
+    target_setup_time: float  # target time from the request to the open connection
     deadline: float  # longest time from the request to the final answer
     priority: float = 1.0  # requests of the lowest priority are refused first
-    message_aim: float = 0.0  # target delay of a message on the open connection; 0 if there is none
+    target_message_delay: float = 0.0  # target delay of a message on the open connection; 0 if there is none
     effect: Effect = Effect.SAFE
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # for KEYED requests
     deduplication_window: float = 0.0  # how long backends recognise a repeat of an attempt
@@ -133,7 +133,7 @@
         for request_class in self.classes:
             if not (
                 request_class.deadline > 0
-                and request_class.aim >= 0
+                and request_class.target_setup_time >= 0
                 and request_class.deduplication_window >= 0
             ):
                 raise ValueError(
--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -54,7 +54,7 @@
 ARRIVAL_DECAY_MS = 30000.0
 
 # A message delay from this fraction of the shortest message aim on counts as slow.
-SLOW_AIM_FRACTION = 0.34
+SLOW_DELAY_FRACTION = 0.34
 # How long a backend counts as slow after it was last seen so.
 SLOW_TTL_MS = 1500.0
 # Probability that one delay report or one run of the monitor moves a connection that should be elsewhere.
@@ -67,7 +67,7 @@
 # Load over the fleet's mean up to which the plan fills a backend.
 TARGET_OVER_MEAN_FACTOR = 1.08
 # The quotas of all tenants together, as a fraction of what the fleet can hold.
-QUOTA_FRACTION_OF_CAPACITY = 0.81
+ASSUMED_QUOTA_FRACTION = 0.81
 # What a group costs a backend that holds any part of it, in mean connections.
 GROUP_COST_CONNECTIONS = 3.0
 # Fraction of a cold backend's budget that is used, because its capacity is a guess.
@@ -93,10 +93,10 @@
 # Up to this reported load a backend has room again.
 RELIEVED_LOAD = 0.65
 # How long a reported load is used.
-LOAD_REPORT_TTL_MS = 5000.0
+PROBED_LOAD_TTL_MS = 5000.0
 
 # Fraction of its class's aim that a setup waits for probe results.
-PROBE_WAIT_AIM_FRACTION = 0.15
+PROBE_WAIT_FRACTION = 0.15
 # How long a probe result counts as fresh, so that the backend is not probed again; a reported load may be as
 # old as this when it arrives.
 PROBE_FRESH_MS = 1000.0
@@ -114,32 +114,32 @@
     """State of one backend, from the list of backends and from this balancer's own traffic."""
 
     __slots__ = (
-        "down_until",
+        "avoid_until",
         "entry",
         "failure_count",
         "flows",
         "hash",
         "id",
-        "last_skipped_at",
+        "last_failure_at",
         "leaving_since",
-        "load",
-        "probe_time",
         "probed_at",
+        "probed_load",
         "ready",
         "relieved_at",
         "rounding_offset",
         "slow_at",
         "slowness",
         "weight",
+        "weighted_probe_time",
     )
 
     def __init__(self, entry: interface.BackendEntry, rounding_offset: float = 0.0) -> None:
         self.id, self.entry, self.weight, self.ready = entry.backend, entry, 1.0, False
         self.hash = _hash(str(entry.backend))
-        self.probe_time = 0.0  # ms that the last answer to a probe took, times the weight
+        self.weighted_probe_time = 0.0  # ms that the last answer to a probe took, times the weight
         self.probed_at = -math.inf
-        self.load = -1.0  # load over capacity as last reported, -1 where the backend reports none
-        self.down_until = self.last_skipped_at = self.slow_at = self.relieved_at = -math.inf
+        self.probed_load = -1.0  # load over capacity as last reported, -1 where the backend reports none
+        self.avoid_until = self.last_failure_at = self.slow_at = self.relieved_at = -math.inf
         # The offset is random in [0, 1): it rounds this balancer's fractional share of the budget of a cold
         # backend up or down by chance.
         self.failure_count, self.slowness, self.rounding_offset = 0, 0.0, rounding_offset
@@ -164,7 +164,6 @@
     """A request from its arrival to its end, and the connection that it becomes."""
 
     __slots__ = (
-        "arrivals_are_few",
         "attempt_count",
         "awaited_probes",
         "backend",
@@ -174,13 +173,14 @@
         "id",
         "is_open",
         "is_pending",
-        "load",
         "opened_at",
         "placement_hash",
         "possible_executions",
         "probe_rounds",
         "request_class",
         "tried_backends",
+        "uses_loose_cold_limit",
+        "work_rate",
     )
 
     def __init__(
@@ -189,14 +189,14 @@
         request_class: interface.RequestClass,
         group: Group,
         deadline: float,
-        arrivals_are_few: bool,
+        uses_loose_cold_limit: bool,
     ):
-        self.id, self.request_class, self.group, self.deadline, self.arrivals_are_few = (
+        self.id, self.request_class, self.group, self.deadline, self.uses_loose_cold_limit = (
             event.request,
             request_class,
             group,
             deadline,
-            arrivals_are_few,
+            uses_loose_cold_limit,
         )
         self.placement_hash = _hash(event.client_key or str(event.request)) >> 32  # 32 bits
         self.attempt_count = 0
@@ -206,7 +206,7 @@
         self.changed_at = 0.0  # last time at which it was probed for, attempted, opened or moved
         self.probe_rounds = 0
         self.opened_at = 0.0
-        self.load = 1.0  # work a second, as last reported
+        self.work_rate = 1.0  # work a second, as last reported
         self.tried_backends: set[int] = set()
         self.awaited_probes: dict[int, None] = {}  # backends whose probe results it waits for, in order
         self.possible_executions: list[tuple[Backend, float]] = []  # attempts that may have run, time sent
@@ -248,11 +248,11 @@
         self.settings, self.random, self.throttle = settings, random.Random(seed), Throttle()
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.total_quota = sum(tenant.quota for tenant in settings.tenants)  # connections over all balancers
-        self.shortest_message_aim = min(
+        self.shortest_target_delay = min(
             [
-                request_class.message_aim
+                request_class.target_message_delay
                 for request_class in settings.classes
-                if request_class.message_aim > 0
+                if request_class.target_message_delay > 0
             ],
             default=100.0,
         )
@@ -273,8 +273,8 @@
         self.plan_is_current = False
         self.any_backend_warm = False
         # Both decay over the overload window, the time after which an overload makes a backend collapse.
-        self.recent_arrivals = 0.0  # clients that came or lost their connection
-        self.previous_connections = 0.0  # connections that were open before
+        self.overload_window_arrivals = 0.0  # clients that came or lost their connection
+        self.mean_open_connections = 0.0  # connections that were open before
         self.buffer_check_at = math.inf
         self.monitor_started = False
         self.now = 0.0
@@ -337,7 +337,7 @@
             if backend.ready and entry.state is not interface.State.READY:
                 self._remove_ready(backend)
             if entry.started != backend.entry.started:
-                backend.down_until = -math.inf
+                backend.avoid_until = -math.inf
                 backend.failure_count = 0
             backend.entry = entry
             backend.leaving_since = (
@@ -356,7 +356,7 @@
         if self.capacity_per_weight == math.inf and self.ready_backends and self.total_quota:
             self.capacity_per_weight = (
                 self.total_quota
-                / QUOTA_FRACTION_OF_CAPACITY
+                / ASSUMED_QUOTA_FRACTION
                 / sum(backend.weight for backend in self.ready_backends)
             )
         self._drain_buffer()
@@ -468,7 +468,7 @@
             return 1.0
         return settings.cold_from + (1 - settings.cold_from) * age / settings.cold_time
 
-    def _has_cold_room(self, flow: Flow, backend: Backend) -> bool:
+    def _within_cold_limit(self, flow: Flow, backend: Backend) -> bool:
         """Return whether a cold backend may take one more of this balancer's flows; a warm one always may.
 
         All balancers together could overload it, so each uses only its part of the backend's budget.
@@ -486,7 +486,7 @@
             flow.placement_hash < COLD_BUDGET_FRACTION * capacity_fraction * 2**32
             and backend.id in [rank[1] for rank in flow.group.top_ranks[:PROBES_PER_ROUND]]
         )
-        if flow.arrivals_are_few or not self.any_backend_warm:
+        if flow.uses_loose_cold_limit or not self.any_backend_warm:
             room = 1.0 + COLD_BUDGET_FRACTION * room + math.sqrt(COLD_BUDGET_FRACTION * room)
         else:
             # The setups that make it collapse within the overload window, plus one, over all balancers.
@@ -510,10 +510,10 @@
                 entry[1] for entry in (*planned, *group.planned_split, *self._ranking(group))
             )
             if (backend := self.backends[backend_id]).ready
-            and backend.down_until <= self.now
+            and backend.avoid_until <= self.now
             and backend_id not in flow.tried_backends
             and self._may_repeat(flow, backend)
-            and self._has_cold_room(flow, backend)
+            and self._within_cold_limit(flow, backend)
         ]
 
     def _choose_backend(self, flow: Flow) -> Backend | None:
@@ -525,21 +525,21 @@
         if reporting := [
             backend
             for backend in eligible
-            if backend.load >= 0.0 and backend.probed_at >= self.now - LOAD_REPORT_TTL_MS
+            if backend.probed_load >= 0.0 and backend.probed_at >= self.now - PROBED_LOAD_TTL_MS
         ]:
             # Backends that hold some of the group count as its first rank.
             rank_by_id = {rank[1]: position for position, rank in enumerate(flow.group.top_ranks)} | (
                 dict.fromkeys(flow.group.open_by_backend, 0)
             )
             # Load of one setup that the report cannot contain: it may be PROBE_FRESH_MS old when it arrives.
-            unreported_load = GROUP_SPLIT_LOAD / GROUP_COST_CONNECTIONS
+            load_per_connection = GROUP_SPLIT_LOAD / GROUP_COST_CONNECTIONS
             return min(
                 reporting,
                 key=lambda backend: (
-                    backend.load
+                    backend.probed_load
                     + GROUP_SPLIT_LOAD * min(1, rank_by_id[backend.id])
                     + RANK_STEP_LOAD * rank_by_id[backend.id]
-                    + unreported_load
+                    + load_per_connection
                     * sum(
                         other.is_pending or other.opened_at > backend.probed_at - PROBE_FRESH_MS
                         for other in backend.flows.values()
@@ -549,7 +549,7 @@
             )
         slowest_accepted = CLEARLY_WORSE_FACTOR * min(
             [
-                backend.probe_time
+                backend.weighted_probe_time
                 for backend in eligible[:PROBES_PER_ROUND]
                 if backend.probed_at >= fresh_since
             ],
@@ -559,7 +559,7 @@
             (
                 backend
                 for backend in eligible[:PROBES_PER_ROUND]
-                if backend.probed_at < fresh_since or backend.probe_time <= slowest_accepted
+                if backend.probed_at < fresh_since or backend.weighted_probe_time <= slowest_accepted
             ),
             None,
         )
@@ -601,18 +601,18 @@
             self.arrivals * math.exp((self.arrivals_counted_at - self.now) / ARRIVAL_DECAY_MS) + 1.0
         )
         group.counted_at = self.arrivals_counted_at = self.now
-        self.recent_arrivals += 1.0
+        self.overload_window_arrivals += 1.0
         # Whether so few clients arrive that a cold backend can take as many from each balancer.
-        arrivals_are_few = (
-            self.random.random() * self.recent_arrivals * self.settings.cold_time
-            < self.settings.fall_multiple * self.settings.overload_for * (1.0 + self.previous_connections)
+        uses_loose_cold_limit = (
+            self.random.random() * self.overload_window_arrivals * self.settings.cold_time
+            < self.settings.fall_multiple * self.settings.overload_for * (1.0 + self.mean_open_connections)
         )
         flow = Flow(
             event,
             self.classes.get(event.class_name) or self.settings.classes[0],
             group,
             deadline,
-            arrivals_are_few,
+            uses_loose_cold_limit,
         )
         self.flows[flow.id] = flow
         return flow
@@ -634,7 +634,10 @@
 
         Only the results show what the other balancers send to a backend.
         """
-        wait, load_reported = PROBE_WAIT_AIM_FRACTION * flow.request_class.aim, self.settings.load_reported
+        wait, load_reported = (
+            PROBE_WAIT_FRACTION * flow.request_class.target_setup_time,
+            self.settings.load_reported,
+        )
         if (
             self.settings.probes_allowed
             and flow.probe_rounds < MAX_PROBE_ROUNDS
@@ -643,8 +646,10 @@
             candidates = [
                 backend
                 for backend in self._eligible_backends(flow)
-                if backend.probed_at < self.now - LOAD_REPORT_TTL_MS
-                or (backend.load <= RELIEVED_LOAD and (backend.load >= 0.0 or not load_reported))
+                if backend.probed_at < self.now - PROBED_LOAD_TTL_MS
+                or (
+                    backend.probed_load <= RELIEVED_LOAD and (backend.probed_load >= 0.0 or not load_reported)
+                )
             ][:PROBES_PER_ROUND]
             if load_reported and not flow.probe_rounds:
                 candidates += sorted(self.ready_backends, key=lambda backend: backend.probed_at)[
@@ -670,7 +675,8 @@
         for flow in list(self.flows_awaiting_probes.values()):
             for backend_id in (
                 list(flow.awaited_probes)
-                if self.now >= flow.changed_at + PROBE_WAIT_AIM_FRACTION * flow.request_class.aim - 0.01
+                if self.now
+                >= flow.changed_at + PROBE_WAIT_FRACTION * flow.request_class.target_setup_time - 0.01
                 else ()
             ):
                 self._on_probe_result(interface.ProbeResult(backend_id, -1.0))
@@ -703,7 +709,11 @@
             and flow.request_class.effect is interface.Effect.SAFE
         )
         # Half of the time for one attempt: a backend that hangs must leave time for the next rank.
-        timeout = max(0.5 * time_left, min(time_left, flow.request_class.aim)) if may_retry else time_left
+        timeout = (
+            max(0.5 * time_left, min(time_left, flow.request_class.target_setup_time))
+            if may_retry
+            else time_left
+        )
         flow.is_pending, flow.backend, flow.changed_at, flow.attempt_count = (
             True,
             backend.id,
@@ -752,9 +762,9 @@
             return
         backend = self.backends[flow.backend]
         # A success of an attempt that started before the last failure says nothing about the backend now.
-        if flow.changed_at > backend.last_skipped_at:
+        if flow.changed_at > backend.last_failure_at:
             backend.failure_count = 0
-            backend.down_until = -math.inf
+            backend.avoid_until = -math.inf
         self.recent_successes += 1
         self._mark_open(flow)
 
@@ -771,20 +781,20 @@
 
     def _on_delay_report(self, event: interface.DelayReport) -> None:
         flow = self.flows.get(event.request)
-        if flow is None or not flow.is_open or event.delay < SLOW_AIM_FRACTION * self.shortest_message_aim:
+        if flow is None or not flow.is_open or event.delay < SLOW_DELAY_FRACTION * self.shortest_target_delay:
             return
-        backend, delay_over_aim = (
+        backend, delay_over_target = (
             self.backends[flow.backend],
-            min(2.0, event.delay / self.shortest_message_aim),
+            min(2.0, event.delay / self.shortest_target_delay),
         )
-        backend.slow_at, backend.slowness = self.now, min(1.0, delay_over_aim)
+        backend.slow_at, backend.slowness = self.now, min(1.0, delay_over_target)
         self._move_fraction(
-            backend, 0.0 if self.settings.load_reported else MOVE_PROBABILITY * delay_over_aim
+            backend, 0.0 if self.settings.load_reported else MOVE_PROBABILITY * delay_over_target
         )
 
     def _on_load_report(self, event: interface.LoadReport) -> None:
         if event.request in self.flows:
-            self.flows[event.request].load = event.load
+            self.flows[event.request].work_rate = event.load
 
     def _on_backend_silent(self, event: interface.BackendSilent) -> None:
         """Move all flows off the backend and send nothing new there.
@@ -792,14 +802,14 @@
         A slow backend answers late; this one answers nobody.
         """
         if backend := self.backends.get(event.backend):
-            if backend.down_until <= self.now:
+            if backend.avoid_until <= self.now:
                 self._skip_backend(backend)
             self._move_fraction(backend, 1.0)
 
     def _on_probe_result(self, event: interface.ProbeResult) -> None:
         if backend := self.backends.get(event.backend):
             elapsed = event.elapsed if event.elapsed >= 0.0 else self.settings.connect_timeout
-            backend.probe_time, backend.probed_at, backend.load = (
+            backend.weighted_probe_time, backend.probed_at, backend.probed_load = (
                 elapsed * backend.weight,
                 self.now,
                 event.load,
@@ -829,7 +839,7 @@
             and self.random.random() < probability
             and (backend := self._choose_backend(flow)) is not None
             and backend.id != flow.backend
-            and backend.load < max_load
+            and backend.probed_load < max_load
             and backend.entry.started > started_after
         )
         if moves:
@@ -858,19 +868,19 @@
         """Move the load above the relieved level away from each overloaded backend, group by group."""
         for backend in self.ready_backends:
             if (
-                backend.load > OVERLOADED_LOAD
+                backend.probed_load > OVERLOADED_LOAD
                 and self.now - backend.probed_at < PROBE_FRESH_MS
                 and self.now - backend.relieved_at > 2 * PROBE_FRESH_MS
             ):
                 backend.relieved_at = self.now
-                excess = sum(flow.load for flow in backend.flows.values()) * (
-                    1.0 - RELIEVED_LOAD / backend.load
+                excess = sum(flow.work_rate for flow in backend.flows.values()) * (
+                    1.0 - RELIEVED_LOAD / backend.probed_load
                 )
                 for flow in sorted(backend.flows.values(), key=lambda flow: flow.group.hash):
                     if excess > 0.0 and self._maybe_move(
-                        flow, 1.0, max_load=backend.load / CLEARLY_WORSE_FACTOR
+                        flow, 1.0, max_load=backend.probed_load / CLEARLY_WORSE_FACTOR
                     ):
-                        excess -= flow.load
+                        excess -= flow.work_rate
 
     def _move_to_new_backends(self) -> None:
         """Move connections to backends that started after they opened, where these would be chosen now."""
@@ -919,22 +929,22 @@
             or self.now >= backend.leaving_since
         ):
             return  # connections that a backend drops as it leaves are no failure
-        self.recent_arrivals += was_open  # its clients come again at once, at any balancer
+        self.overload_window_arrivals += was_open  # its clients come again at once, at any balancer
         # A backend that breaks connections off at once is not overloaded; a full or slow one is.
         if outcome in (interface.Outcome.FULL, interface.Outcome.TIMEOUT):
             backend.slow_at = self.now
             backend.slowness = 1.0
         self.recent_failures += not was_open and outcome is not interface.Outcome.ERROR
         if outcome is interface.Outcome.FULL:
-            backend.down_until = self.now + 200.0 * self._jitter_factor()
+            backend.avoid_until = self.now + 200.0 * self._jitter_factor()
         elif outcome is not interface.Outcome.ERROR:  # an error costs little and may be the request's fault
             self._skip_backend(backend)
 
     def _skip_backend(self, backend: Backend) -> None:
         """Send nothing new to the backend for a time that doubles with each failure in a row."""
-        backend.failure_count, backend.last_skipped_at = min(backend.failure_count + 1, 5), self.now
-        backend.down_until = max(
-            backend.down_until,
+        backend.failure_count, backend.last_failure_at = min(backend.failure_count + 1, 5), self.now
+        backend.avoid_until = max(
+            backend.avoid_until,
             self.now + self.settings.connect_timeout * 2.0**backend.failure_count * self._jitter_factor(),
         )
 
@@ -992,9 +1002,9 @@
         self._set_timer(MONITOR_INTERVAL_MS, 1)
         self._plan()
         decay = math.exp(-MONITOR_INTERVAL_MS / max(1.0, self.settings.overload_for))
-        self.recent_arrivals, self.previous_connections = (
-            self.recent_arrivals * decay,
-            self.open_connections + (self.previous_connections - self.open_connections) * decay,
+        self.overload_window_arrivals, self.mean_open_connections = (
+            self.overload_window_arrivals * decay,
+            self.open_connections + (self.mean_open_connections - self.open_connections) * decay,
         )
         self._move_off_leaving_backends()
         self._relieve_overloaded_backends()
@@ -1005,15 +1015,15 @@
         usable_backends = [
             backend
             for backend in self.recently_used.values()
-            if backend.ready and backend.down_until <= self.now
+            if backend.ready and backend.avoid_until <= self.now
         ]
         troubled_fraction = sum(
             backend.slowness for backend in slow_backends if backend in usable_backends
         ) / max(1, len(usable_backends))
         if reported_loads := sorted(
-            backend.load
+            backend.probed_load
             for backend in self.ready_backends
-            if backend.load >= 0.0 and self.now - backend.probed_at < LOAD_REPORT_TTL_MS
+            if backend.probed_load >= 0.0 and self.now - backend.probed_at < PROBED_LOAD_TTL_MS
         ):
             # Reported loads show directly whether there is room; room at a quarter of the backends is enough.
             troubled_fraction = float(reported_loads[len(reported_loads) // 4] >= RELIEVED_LOAD)
--- a/snowwick/broker/admission.py
+++ b/snowwick/broker/admission.py
@@ -27,7 +27,7 @@
 RETRY_BURST_FRACTION = 0.5
 # The reclaim rate is sized for at least this part of all connections, since it also serves the teams that
 # share what lies beyond the guarantees.
-MIN_LENT_FRACTION = 0.25
+MIN_RECLAIMABLE_FRACTION = 0.25
 # Part of a ceiling that is left for clients with a retry slot by clients without one.
 RETRY_CONNECTION_FRACTION = 0.03
 MAX_RETRY_CONNECTIONS = 4  # upper bound of that part
@@ -64,20 +64,20 @@
     load: float = math.inf
     burst_s: float = 1.0  # seconds' worth of a rate that may pass at once
     reclaim_within_s: float = 10.0  # time in which a team gets its whole guarantee back
-    reserve_fraction: float = 0.1  # part of the unused guarantees that is not lent
+    lending_reserve_fraction: float = 0.1  # part of the unused guarantees that is not lent
 
 
 class ClassState(RetryQueue):
     """One request class of a team: its limits, its connections, and the retry slots of its clients."""
 
-    __slots__ = ("connections", "fingerprint_salt", "max_connections", "max_wait_ms", "rate_limit")
+    __slots__ = ("ceiling_limiter", "connections", "fingerprint_salt", "max_connections", "max_wait_ms")
 
     def __init__(self, team: str, name: str) -> None:
         super().__init__()
         self.connections = 0
         self.max_connections = math.inf
         self.max_wait_ms = math.inf
-        self.rate_limit: Gcra | None = None  # None where the class may use the whole of the team's rate
+        self.ceiling_limiter: Gcra | None = None  # None where the class may use the whole of the team's rate
         self.fingerprint_salt = crc32(f"{team}\0{name}\0".encode())
 
 
@@ -86,22 +86,22 @@
 
     __slots__ = (
         "accepts_any_class",
-        "borrowed_arrival",
         "borrowed_interval_s",
+        "borrowed_theoretical_arrival",
+        "ceiling_limiter",
         "classes",
         "connection_share",
-        "established",
-        "guaranteed_rate",
-        "leases_with_load",
+        "guarantee_limiter",
+        "load_reporting_count",
         "load_share",
+        "movable_leases",
         "name",
         "pool",
-        "rate_limit",
         "removed",
     )
 
     def __init__(self, name: str) -> None:
-        self.name, self.pool, self.removed, self.accepts_any_class, self.leases_with_load = (
+        self.name, self.pool, self.removed, self.accepts_any_class, self.load_reporting_count = (
             name,
             "",
             False,
@@ -109,12 +109,12 @@
             0,
         )
         self.connection_share, self.load_share = TeamShare(self), TeamShare(self)
-        self.guaranteed_rate, self.rate_limit = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
+        self.guarantee_limiter, self.ceiling_limiter = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
         # Like Gcra.theoretical_arrival and Gcra.interval_s, for the borrowed rate, which always changes.
-        self.borrowed_arrival = -math.inf
+        self.borrowed_theoretical_arrival = -math.inf
         self.borrowed_interval_s = 0.0
         self.classes: dict[str, ClassState] = {}
-        self.established: dict[Lease, None] = {}
+        self.movable_leases: dict[Lease, None] = {}
 
 
 @dataclass(slots=True, eq=False)
@@ -152,12 +152,12 @@
         )
         self.teams: dict[str, TeamState] = {}
         self.connection_budget, self.load_budget = Budget(0.0, 0.0, True), Budget(0.0, 0.0, False)
-        self.fleet_rate, self.reclaim_rate = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
+        self.fleet_limiter, self.reclaim_limiter = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
         self.retry_table = RetryTable()
         # Setups a second that a team of weight 1 may borrow while all teams borrow, and when it was updated.
         self.fair_rate = self.fair_rate_updated_at = 0.0
         self.misplaced_leases: dict[Lease, None] = {}  # in a pool that is no longer their team's
-        self.teams_over_ceiling: dict[TeamState, None] = {}  # to be checked: these may exceed a ceiling
+        self.teams_to_check: dict[TeamState, None] = {}  # to be checked: these may exceed a ceiling
         self.now = 0.0
         self.apply(limits, 0.0)
 
@@ -170,23 +170,23 @@
         of that rate is kept: two changes in a row allow no more moves than one.
         """
         self.limits, now = limits, self._advance_clock(now)
-        self.limits_load = limits.load < math.inf or any(
+        self.has_load_limit = limits.load < math.inf or any(
             team_limits.load[1] < math.inf for team_limits in limits.teams.values()
         )
         self.connection_budget.limit = limits.connections
-        self.connection_budget.reserve_fraction = limits.reserve_fraction
+        self.connection_budget.lending_reserve_fraction = limits.lending_reserve_fraction
         self.load_budget.limit = limits.load
-        self.load_budget.reserve_fraction = limits.reserve_fraction
-        self.fleet_rate.change_rate(now, limits.setups_per_s, limits.setups_per_s * limits.burst_s)
-        lendable_connections = max(
+        self.load_budget.lending_reserve_fraction = limits.lending_reserve_fraction
+        self.fleet_limiter.change_rate(now, limits.setups_per_s, limits.setups_per_s * limits.burst_s)
+        reclaimable_connections = max(
             1.0,
             sum(team_limits.connections[0] for team_limits in limits.teams.values()),
-            MIN_LENT_FRACTION * limits.connections,
+            MIN_RECLAIMABLE_FRACTION * limits.connections,
         )
-        self.reclaim_rate.change_rate(
+        self.reclaim_limiter.change_rate(
             now,
-            lendable_connections / limits.reclaim_within_s,
-            max(1.0, lendable_connections / limits.reclaim_within_s * RECLAIM_INTERVAL_S),
+            reclaimable_connections / limits.reclaim_within_s,
+            max(1.0, reclaimable_connections / limits.reclaim_within_s * RECLAIM_INTERVAL_S),
         )
         total_weight = sum(team_limits.weight for team_limits in limits.teams.values())
         self.fair_rate = min(
@@ -204,15 +204,17 @@
         burst_s = self.limits.burst_s
         if team_limits.pool != team.pool:
             self.misplaced_leases.update(
-                dict.fromkeys(lease for lease in team.established if lease.pool != team_limits.pool)
+                dict.fromkeys(lease for lease in team.movable_leases if lease.pool != team_limits.pool)
             )
         team.pool, team.removed, team.accepts_any_class = team_limits.pool, False, not team_limits.classes
         self.connection_budget.set_limits(team.connection_share, *team_limits.connections, team_limits.weight)
         self.load_budget.set_limits(team.load_share, *team_limits.load, team_limits.weight)
-        team.guaranteed_rate.change_rate(
+        team.guarantee_limiter.change_rate(
             now, team_limits.setups_per_s[0], team_limits.setups_per_s[0] * burst_s
         )
-        team.rate_limit.change_rate(now, team_limits.setups_per_s[1], team_limits.setups_per_s[1] * burst_s)
+        team.ceiling_limiter.change_rate(
+            now, team_limits.setups_per_s[1], team_limits.setups_per_s[1] * burst_s
+        )
         for name in team_limits.classes:
             team.classes.setdefault(name, ClassState(team.name, name))
         for name in [
@@ -223,35 +225,35 @@
             self._set_class_limits(
                 class_state, team_limits, team_limits.classes.get(name, ClassLimits()), now
             )
-        self.teams_over_ceiling[team] = None
+        self.teams_to_check[team] = None
 
     def _set_class_limits(
         self, class_state: ClassState, team_limits: TeamLimits, class_limits: ClassLimits, now: float
     ) -> None:
         class_state.max_wait_ms = class_limits.max_wait_ms
         if class_limits.ceiling_fraction >= 1.0:
-            class_state.rate_limit = None
+            class_state.ceiling_limiter = None
             class_state.max_connections = math.inf
             return
         rate = class_limits.ceiling_fraction * team_limits.setups_per_s[1]
         class_state.max_connections = max(
             1.0, math.floor(class_limits.ceiling_fraction * team_limits.connections[1] + 1e-9)
         )
-        class_state.rate_limit = class_state.rate_limit or Gcra(rate, rate * self.limits.burst_s)
-        class_state.rate_limit.change_rate(now, rate, rate * self.limits.burst_s)
+        class_state.ceiling_limiter = class_state.ceiling_limiter or Gcra(rate, rate * self.limits.burst_s)
+        class_state.ceiling_limiter.change_rate(now, rate, rate * self.limits.burst_s)
 
     def _remove_team(self, team: TeamState) -> None:
         """Take a team's limits away; its state stays until its last connection has ended."""
         team.removed = True
         self.connection_budget.set_limits(team.connection_share, 0.0, 0.0, 1.0)
         self.load_budget.set_limits(team.load_share, 0.0, 0.0, 1.0)
-        self.teams_over_ceiling[team] = None
+        self.teams_to_check[team] = None
         self._delete_if_unused(team)
 
     def _delete_if_unused(self, team: TeamState) -> None:
         if team.removed and not team.connection_share.in_use and self.teams.get(team.name) is team:
             del self.teams[team.name]
-            self.teams_over_ceiling.pop(team, None)
+            self.teams_to_check.pop(team, None)
 
     def _advance_clock(self, now: float) -> float:
         """The time to go by: a clock that steps back counts as standing still."""
@@ -287,7 +289,7 @@
         if slots_pending:
             fingerprint = self.retry_table.fingerprint(class_state.fingerprint_salt, key)
             retry_at = self.retry_table.find(fingerprint, now)
-        load = self._expected_load(team) if self.limits_load else 0.0
+        load = self._expected_load(team) if self.has_load_limit else 0.0
         slot_reached = retry_at is not None and now >= retry_at - EARLY_TOLERANCE_S
         # A client without a slot leaves room for those with one, unless its team is within its guarantee.
         leave_room = (
@@ -295,7 +297,7 @@
             and not slot_reached
             and not (
                 self.connection_budget.within_guarantee(team.connection_share, 1.0)
-                and team.guaranteed_rate.conforms(now)
+                and team.guarantee_limiter.conforms(now)
                 and self.load_budget.within_guarantee(team.load_share, load)
             )
         )
@@ -306,7 +308,7 @@
             if slot_reached:
                 class_state.record_retry(True)
             class_state.record_admission(now)
-            return self._admit(now, owner, team, class_state)
+            return self._charge_and_create_lease(now, owner, team, class_state)
         reason, limit, rate = exceeded
         if limit == "fleet":
             self._reserve_room(now, team, load, reason)
@@ -344,10 +346,10 @@
 
     def _expected_load(self, team: TeamState) -> float:
         """The load to expect of one more connection: the mean of the team's connections, else of all."""
-        if team.leases_with_load:
-            return team.load_share.in_use / team.leases_with_load
-        leases_with_load = sum(other.leases_with_load for other in self.teams.values())
-        return self.load_budget.total_in_use / leases_with_load if leases_with_load else 0.0
+        if team.load_reporting_count:
+            return team.load_share.in_use / team.load_reporting_count
+        load_reporting_count = sum(other.load_reporting_count for other in self.teams.values())
+        return self.load_budget.total_in_use / load_reporting_count if load_reporting_count else 0.0
 
     def _exceeded_limit(
         self, now: float, team: TeamState, class_state: ClassState, load: float, leave_room: bool
@@ -356,17 +358,21 @@
 
         With ``leave_room`` the request also has to leave some room for clients with a retry slot.
         """
-        rate_limit = class_state.rate_limit
-        if rate_limit is not None and not (
-            rate_limit.conforms_leaving(now, RETRY_BURST_FRACTION) if leave_room else rate_limit.conforms(now)
+        ceiling_limiter = class_state.ceiling_limiter
+        if ceiling_limiter is not None and not (
+            ceiling_limiter.conforms_leaving(now, RETRY_BURST_FRACTION)
+            if leave_room
+            else ceiling_limiter.conforms(now)
         ):
-            return "over-class", "rate", rate_limit.rate
-        rate_limit = team.rate_limit
+            return "over-class", "rate", ceiling_limiter.rate
+        ceiling_limiter = team.ceiling_limiter
         if not (
-            rate_limit.conforms_leaving(now, RETRY_BURST_FRACTION) if leave_room else rate_limit.conforms(now)
+            ceiling_limiter.conforms_leaving(now, RETRY_BURST_FRACTION)
+            if leave_room
+            else ceiling_limiter.conforms(now)
         ):
-            return "over-rate", "team", rate_limit.rate
-        if not team.guaranteed_rate.conforms(now) and not self._may_borrow_rate(now, team, leave_room):
+            return "over-rate", "team", ceiling_limiter.rate
+        if not team.guarantee_limiter.conforms(now) and not self._may_borrow_rate(now, team, leave_room):
             return "over-rate", "fleet", 0.0
         spare = self._connections_for_retries(team) if leave_room else 0
         if class_state.connections + 1 + spare > class_state.max_connections:
@@ -375,9 +381,9 @@
             return "over-connections", "team", 0.0
         if not self.connection_budget.has_room(team.connection_share, 1.0, spare):
             return "over-connections", "fleet", 0.0
-        if self.limits_load and team.load_share.in_use + load > team.load_share.ceiling + 1e-9:
+        if self.has_load_limit and team.load_share.in_use + load > team.load_share.ceiling + 1e-9:
             return "over-load", "team", 0.0
-        if self.limits_load and not self.load_budget.has_room(team.load_share, load):
+        if self.has_load_limit and not self.load_budget.has_room(team.load_share, load):
             return "over-load", "fleet", 0.0
         return None
 
@@ -398,12 +404,12 @@
         falls while less is (the fair share of core-stateless fair queueing, Stoica et al. 1998, found by
         feedback).
         """
-        fleet_rate = self.fleet_rate
-        used_s = fleet_rate.theoretical_arrival - now
+        fleet_limiter = self.fleet_limiter
+        used_s = fleet_limiter.theoretical_arrival - now
         unused_fraction = (
             1.0
-            if used_s <= 0.0 or fleet_rate.rate == math.inf
-            else 1.0 - used_s / (fleet_rate.burst * fleet_rate.interval_s)
+            if used_s <= 0.0 or fleet_limiter.rate == math.inf
+            else 1.0 - used_s / (fleet_limiter.burst * fleet_limiter.interval_s)
         )
         # The update counts elapsed time, not requests: a thousand refusals at once count like one.
         elapsed_s = now - self.fair_rate_updated_at
@@ -420,28 +426,33 @@
             return True
         # The fair rate keeps the burst about half used: clients without a slot need room within that half.
         if not (
-            fleet_rate.conforms_leaving(now, RETRY_BURST_FRACTION / 2.0)
+            fleet_limiter.conforms_leaving(now, RETRY_BURST_FRACTION / 2.0)
             if leave_room
-            else fleet_rate.conforms(now)
+            else fleet_limiter.conforms(now)
         ):
             return False
         # The unused part also counts directly: through the fair rate alone the feedback would oscillate.
         borrowed_rate = self.fair_rate * team.connection_share.weight * (0.5 + unused_fraction)
         team.borrowed_interval_s = 1.0 / borrowed_rate
-        return team.borrowed_arrival - now <= max(0.0, self.limits.burst_s - team.borrowed_interval_s) + 1e-9
+        return (
+            team.borrowed_theoretical_arrival - now
+            <= max(0.0, self.limits.burst_s - team.borrowed_interval_s) + 1e-9
+        )
 
-    def _admit(self, now: float, owner: object, team: TeamState, class_state: ClassState) -> Lease:
+    def _charge_and_create_lease(
+        self, now: float, owner: object, team: TeamState, class_state: ClassState
+    ) -> Lease:
         """Count an admitted request against the rate limits, and create its lease."""
-        if team.guaranteed_rate.conforms(now):
-            team.guaranteed_rate.consume(now)
+        if team.guarantee_limiter.conforms(now):
+            team.guarantee_limiter.consume(now)
         else:
-            team.borrowed_arrival = (
-                team.borrowed_arrival if team.borrowed_arrival > now else now
+            team.borrowed_theoretical_arrival = (
+                team.borrowed_theoretical_arrival if team.borrowed_theoretical_arrival > now else now
             ) + team.borrowed_interval_s
-        if class_state.rate_limit is not None:
-            class_state.rate_limit.consume(now)
-        team.rate_limit.consume(now)
-        self.fleet_rate.consume(now)
+        if class_state.ceiling_limiter is not None:
+            class_state.ceiling_limiter.consume(now)
+        team.ceiling_limiter.consume(now)
+        self.fleet_limiter.consume(now)
         self.connection_budget.claim_reservation(team.connection_share, 1.0)
         return self._create_lease(owner, team, class_state)
 
@@ -468,9 +479,9 @@
         """Note that the connection is established: from now on it can be moved."""
         if lease.active:
             team = lease.team
-            team.established[lease] = None
+            team.movable_leases[lease] = None
             if team.removed or team.connection_share.exceeds_ceiling():
-                self.teams_over_ceiling[team] = None
+                self.teams_to_check[team] = None
             if lease.pool != team.pool:
                 self.misplaced_leases[lease] = None
 
@@ -479,14 +490,14 @@
         if not lease.active:
             return
         team, change = lease.team, reported_load - lease.load
-        team.leases_with_load += not lease.load_reported
+        team.load_reporting_count += not lease.load_reported
         lease.load_reported = True
         lease.load = reported_load
         self.load_budget.adjust_usage(team.load_share, change)
         if lease.draining:
             self.load_budget.adjust_draining(team.load_share, change)
         if team.load_share.exceeds_ceiling():
-            self.teams_over_ceiling[team] = None
+            self.teams_to_check[team] = None
 
     def release(self, lease: Lease) -> None:
         """Release a lease; a second release does nothing."""
@@ -500,8 +511,8 @@
         self.connection_budget.adjust_usage(team.connection_share, -1.0)
         if lease.load_reported:
             self.load_budget.adjust_usage(team.load_share, -lease.load)
-            team.leases_with_load -= 1
-        team.established.pop(lease, None)
+            team.load_reporting_count -= 1
+        team.movable_leases.pop(lease, None)
         if self.misplaced_leases:
             self.misplaced_leases.pop(lease, None)
         if team.removed:
@@ -511,14 +522,16 @@
 
     def reclaim_delay_s(self) -> float | None:
         """Time until ``reclaim`` should be called, or None while no connection has to be moved."""
-        return max(RECLAIM_INTERVAL_S, self.reclaim_rate.wait_s(self.now)) if self.needs_reclaim() else None
+        return (
+            max(RECLAIM_INTERVAL_S, self.reclaim_limiter.wait_s(self.now)) if self.needs_reclaim() else None
+        )
 
     def needs_reclaim(self) -> bool:
         """Whether any connection has to be moved."""
         return (
-            bool(self.misplaced_leases or self.teams_over_ceiling)
+            bool(self.misplaced_leases or self.teams_to_check)
             or self.connection_budget.share_to_reclaim_from() is not None
-            or (self.limits_load and self.load_budget.share_to_reclaim_from() is not None)
+            or (self.has_load_limit and self.load_budget.share_to_reclaim_from() is not None)
         )
 
     def reclaim(self, now: float) -> list[Lease]:
@@ -527,30 +540,33 @@
         self.connection_budget.expire_reservations(now)
         self.load_budget.expire_reservations(now)
         moved: list[Lease] = []
-        while self.reclaim_rate.conforms(now) and (lease := next(self._leases_to_move(), None)) is not None:
-            self.reclaim_rate.consume(now)
+        while (
+            self.reclaim_limiter.conforms(now)
+            and (lease := next(self._candidates_to_move(), None)) is not None
+        ):
+            self.reclaim_limiter.consume(now)
             lease.draining = True
-            lease.team.established.pop(lease, None)
+            lease.team.movable_leases.pop(lease, None)
             self.misplaced_leases.pop(lease, None)
             self.connection_budget.adjust_draining(lease.team.connection_share, 1.0)
             self.load_budget.adjust_draining(lease.team.load_share, lease.load)
             moved.append(lease)
         return moved
 
-    def _leases_to_move(self) -> Iterator[Lease]:
+    def _candidates_to_move(self) -> Iterator[Lease]:
         """Leases in the order in which they are moved.
 
         Those over a ceiling come first, then those in a wrong pool, then the newest of the team that borrows
         most.
         """
-        for team in list(self.teams_over_ceiling):
+        for team in list(self.teams_to_check):
             over_ceiling = team.connection_share.exceeds_ceiling() or team.load_share.exceeds_ceiling()
-            if over_ceiling and team.established:
-                yield next(reversed(team.established))
+            if over_ceiling and team.movable_leases:
+                yield next(reversed(team.movable_leases))
             if not over_ceiling or not team.connection_share.in_use:
-                self.teams_over_ceiling.pop(team, None)
+                self.teams_to_check.pop(team, None)
         yield from self.misplaced_leases
         for budget in (self.connection_budget, self.load_budget):
             share = budget.share_to_reclaim_from()
-            if share is not None and share.owner.established:
-                yield next(reversed(share.owner.established))
+            if share is not None and share.owner.movable_leases:
+                yield next(reversed(share.owner.movable_leases))
--- a/snowwick/broker/budget.py
+++ b/snowwick/broker/budget.py
@@ -67,8 +67,12 @@
 class Budget:
     """This balancer's part of one resource of the fleet, and how the teams share it."""
 
-    def __init__(self, limit: float, reserve_fraction: float, whole_units: bool) -> None:
-        self.limit, self.reserve_fraction, self.whole_units = limit, reserve_fraction, whole_units
+    def __init__(self, limit: float, lending_reserve_fraction: float, whole_units: bool) -> None:
+        self.limit, self.lending_reserve_fraction, self.whole_units = (
+            limit,
+            lending_reserve_fraction,
+            whole_units,
+        )
         # Up to this total there is room whatever the reserve is, as long as there are no reservations: most
         # requests need no other check.
         self.uncontended_total = limit
@@ -85,7 +89,7 @@
 
     def lending_reserve(self) -> float:
         """Room that is never lent: a team's first requests use it before any connection has been moved."""
-        reserve = self.reserve_fraction * self.unused_guarantees
+        reserve = self.lending_reserve_fraction * self.unused_guarantees
         return math.ceil(reserve - ROUNDING_TOLERANCE) if self.whole_units else reserve
 
     def set_limits(self, share: TeamShare, guarantee: float, ceiling: float, weight: float) -> None:
@@ -98,7 +102,7 @@
 
     def update_uncontended_total(self) -> None:
         """Has to be called after ``limit`` or the limits of shares have changed."""
-        self.uncontended_total = self.limit - math.ceil(self.reserve_fraction * self.total_guaranteed)
+        self.uncontended_total = self.limit - math.ceil(self.lending_reserve_fraction * self.total_guaranteed)
 
     def adjust_usage(self, share: TeamShare, amount: float) -> None:
         """Add an amount to what a share uses; a negative amount is released."""
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -177,7 +177,7 @@
     def on_established(self, request: Request) -> None:
         if isinstance(request.lease, Lease):
             self.admission.mark_established(request.lease)
-            if self.admission.teams_over_ceiling or self.admission.misplaced_leases:
+            if self.admission.teams_to_check or self.admission.misplaced_leases:
                 self.reclaimer.check()
 
     def on_load(self, request: Request, load_per_s: float) -> None:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -12,7 +12,9 @@
 from crowgap import interface
 from crowgap.policy import Balancer
 
-SAFE_CLASS = interface.RequestClass("feed", aim=300.0, deadline=1200.0, priority=5.0, message_aim=100.0)
+SAFE_CLASS = interface.RequestClass(
+    "feed", target_setup_time=300.0, deadline=1200.0, priority=5.0, target_message_delay=100.0
+)
 BASE_SETTINGS = interface.Settings(
     classes=(SAFE_CLASS,),
     balancers=1,
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -342,7 +342,7 @@
         for lease in controller.reclaim(now):
             moved += 1
             controller.release(lease)
-        assert moved <= controller.reclaim_rate.rate * (now - 1.0) + controller.reclaim_rate.burst + 1
+        assert moved <= controller.reclaim_limiter.rate * (now - 1.0) + controller.reclaim_limiter.burst + 1
     assert (
         controller.connection_budget.total_in_use == 20 and set(controller.teams) == {QUIET} and moved == 180
     )
@@ -510,7 +510,7 @@
         ):
             self.request_connection(team, "c", True)
             self.advance_time(0.03)
-        pending = sum(lease.active and lease not in lease.team.established for lease in self.leases)
+        pending = sum(lease.active and lease not in lease.team.movable_leases for lease in self.leases)
         assert team_limits is None or self.active_connections(team) >= team_limits.connections[0] or pending
 
     @invariant()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -88,7 +88,7 @@
         held = {flow.id for flow in harness.balancer.backends[silent].flows.values() if flow.is_open}
         harness.handle_event(interface.BackendSilent(silent))
         assert {move.request for move in harness.actions_of_type(interface.Move)} == held
-        skip_times.append(harness.balancer.backends[silent].down_until - harness.now)
+        skip_times.append(harness.balancer.backends[silent].avoid_until - harness.now)
     assert min(skip_times) >= 0.5 * 250.0 and (
         len(skip_times) < 10 or max(skip_times) - min(skip_times) >= 200.0
     )
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,13 +9,13 @@
 
 from crowgap import interface
 from crowgap.policy import (
+    ASSUMED_QUOTA_FRACTION,
     BANK_AND_BUFFER_SLOTS,
     BANK_AT_TURN_ON_TOKENS,
     BUFFER_SHRINK_DELAY_MS,
     BUFFER_SHRINK_MS,
     CROSS_ZONE_LOAD,
     GROUP_SPLIT_LOAD,
-    QUOTA_FRACTION_OF_CAPACITY,
     RANKS_KEPT,
 )
 
@@ -250,7 +250,7 @@
         (send,) = sends(harness.send_request(1))
         harness.establish(send)
         harness.run_until(harness.now + 3000.0)
-        harness.balancer.backends[send.backend].down_until = harness.now + 1000.0
+        harness.balancer.backends[send.backend].avoid_until = harness.now + 1000.0
         harness.handle_event(interface.DelayReport(1, send.backend, 100.0))
         gone += len(harness.actions_of_type(interface.Move))
     assert 20 < gone < 100
@@ -351,7 +351,7 @@
             if n >= 800:
                 sent["old" if send.backend != 10 else "early" if n < 860 else "late"] += 1
     # Within the overload window of 3 s it may take 0.9 of its capacity; at the end its share is a tenth.
-    assert sent["early"] <= 0.9 * 450.0 / QUOTA_FRACTION_OF_CAPACITY / 10 and 4 <= sent["late"] <= 30, sent
+    assert sent["early"] <= 0.9 * 450.0 / ASSUMED_QUOTA_FRACTION / 10 and 4 <= sent["late"] <= 30, sent
 
 
 def test_new_backend_gets_the_clients_that_the_ranking_places_there() -> None:
@@ -658,7 +658,7 @@
         probed_backends, rounds = probes, rounds + 1
     assert (
         rounds == 4
-        and harness.balancer.backends[harness.actions_of_type(interface.Send)[0].backend].load == 0.2
+        and harness.balancer.backends[harness.actions_of_type(interface.Send)[0].backend].probed_load == 0.2
     )
 
 
