--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that can be run again by anyone: ``python -m benchmarks.NAME [--quick] --json FILE``."""
+"""Reproducible benchmarks: ``python -m benchmarks.NAME [--quick] --json FILE``."""
--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -1,4 +1,4 @@
-"""Contracts between two teams on the real program, and what the contract stage costs.
+"""Service of two teams under contracts in the real program, and the CPU and memory cost of contracts.
 
 python -m benchmarks.broker [--quick] --json FILE
 """
@@ -18,7 +18,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from benchmarks.figures import Figure, options, report
+from benchmarks.figures import Figure, parse_options, report
 from snowwick.broker.contract import Contracts, parse
 from snowwick.lab.standins import (
     ROOT,
@@ -36,26 +36,28 @@
 from snowwick.net.path import Request, make_request
 from snowwick.net.pool_deciders import PoolDeciders
 
-BEFORE = "52cd155a84a0"  # the last commit without contracts, for the memory of a program without them
-WITHIN = 3.0  # s: the stated reclaim time
-FLEET, QUIET, LOUD = 160, 70, 30  # connections; the two guarantees
-CONTRACTS = f"""
+COMMIT_BEFORE_CONTRACTS = "52cd155a84a0"  # the last one without contracts; memory is compared with it
+RECLAIM_S = 3.0  # within which a team gets its guarantee back, as the contracts state
+FLEET_CONNECTIONS = 160
+QUIET_GUARANTEE_CONNECTIONS = 70
+LOUD_GUARANTEE_CONNECTIONS = 30
+GUARANTEE_CONTRACTS = f"""
 version = 1
 [fleet]
-connections = {FLEET}
+connections = {FLEET_CONNECTIONS}
 setups_per_s = 80.0
-reclaim = {{ within_s = {WITHIN}, reserve = 0.1 }}
+reclaim = {{ within_s = {RECLAIM_S}, reserve = 0.1 }}
 [pools.all]
 [teams.quiet]
 tenants = ["quiet"]
 pool = "all"
-guarantee = {{ connections = {QUIET}, setups_per_s = 40.0 }}
+guarantee = {{ connections = {QUIET_GUARANTEE_CONNECTIONS}, setups_per_s = 40.0 }}
 [teams.loud]
 tenants = ["loud"]
 pool = "all"
-guarantee = {{ connections = {LOUD}, setups_per_s = 10.0 }}
+guarantee = {{ connections = {LOUD_GUARANTEE_CONNECTIONS}, setups_per_s = 10.0 }}
 """
-STEADY = """
+CEILING_CONTRACTS = """
 version = 1
 [fleet]
 connections = 1000
@@ -72,76 +74,86 @@
 """
 
 
-def play(
+def run_phases(
     address: tuple[str, int],
-    crowds: list[tuple[TeamClients, int]],
+    teams: list[tuple[TeamClients, int]],
     phases: list[tuple[str, float]],
     seed: int,
 ) -> dict[str, dict[str, ClientStatistics]]:
-    """Run the crowds through phases: before each, ``quiet`` and ``loud`` are awake if its name says so.
+    """Run clients against a balancer; returns the statistics by phase and tenant.
 
-    A phase's name is words; ``skip`` leaves its tallies out.
+    ``teams`` holds each team with its number of clients, ``phases`` each phase's name and length in seconds.
+    A tenant's clients are active in the phases whose name contains the tenant as a word.  The figures do not
+    use phases whose name contains ``skip``, in which the program only reaches a steady state.
     """
-    loop, found = Loop(Log(sink=io.StringIO())), dict[str, dict[str, ClientStatistics]]()
-    for crowd, count in crowds:
+    loop, statistics_by_phase = Loop(Log(sink=io.StringIO())), dict[str, dict[str, ClientStatistics]]()
+    for team, count in teams:
         for n in range(count):
-            LoadClient(loop, address, crowd, f"{crowd.tenant}-{n}", seed * 1000 + n).start()
+            LoadClient(loop, address, team, f"{team.tenant}-{n}", seed * 1000 + n).start()
     for name, seconds in phases:
-        for crowd, _ in crowds:
-            crowd.active = crowd.tenant in name.split()
-            crowd.statistics = ClientStatistics(established=crowd.statistics.established)
+        for team, _ in teams:
+            team.active = team.tenant in name.split()
+            team.statistics = ClientStatistics(established=team.statistics.established)
         end = loop.clock() + seconds
         while (now := loop.clock()) < end:
             loop.run_once(0.05)
-            for crowd, _ in crowds:
-                crowd.statistics.mean_established += (
-                    crowd.statistics.established * (loop.clock() - now) / seconds
+            for team, _ in teams:
+                team.statistics.mean_established += (
+                    team.statistics.established * (loop.clock() - now) / seconds
                 )
-        found[name] = {crowd.tenant: crowd.statistics for crowd, _ in crowds}
+        statistics_by_phase[name] = {team.tenant: team.statistics for team, _ in teams}
     loop.close()
-    return found
+    return statistics_by_phase
 
 
-def two_teams(contracts: str, seconds: float, seed: int) -> dict[str, dict[str, ClientStatistics]]:
-    """Quiet alone, beside the other at ten times its budget, asleep, and waking up again."""
-    stack = start_with_destinations(["quiet", "loud"], contracts)
-    crowds = [(TeamClients("quiet", 5.0), 60), (TeamClients("loud", 5.0), 10 * LOUD)]
+def run_two_teams(contracts: str, seconds: float, seed: int) -> dict[str, dict[str, ClientStatistics]]:
+    """Run the quiet team alone, then beside the loud one, then idle, and then active again.
+
+    The loud team has ten times as many clients as its guarantee has connections.
+    """
+    program = start_with_destinations(["quiet", "loud"], contracts)
+    teams = [(TeamClients("quiet", 5.0), 60), (TeamClients("loud", 5.0), 10 * LOUD_GUARANTEE_CONNECTIONS)]
     try:
-        return play(
-            stack.address,
-            crowds,
+        return run_phases(
+            program.address,
+            teams,
             [
                 ("skip quiet", 2.0),
                 ("alone quiet", seconds),
                 ("both quiet loud", 1.5 * seconds),
                 ("skip loud", 4.0),
                 ("idle loud", 0.5 * seconds),
-                ("wakes quiet loud", WITHIN),
+                ("wakes quiet loud", RECLAIM_S),
                 ("woken quiet loud", seconds),
             ],
             seed,
         )
     finally:
-        stack.stop()
+        program.stop()
+
 
+def run_steady_overload(seconds: float, seed: int) -> dict[str, dict[str, ClientStatistics]]:
+    """Run one team beyond its ceiling of connections and one beyond its ceiling of setups per second.
 
-def steady(seconds: float, seed: int) -> dict[str, dict[str, ClientStatistics]]:
-    """Crowds that honour what they are told, in steady overload of connections, and of a rate."""
-    stack = start_with_destinations(["quiet", "loud"], STEADY, max_retry_after_ms=20000.0)
-    crowds = [(TeamClients("quiet", 3.0), 120), (TeamClients("loud", 1.0), 100)]
+    The clients retry at the time that the busy reply states.
+    """
+    program = start_with_destinations(["quiet", "loud"], CEILING_CONTRACTS, max_retry_after_ms=20000.0)
+    teams = [(TeamClients("quiet", 3.0), 120), (TeamClients("loud", 1.0), 100)]
     try:
-        return play(stack.address, crowds, [("skip quiet loud", 14.0), ("quiet loud", seconds)], seed)
+        return run_phases(program.address, teams, [("skip quiet loud", 14.0), ("quiet loud", seconds)], seed)
     finally:
-        stack.stop()
+        program.stop()
+
 
+class DiscardingClient:
+    """A client that drops every message posted to it."""
 
-class Nobody:
     def post(self, message: object) -> None:
         pass
 
 
-def many_teams(count: int) -> Contracts:
-    """Teams that each ask for half as much again as their budget."""
+def many_team_contracts(count: int) -> Contracts:
+    """Contracts of ``count`` equal teams; guarantees add up to two thirds of the fleet's limits."""
     teams = "".join(
         f'[teams.t{n}]\ntenants = ["t{n}"]\npool = "all"\n'
         f"guarantee = {{ connections = 10, setups_per_s = 2.0 }}\n"
@@ -154,13 +166,16 @@
     )
 
 
-class Cost:
-    """The stage of a program with so many teams, on a driven clock."""
+class StageBenchmark:
+    """The contract stage of a program with ``team_count`` teams, on a simulated clock.
 
-    def __init__(self, count: int) -> None:
+    Requests come at one and a half times the rate of setups that the fleet allows.
+    """
+
+    def __init__(self, team_count: int) -> None:
         from snowwick.config import check
 
-        self.now, self.count, self.asked = 0.0, count, 0
+        self.now, self.team_count, self.requests_made = 0.0, team_count, 0
         config = check(
             {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": make_settings(["t0"], 600.0)}
         )
@@ -170,45 +185,52 @@
             lambda _: config.settings,
             dict,
         )
-        self.stage = ContractStage(loop, many_teams(count), pool_deciders, 1, 0, 1, 600.0, lambda: 300.0)
+        self.stage = ContractStage(
+            loop, many_team_contracts(team_count), pool_deciders, 1, 0, 1, 600.0, lambda: 300.0
+        )
         self.stage.pool_deciders.assignment = None  # every pool counts as having destinations
         self.openings = [
-            lines.parse_opening(b"OPEN 1 k%d c=feed,t=t%d,d=1200,g=g\r\n" % (n, n * 7919 % count))
+            lines.parse_opening(b"OPEN 1 k%d c=feed,t=t%d,d=1200,g=g\r\n" % (n, n * 7919 % team_count))
             for n in range(20000)
         ]
-        self.standing: deque[Request] = deque()
+        self.established: deque[Request] = deque()  # the oldest first
+
+    def run(self, count: int) -> float:
+        """Pass ``count`` requests through the stage; returns the CPU time per request in microseconds.
 
-    def run(self, requests: int) -> float:
-        """us of CPU a request, its connection's end in it."""
-        stage, client = self.stage, Nobody()
-        asks = [make_request(client, self.openings[(self.asked + n) % 20000], True) for n in range(requests)]
-        step = 1.0 / (4.5 * self.count)
+        It includes the end of older connections.
+        """
+        stage, client = self.stage, DiscardingClient()
+        requests = [
+            make_request(client, self.openings[(self.requests_made + n) % 20000], True) for n in range(count)
+        ]
+        interval_s = 1.0 / (4.5 * self.team_count)
         gc.collect()
-        gc.freeze()  # the collector's walks over the benchmark's own lists are no cost of the stage
+        gc.freeze()  # so that the stage's cost does not include collections of the benchmark's own lists
         began = time.process_time()
-        for ask in asks:
-            self.now += step
-            if stage.enter(ask) is None:
-                stage.on_established(ask)
-                self.standing.append(ask)
-                if len(self.standing) > 12 * self.count:
-                    stage.on_ended(self.standing.popleft())
-        took = time.process_time() - began
-        self.asked += requests
-        return 1e6 * took / requests
-
-
-def costs(rounds: int) -> tuple[float, float]:
-    """Medians of us a request at 10 and at 10,000 teams, taken in turn."""
-    few, many = Cost(10), Cost(10000)
-    many.run(150000)  # until as much stands as is going to
-    few.run(20000)
-    rows = [(few.run(4000), many.run(4000)) for _ in range(rounds)]
+        for request in requests:
+            self.now += interval_s
+            if stage.enter(request) is None:
+                stage.on_established(request)
+                self.established.append(request)
+                if len(self.established) > 12 * self.team_count:
+                    stage.on_ended(self.established.popleft())
+        cpu_s = time.process_time() - began
+        self.requests_made += count
+        return 1e6 * cpu_s / count
+
+
+def stage_costs_us(rounds: int) -> tuple[float, float]:
+    """Median CPU time per request in microseconds with 10 and with 10,000 teams, measured alternately."""
+    few_teams, many_teams = StageBenchmark(10), StageBenchmark(10000)
+    many_teams.run(150000)  # until the number of established connections is steady
+    few_teams.run(20000)
+    rows = [(few_teams.run(4000), many_teams.run(4000)) for _ in range(rounds)]
     return statistics.median(row[0] for row in rows), statistics.median(row[1] for row in rows)
 
 
-def resident(root: Path) -> float:
-    """MB that the program at ``root`` holds once it serves."""
+def resident_mb(root: Path) -> float:
+    """Resident memory in MB of the program in the source tree ``root``, once it serves."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(
@@ -234,30 +256,36 @@
     return int(status.split("VmRSS:")[1].split()[0]) / 1024.0
 
 
-def memory() -> float | None:
-    """MB more than before contracts, in a program without them; None where the history is not there."""
-    archive = subprocess.run(["git", "archive", BEFORE], cwd=ROOT, capture_output=True, check=False)
+def extra_resident_mb() -> float | None:
+    """Resident memory in MB that the program without contracts has more than before contracts were added.
+
+    None if the older commit is not available.
+    """
+    archive = subprocess.run(
+        ["git", "archive", COMMIT_BEFORE_CONTRACTS], cwd=ROOT, capture_output=True, check=False
+    )
     if archive.returncode:
         return None
     with tempfile.TemporaryDirectory() as folder:
-        with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tar:
-            tar.extractall(folder, filter="data")
-        rows = [resident(ROOT) - resident(Path(folder)) for _ in range(5)]
-    return statistics.median(rows)
+        with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tar_file:
+            tar_file.extractall(folder, filter="data")
+        differences = [resident_mb(ROOT) - resident_mb(Path(folder)) for _ in range(5)]
+    return statistics.median(differences)
 
 
 def main() -> None:
-    chosen = options(__doc__ or "")
-    seconds = 6.5 if chosen.quick else 30.0
-    with ThreadPoolExecutor() as pool:  # each part drives processes of its own; threads only wait for them
-        parts = [
-            pool.submit(
+    options = parse_options(__doc__ or "")
+    seconds = 6.5 if options.quick else 30.0
+    with ThreadPoolExecutor() as executor:  # the threads only wait; each run is a process of its own
+        futures = [
+            executor.submit(
                 subprocess.run,
                 [
                     sys.executable,
                     "-c",
-                    f"import benchmarks.broker as b, json, dataclasses as d; r = {call}; "
-                    "print(json.dumps({p: {t: d.asdict(v) for t, v in m.items()} for p, m in r.items()}))",
+                    f"from benchmarks import broker; import dataclasses, json; phases = {call}; "
+                    "print(json.dumps({phase: {team: dataclasses.asdict(row) for team, row in rows.items()} "
+                    "for phase, rows in phases.items()}))",
                 ],
                 cwd=ROOT,
                 capture_output=True,
@@ -265,21 +293,21 @@
                 check=True,
             )
             for call in (
-                f"b.two_teams(b.CONTRACTS, {seconds}, 1)",
-                f"b.two_teams('', {seconds}, 1)",
-                f"b.steady({3 * seconds}, 2)",
+                f"broker.run_two_teams(broker.GUARANTEE_CONTRACTS, {seconds}, 1)",
+                f"broker.run_two_teams('', {seconds}, 1)",
+                f"broker.run_steady_overload({3 * seconds}, 2)",
             )
         ]
-        held, free, told = [
+        with_contracts, without_contracts, overload = [
             {
-                phase: {team: ClientStatistics(**tally) for team, tally in rows.items()}
-                for phase, rows in json.loads(part.result().stdout).items()
+                phase: {team: ClientStatistics(**fields) for team, fields in rows.items()}
+                for phase, rows in json.loads(future.result().stdout).items()
             }
-            for part in parts
+            for future in futures
         ]
-    few, many = costs(15 if chosen.quick else 60)
-    alone, both = held["alone quiet"]["quiet"], held["both quiet loud"]["quiet"]
-    woken, idle = held["woken quiet loud"]["quiet"], held["idle loud"]["loud"]
+    cost_10_us, cost_10000_us = stage_costs_us(15 if options.quick else 60)
+    alone, both = with_contracts["alone quiet"]["quiet"], with_contracts["both quiet loud"]["quiet"]
+    woken, idle = with_contracts["woken quiet loud"]["quiet"], with_contracts["idle loud"]["loud"]
     figures = {
         "quiet_service_beside_tenfold": Figure(
             both.service_fraction / alone.service_fraction, 0.95, "higher"
@@ -292,36 +320,43 @@
             "higher",
         ),
         "quiet_service_after_waking": Figure(woken.service_fraction / alone.service_fraction, 0.95, "higher"),
-        "idle_room_used": Figure((idle.mean_established - LOUD) / (FLEET - LOUD), 0.9, "higher"),
+        "idle_room_used": Figure(
+            (idle.mean_established - LOUD_GUARANTEE_CONNECTIONS)
+            / (FLEET_CONNECTIONS - LOUD_GUARANTEE_CONNECTIONS),
+            0.9,
+            "higher",
+        ),
         "let_in_when_told_connections": Figure(
-            told["quiet loud"]["quiet"].accepted_scheduled_retries
-            / max(1, told["quiet loud"]["quiet"].scheduled_retries),
+            overload["quiet loud"]["quiet"].accepted_scheduled_retries
+            / max(1, overload["quiet loud"]["quiet"].scheduled_retries),
             0.8,
             "higher",
         ),
         "let_in_when_told_rate": Figure(
-            told["quiet loud"]["loud"].accepted_scheduled_retries
-            / max(1, told["quiet loud"]["loud"].scheduled_retries),
+            overload["quiet loud"]["loud"].accepted_scheduled_retries
+            / max(1, overload["quiet loud"]["loud"].scheduled_retries),
             0.8,
             "higher",
         ),
-        "stage_us_10_teams": Figure(few, 15.0, "lower"),
-        "stage_10000_teams_over_10": Figure(many / few, 1.3, "lower"),
+        "stage_us_10_teams": Figure(cost_10_us, 15.0, "lower"),
+        "stage_10000_teams_over_10": Figure(cost_10000_us / cost_10_us, 1.3, "lower"),
     }
-    more = memory()
-    if more is not None:
-        figures["resident_mb_more_without_contracts"] = Figure(more, 1.0, "lower")
-    beside = {
+    extra_mb = extra_resident_mb()
+    if extra_mb is not None:
+        figures["resident_mb_more_without_contracts"] = Figure(extra_mb, 1.0, "lower")
+    values_without_bound = {
         "quiet_service_alone": alone.service_fraction,
         "quiet_service_beside": both.service_fraction,
-        "quiet_service_beside_without_contracts": free["both quiet loud"]["quiet"].service_fraction,
-        "quiet_service_alone_without_contracts": free["alone quiet"]["quiet"].service_fraction,
-        "loud_refused": float(held["both quiet loud"]["loud"].refused),
-        "loud_moved_while_quiet_wakes": float(held["wakes quiet loud"]["loud"].moved),
-        "come_back_tries_connections": float(told["quiet loud"]["quiet"].scheduled_retries),
-        "come_back_tries_rate": float(told["quiet loud"]["loud"].scheduled_retries),
+        "quiet_service_beside_without_contracts": without_contracts["both quiet loud"][
+            "quiet"
+        ].service_fraction,
+        "quiet_service_alone_without_contracts": without_contracts["alone quiet"]["quiet"].service_fraction,
+        "loud_refused": float(with_contracts["both quiet loud"]["loud"].refused),
+        "loud_moved_while_quiet_wakes": float(with_contracts["wakes quiet loud"]["loud"].moved),
+        "come_back_tries_connections": float(overload["quiet loud"]["quiet"].scheduled_retries),
+        "come_back_tries_rate": float(overload["quiet loud"]["loud"].scheduled_retries),
     }
-    report(figures, beside, chosen.json)
+    report(figures, values_without_bound, options.json)
 
 
 if __name__ == "__main__":
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -19,7 +19,7 @@
 import time
 from pathlib import Path
 
-from benchmarks.figures import Figure, options, report
+from benchmarks.figures import Figure, parse_options, report
 from snowwick.lab.connection_load import LINES_PER_S, MAX_HOLD_S, ProgramUnderLoad, start_program
 from snowwick.lab.standins import listen_on_loopback, loopback_address
 
@@ -72,8 +72,8 @@
     if sys.argv[1:2] == ["--bare"]:
         bare(sys.argv[2])
         return
-    given = options(__doc__ or "")
-    rounds, window = (8, 3.0) if given.quick else (15, 4.0)
+    options = parse_options(__doc__ or "")
+    rounds, window = (8, 3.0) if options.quick else (15, 4.0)
     costs: list[list[float]] = []
     with contextlib.ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -110,7 +110,7 @@
             "a bare relay's at 4,000, us": 1e6 * bare_many,
             "4,000 over 100, not over the bare relay": many / few,
         },
-        given.json,
+        options.json,
     )
 
 
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from benchmarks.figures import Figure, options, report
+from benchmarks.figures import Figure, parse_options, report
 from snowwick.fleet.members import DEAD, MemberChange
 from snowwick.fleet.node import Node
 from snowwick.lab.network import FLEET_KEY, LinkFaults, Network
@@ -162,15 +162,15 @@
 
 
 def main() -> None:
-    given = options(__doc__ or "")
-    sizes = [5, 50, 100] if given.quick else [5, 50, 200, 1000]
+    options = parse_options(__doc__ or "")
+    sizes = [5, 50, 100] if options.quick else [5, 50, 200, 1000]
     rows = [spread(count, count) for count in sizes]
-    entries = 10_000 if given.quick else 100_000
+    entries = 10_000 if options.quick else 100_000
     caught = [catch_up(entries, part) for part in (0.001, 0.1, 1.0)]
     with tempfile.TemporaryDirectory() as folder:
         for name in ("halves", "lost"):
             (Path(folder) / name).mkdir()
-        count, cut = (4, 3.0) if given.quick else (8, 10.0)
+        count, cut = (4, 3.0) if options.quick else (8, 10.0)
         took, idle, more = healed(Path(folder) / "halves", count, cut)
         with_it = lost(Path(folder) / "lost" / "with", count, True)
         without = lost(Path(folder) / "lost" / "without", count, False)
@@ -190,7 +190,7 @@
             "lost at a hanging server, with": float(with_it),
             "without": float(without),
         },
-        given.json,
+        options.json,
     )
 
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -21,7 +21,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from benchmarks.figures import Figure, options, report
+from benchmarks.figures import Figure, parse_options, report
 from snowwick.lab.capacity_model import (
     GROWTH_MODELS,
     Estimate,
@@ -155,9 +155,9 @@
 
 
 def main() -> None:
-    given = options(__doc__ or "")
+    options = parse_options(__doc__ or "")
     workload, sizes, slow = (
-        (QUICK, QUICK_SIZES, SLOW_QUICK_SIZES) if given.quick else (WHOLE, WHOLE_SIZES, SLOW_WHOLE_SIZES)
+        (QUICK, QUICK_SIZES, SLOW_QUICK_SIZES) if options.quick else (WHOLE, WHOLE_SIZES, SLOW_WHOLE_SIZES)
     )
     rows = played(workload, sizes)
     print(
@@ -166,7 +166,7 @@
         file=sys.stderr,
         flush=True,
     )
-    report(*figures(rows, played(replace(workload, load_writes=SLOW), slow)), given.json)
+    report(*figures(rows, played(replace(workload, load_writes=SLOW), slow)), options.json)
 
 
 if __name__ == "__main__":
