--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -120,7 +120,7 @@
     half = rows[-2]["members"]
     found |= {
         f"everywhere, p99 over 8 s, {count} members": Figure(
-            value(last, "everywhere_p99_s") / target_value("in force everywhere"), 1.0, "lower"
+            value(last, "everywhere_p99_s") / target_value("configuration propagation time"), 1.0, "lower"
         ),
         "size left out, worst relative error": Figure(max(map(error, tested.values())), 0.15, "lower"),
         f"bytes out, {count} members over {half}": Figure(ratio(rows, "bytes_out"), 1.15, "lower"),
--- a/snowwick/lab/capacity.py
+++ b/snowwick/lab/capacity.py
@@ -1,9 +1,9 @@
-"""Writes the tables of ``docs/CAPACITY.md`` from the committed slopes in ``docs/capacity/``.
+"""Writes the tables of ``docs/CAPACITY.md`` from the committed result files in ``docs/capacity/``.
 
     python -m snowwick.lab.capacity [--check] [--page FILE] [--slopes FOLDER]
 
-Ends with 0; with ``--check``, which writes nothing, with 1 where the page says other than the command.  2
-where a file cannot be used: its name and the fault are said.
+Exits with 0, or with 2 and a message where a file cannot be used.  With ``--check`` it writes nothing and
+exits with 1 where the tables on the page differ from those of the result files.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 from pathlib import Path
 
 from snowwick.lab.capacity_model import Measurements, merge_results
-from snowwick.lab.capacity_tables import BadPage, render
+from snowwick.lab.capacity_tables import InvalidPage, render
 
-PAGE, SLOPES = Path("docs/CAPACITY.md"), Path("docs/capacity")
+DEFAULT_PAGE = Path("docs/CAPACITY.md")
+DEFAULT_RESULTS_FOLDER = Path("docs/capacity")
 
 
-def read(folder: Path) -> Measurements:
-    """The slopes of a folder; raises ValueError with the file's name."""
+def read_results(folder: Path) -> Measurements:
+    """The merged result files of a folder; raises ValueError with the name of an invalid file."""
     files = []
     for path in sorted(folder.glob("*.json")):
         try:
@@ -29,31 +30,32 @@
         except ValueError as error:
             raise ValueError(f"{path.name}: {error}") from error
         if not isinstance(file, dict):
-            raise ValueError(f"{path.name}: no object")
+            raise ValueError(f"{path.name}: the file does not contain a JSON object")
         files.append((path.name, file))
     return merge_results(files)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(description="The tables of docs/CAPACITY.md from docs/capacity/*.json.")
-    parser.add_argument("--check", action="store_true", help="write nothing; 1 where the page says otherwise")
-    parser.add_argument("--page", type=Path, default=PAGE)
-    parser.add_argument("--slopes", type=Path, default=SLOPES)
-    given = parser.parse_args(arguments)
+    """Run the command and return its exit status."""
+    parser = argparse.ArgumentParser(
+        description="Write the tables of docs/CAPACITY.md from docs/capacity/*.json."
+    )
+    parser.add_argument("--check", action="store_true", help="write nothing; exit with 1 if the page differs")
+    parser.add_argument("--page", type=Path, default=DEFAULT_PAGE)
+    parser.add_argument("--slopes", type=Path, default=DEFAULT_RESULTS_FOLDER)
+    options = parser.parse_args(arguments)
     try:
-        page = given.page.read_text(encoding="utf-8")
-        new = render(page, read(given.slopes))
+        page = options.page.read_text(encoding="utf-8")
+        new_page = render(page, read_results(options.slopes))
     except (OSError, ValueError) as error:
-        print(f"{given.page}: {error}" if isinstance(error, BadPage) else error, file=sys.stderr)
+        print(f"{options.page}: {error}" if isinstance(error, InvalidPage) else error, file=sys.stderr)
         return 2
-    if new == page:
+    if new_page == page:
         return 0
-    if given.check:
-        print(
-            f"{given.page}: the tables are not what the slopes say; python -m snowwick.lab.capacity does it"
-        )
+    if options.check:
+        print(f"{options.page}: the tables differ from the result files; run python -m snowwick.lab.capacity")
         return 1
-    given.page.write_text(new, encoding="utf-8")
+    options.page.write_text(new_page, encoding="utf-8")
     return 0
 
 
--- a/snowwick/lab/capacity_roles.py
+++ b/snowwick/lab/capacity_roles.py
@@ -1,7 +1,7 @@
-"""The roles' table and the options for the mechanism that is missing, from the model; pure as it is.
+"""The table of a balancer's functions, and the options for missing mechanisms; pure as the capacity model.
 
-Figures without a mark are from measured slopes.  *Counted* ones follow from constants of the shipped code
-and the assumptions; *estimated* ones are of what is missing.
+Figures without a mark come from measurements.  *Calculated* ones follow from constants of the code and the
+assumptions; *estimated* ones are of mechanisms that do not exist yet.
 """
 
 from __future__ import annotations
@@ -22,146 +22,161 @@
     fit_quantity,
     format_number,
     format_value,
-    full_propagation_bytes_per_s,
+    full_gossip_bytes_per_s,
     markdown_table,
     target_value,
     transmissions_per_entry,
     upper_bound,
 )
 
-CELLS = (10, 19, 30, 57, 114, 190)  # members of a cell; they divide the 1,140 balancers of a zone
-CHILDREN = (4, 16, 64)  # of a member in a tree
+CELL_SIZES_MEMBERS = (10, 19, 30, 57, 114, 190)  # each divides the 1,140 balancers of a zone
+CHILDREN_PER_MEMBER = (4, 16, 64)  # in an aggregation tree
 
 
-def rate(value: float) -> str:
+def bytes_per_s_text(value: float) -> str:
     return format_value(value, "bytes/s")
 
 
-def size(value: float) -> str:
+def bytes_text(value: float) -> str:
     return format_value(value, "bytes")
 
 
-def seconds(value: float) -> str:
+def seconds_text(value: float) -> str:
     return format_value(value, "s")
 
 
-def times(one: Estimate, count: float, unit: str) -> str:
-    return one.missing_reason if one.value is None else format_value(one.value * count, unit)
+def multiplied_text(estimate: Estimate, factor: float, unit: str) -> str:
+    """An estimate times a factor, or the reason why there is no estimate."""
+    return estimate.missing_reason if estimate.value is None else format_value(estimate.value * factor, unit)
 
 
-# -- roles ---------------------------------------------------------------------------------------------------
+# -- functions of a balancer ---------------------------------------------------------------------------------
 
-ALL = "of all control together: at a glance"
+IN_CONTROL_TOTAL = "part of the control total, see the summary"
 
 
-def _path(model: Model) -> list[str]:
-    line, worse = (
+def _data_path(model: Model) -> list[str]:
+    line, line_zone_lost = (
         model.data_path_estimate("line_s", model.connections),
         model.data_path_estimate("line_s", model.connections_zone_lost),
     )
-    back = target_value("connections that come back") / (model.balancers - model.balancers_per_zone)
-    again = times(model.data_path_estimate("setup_s", model.connections_zone_lost), back, "s")
+    reconnecting = target_value("reconnecting connections") / (model.balancers - model.balancers_per_zone)
+    setup_processor = multiplied_text(
+        model.data_path_estimate("setup_s", model.connections_zone_lost), reconnecting, "s"
+    )
     return [
         "data path: connections and lines",
         "`net/service.py`, `net/front.py`, `net/loop.py`",
         f"{format_number(model.connections)} connections",
         f"{format_number(model.lines_per_s)} lines/s",
-        times(line, model.lines_per_s, "core"),
+        multiplied_text(line, model.lines_per_s, "core"),
         model.data_path_estimate("memory", model.connections).text("bytes"),
-        f"zone: {format_number(model.connections_zone_lost)} connections, "
+        f"zone lost: {format_number(model.connections_zone_lost)} connections, "
         f"{model.data_path_estimate('memory', model.connections_zone_lost).text('bytes')}"
         f"; {format_number(model.lines_per_s_zone_lost)} lines/s, "
-        f"{times(worse, model.lines_per_s_zone_lost, 'core')}; setups of "
-        f"{format_number(back)} that come back: processor {again}",
+        f"{multiplied_text(line_zone_lost, model.lines_per_s_zone_lost, 'core')}; setups of "
+        f"{format_number(reconnecting)} reconnecting connections: processor time {setup_processor}",
     ]
 
 
-def _shards(model: Model) -> list[str]:
-    shards, score = target_value("shards"), assumed_value("processor a shard's score")
-    place, cell, zones = (
-        assumed_value("bytes a shard's place"),
-        assumed_value("members of a cell"),
+def _shard_placement(model: Model) -> list[str]:
+    shards, score_s = target_value("shards"), assumed_value("processor time per shard score")
+    placement_bytes, cell, zones = (
+        assumed_value("bytes per shard placement"),
+        assumed_value("members per cell"),
         target_value("zones"),
     )
-    flat, steps = model.balancers * score, (zones + model.balancers_per_zone / cell + cell) * score
+    flat_s, hierarchical_s = (
+        model.balancers * score_s,
+        (zones + model.balancers_per_zone / cell + cell) * score_s,
+    )
     return [
-        "placing of shards",
-        "**missing**; would be rendezvous hashing, as `crowgap/policy.py` has it "
-        "for groups, over zones, then cells, then members",
+        "placement of shards",
+        "**missing**; possible: rendezvous hashing over zones, then cells, then members, as in "
+        "`crowgap/policy.py` for groups",
         f"{format_number(shards / model.balancers)} of {format_number(shards)} shards (estimated)",
-        "none beside membership",
-        f"a look-up: {seconds(steps)} in steps, {seconds(flat)} over all members; all shards anew: "
-        f"{seconds(shards * steps)} (estimated)",
-        f"{size(shards * place)} with all places, {size(shards / model.balancers * place)} with its own "
-        "(estimated)",
-        f"zone: {format_number(shards / zones)} shards move, {seconds(shards / zones * steps)} where each "
-        "balancer reckons all, nothing where it looks up what it uses (estimated); cut: each region "
-        "places all shards in itself",
+        "none in addition to membership",
+        f"one look-up: {seconds_text(hierarchical_s)} in hierarchical steps, {seconds_text(flat_s)} over all "
+        f"members; placing all shards again: {seconds_text(shards * hierarchical_s)} (estimated)",
+        f"{bytes_text(shards * placement_bytes)} with all placements, "
+        f"{bytes_text(shards / model.balancers * placement_bytes)} with its own (estimated)",
+        f"zone lost: {format_number(shards / zones)} shards move, "
+        f"{seconds_text(shards / zones * hierarchical_s)} if each balancer computes all placements, nothing "
+        "if it looks up those that it uses (estimated); regions partitioned: each region places all shards "
+        "within itself",
     ]
 
 
 def _fan_out(model: Model) -> list[str]:
-    per, frame = (
-        assumed_value("listeners of a shard at a balancer"),
-        assumed_value("processor a frame in or out"),
+    listeners_per_balancer, frame_s = (
+        assumed_value("listeners per shard and balancer"),
+        assumed_value("processor time per frame sent or received"),
+    )
+    frames_per_s, balancers, cell = (
+        model.lines_per_s / listeners_per_balancer,
+        model.balancers,
+        assumed_value("members per cell"),
     )
-    frames, n, cell = model.lines_per_s / per, model.balancers, assumed_value("members of a cell")
-    sent = n * frame
+    direct_s = balancers * frame_s
     return [
         "fan-out of a topic's deliveries",
-        "**missing**; would be frames from a shard's owner to each "
-        "balancer with listeners, large topics by way of one balancer a cell",
-        f"{format_number(target_value('listeners') / n)} listeners of the largest topic",
-        f"{format_number(frames)} frames/s in and out, "
-        f"{rate(frames * assumed_value('bytes a delivery between balancers'))} each (estimated)",
-        f"{format_value(2.0 * frames * frame, 'core')} (estimated)",
+        "**missing**; possible: frames from a shard's owner to each balancer with listeners, for large "
+        "topics through one balancer per cell",
+        f"{format_number(target_value('listeners') / balancers)} listeners of the largest topic",
+        f"{format_number(frames_per_s)} frames/s in and out, "
+        f"{bytes_per_s_text(frames_per_s * assumed_value('bytes per delivery between balancers'))} each "
+        "(estimated)",
+        f"{format_value(2.0 * frames_per_s * frame_s, 'core')} (estimated)",
         "not estimated: it depends on the queues",
-        f"zone: {format_number(model.lines_per_s_zone_lost / per)} frames/s; one message of the largest "
-        "topic, sent by "
-        f"its owner alone: {format_number(n)} frames, {seconds(sent)} of "
-        f"{seconds(target_value('delivered within'))}; "
-        f"by way of one a cell: {seconds((n / cell + cell) * frame)} (estimated)",
+        f"zone lost: {format_number(model.lines_per_s_zone_lost / listeners_per_balancer)} frames/s; one "
+        f"message of the largest topic, sent by its owner alone: {format_number(balancers)} frames, "
+        f"{seconds_text(direct_s)} of {seconds_text(target_value('delivery time'))}; through one balancer "
+        f"per cell: {seconds_text((balancers / cell + cell) * frame_s)} (estimated)",
     ]
 
 
 def _membership(model: Model) -> list[str]:
-    news = transmissions_per_entry(model.balancers) * assumed_value("bytes a member's news")
-    goings = 2.0 * (target_value("failures") + target_value("restarts")) / DAY_S
-    storm = model.balancers_per_zone * news
+    update_bytes = transmissions_per_entry(model.balancers) * assumed_value("bytes per membership update")
+    updates_per_s = 2.0 * (target_value("failures") + target_value("restarts")) / DAY_S
+    zone_lost_bytes = model.balancers_per_zone * update_bytes
     return [
         "membership",
         "`fleet/members.py` (SWIM, Lifeguard)",
         f"{format_number(model.balancers)} records",
-        f"{model.control_estimate('idle_bytes_out').text('bytes/s')} idle; {format_number(goings)} "
-        "goings and comings a "
-        f"second are {rate(goings * news)} out (counted)",
+        f"{model.control_estimate('idle_bytes_out').text('bytes/s')} idle; {format_number(updates_per_s)} "
+        f"members that leave or join per second are {bytes_per_s_text(updates_per_s * update_bytes)} out "
+        "(calculated)",
         f"{model.control_estimate('idle_core').text('core')} idle",
-        ALL,
-        f"zone: {format_number(model.balancers_per_zone)} deaths are {size(storm)} out, "
-        f"{seconds(storm / target_value('control bytes'))} of the whole budget (counted); cut: the other "
-        "region's members are taken for dead, and come back",
+        IN_CONTROL_TOTAL,
+        f"zone lost: {format_number(model.balancers_per_zone)} dead members are "
+        f"{bytes_text(zone_lost_bytes)} out, "
+        f"{seconds_text(zone_lost_bytes / target_value('control bytes'))} of the whole budget (calculated); "
+        "regions partitioned: the members of the other region are declared dead, and join again later",
     ]
 
 
 def _configuration(model: Model) -> list[str]:
-    changes = target_value("changes of configuration") / DAY_S
-    body = changes * assumed_value("bytes a change of configuration")
-    entry = changes * transmissions_per_entry(model.balancers) * assumed_value("bytes an entry")
-    day, burst, zone = (
-        model.control_estimate(f"{part}everywhere_p99_s").text("s") for part in ("", "burst.", "zone_lost.")
+    changes_per_s = target_value("configuration changes") / DAY_S
+    contents_bytes_per_s = changes_per_s * assumed_value("bytes per configuration change")
+    entry_bytes_per_s = (
+        changes_per_s * transmissions_per_entry(model.balancers) * assumed_value("bytes per entry")
+    )
+    ordinary, burst, zone_lost = (
+        model.control_estimate(f"{phase}everywhere_p99_s").text("s") for phase in ("", "burst.", "zone_lost.")
     )
     return [
         "configuration",
-        "that it differs, and limits: `fleet/registers.py` (Revision); its contents "
-        "**missing**, files and SIGHUP: would be signed files in pieces, asked for as `store.entries_after`",
+        "that it differs, and limits: `fleet/registers.py` (Revision); its contents **missing**, now files "
+        "and SIGHUP; possible: signed files in parts, requested as by `store.entries_after`",
         "one file",
-        f"{format_number(changes)} changes/s: {rate(entry)} out (counted), contents {rate(body)} in "
-        "(estimated)",
-        ALL,
-        ALL,
-        f"everywhere, 99 in 100: {day} on an ordinary day, {burst} in a burst, "
-        f"{zone} with a zone lost, of {seconds(target_value('in force everywhere'))}; cut: not before "
-        "it heals",
+        f"{format_number(changes_per_s)} changes/s: {bytes_per_s_text(entry_bytes_per_s)} out (calculated), "
+        f"contents {bytes_per_s_text(contents_bytes_per_s)} in (estimated)",
+        IN_CONTROL_TOTAL,
+        IN_CONTROL_TOTAL,
+        f"propagation to all members, 99th percentile: {ordinary} on an ordinary day, {burst} in a burst, "
+        f"{zone_lost} with a zone lost, of "
+        f"{seconds_text(target_value('configuration propagation time'))}; regions partitioned: not before "
+        "they are connected again",
     ]
 
 
@@ -169,32 +184,33 @@
     return [
         "health",
         "`fleet/registers.py` (HealthTracker)",
-        "a verdict for each bad destination and finder, 6 s",
-        f"{rate(transmissions_per_entry(model.balancers) * assumed_value('bytes an entry'))} out for "
-        "one verdict a second of the fleet "
-        "(counted)",
-        ALL,
-        ALL,
-        "zone: verdicts on its destinations from each who had any there; cut: who "
-        "finds over a quarter bad is taken for sick and not heeded",
+        "a verdict for each bad destination and balancer that found it bad, 6 s",
+        f"{bytes_per_s_text(transmissions_per_entry(model.balancers) * assumed_value('bytes per entry'))} "
+        "out for one verdict per second in the fleet (calculated)",
+        IN_CONTROL_TOTAL,
+        IN_CONTROL_TOTAL,
+        "zone lost: verdicts on its destinations from each balancer with connections to them; regions "
+        "partitioned: a balancer that finds over a quarter of the destinations bad is taken to be at fault "
+        "itself and ignored",
     ]
 
 
 def _loads(model: Model) -> list[str]:
-    writes = assumed_value("register writes of a member")
-    every = full_propagation_bytes_per_s(model.balancers, writes, assumed_value("bytes an entry"))
+    writes_per_s = assumed_value("register writes per member")
+    all_bytes_per_s = full_gossip_bytes_per_s(model.balancers, writes_per_s, assumed_value("bytes per entry"))
     return [
         "loads",
         "`fleet/registers.py` (LOAD), `net/fleet.py`",
         f"{format_number(4 * model.balancers)} registers",
-        f"{rate(every)} out if each tells {format_number(writes)} a second (counted): over the budget "
-        f"{format_number(every / target_value('control bytes'))} times",
-        ALL,
-        ALL,
-        f"late by, 99 in 100: "
+        f"{bytes_per_s_text(all_bytes_per_s)} out if each member writes {format_number(writes_per_s)} per "
+        "second (calculated): "
+        f"{format_number(all_bytes_per_s / target_value('control bytes'))} times the budget",
+        IN_CONTROL_TOTAL,
+        IN_CONTROL_TOTAL,
+        f"delay of updates, 99th percentile: "
         f"{model.control_estimate('load_late_p99_s').text('s')}, with a zone lost "
-        f"{model.control_estimate('zone_lost.load_late_p99_s').text('s')}; cut: the other region's "
-        "count nothing",
+        f"{model.control_estimate('zone_lost.load_late_p99_s').text('s')}; regions partitioned: the loads of "
+        "the other region are not counted",
     ]
 
 
@@ -202,73 +218,74 @@
     return [
         "rights",
         "`fleet/rights.py`, `net/fleet.py`",
-        "an ask a member and budget, a grant a pair",
-        f"{rate(full_propagation_bytes_per_s(model.balancers, 1.0, assumed_value('bytes an entry')))} "
-        "out for a budget that all want more "
-        "of: asks once a second, heard by all (counted)",
-        ALL,
-        ALL,
-        "zone: what was lent to it counts as "
-        "used for 12 s, its own part is not used until it is back; who starts has a tenth for 12 s; cut: "
-        "each region has its own parts",
+        "a lease request for each member and budget, a grant for each pair of members",
+        f"{bytes_per_s_text(full_gossip_bytes_per_s(model.balancers, 1.0, assumed_value('bytes per entry')))}"
+        " out for a budget of which all members want more: a request per second, sent to all (calculated)",
+        IN_CONTROL_TOTAL,
+        IN_CONTROL_TOTAL,
+        "zone lost: amounts lent to its balancers count as used for 12 s, and their own shares are unused "
+        "until they return; a balancer that starts has a tenth for 12 s; regions partitioned: each region "
+        "has its own shares",
     ]
 
 
 def _joining(model: Model) -> list[str]:
     start = model.control_estimate("start_bytes")
-    others = model.balancers_per_zone / (model.balancers - model.balancers_per_zone)
+    starts_per_other = model.balancers_per_zone / (model.balancers - model.balancers_per_zone)
     return [
         "joining and catching up",
         "`fleet/node.py` (comparison, pulls)",
         "-",
-        f"{start.text('bytes')} in a start; {format_number(target_value('restarts') / DAY_S)} starts/s "
-        "in the fleet",
-        ALL,
+        f"{start.text('bytes')} in per start; {format_number(target_value('restarts') / DAY_S)} starts/s in "
+        "the fleet",
+        IN_CONTROL_TOTAL,
         "as before the start",
-        f"a start takes {model.control_estimate('start_s').text('s')}; zone: "
-        f"{format_number(model.balancers_per_zone)} at once, {times(start, others, 'bytes')} out of "
-        "each other balancer",
+        f"a start takes {model.control_estimate('start_s').text('s')}; zone back: "
+        f"{format_number(model.balancers_per_zone)} starts at once, "
+        f"{multiplied_text(start, starts_per_other, 'bytes')} out of each other balancer",
     ]
 
 
-def _machines(model: Model) -> list[str]:
-    into = model.balancers * assumed_value("bytes a sum") / assumed_value("s between sums")
+def _control_machines(model: Model) -> list[str]:
+    bytes_in_per_s = model.balancers * assumed_value("bytes per sum") / assumed_value("interval between sums")
     machines = target_value("control machines")
     return [
         "the five control machines",
-        "**missing**; would add up loads and hand on files",
+        "**missing**; possible: adding up loads and forwarding files",
         "-",
-        f"{rate(into)} into each that hears all balancers (estimated)",
-        "the options below",
-        f"{size(model.balancers * assumed_value('bytes a sum'))} (estimated)",
-        "one or two down: nothing here depends "
-        f"on them; as relays the others bear {format_number(machines / (machines - 2.0))} times as much",
+        f"{bytes_per_s_text(bytes_in_per_s)} into each that receives from all balancers (estimated)",
+        "see the options",
+        f"{bytes_text(model.balancers * assumed_value('bytes per sum'))} (estimated)",
+        "one or two down: nothing here depends on them; if they are relays, the others have "
+        f"{format_number(machines / (machines - 2.0))} times the load",
     ]
 
 
 def _discovery(model: Model) -> list[str]:
-    calls = model.balancers * assumed_value("held calls a second a balancer")
-    watches = model.balancers_per_zone * assumed_value("processor a new watch at discovery")
+    calls_per_s = model.balancers * assumed_value("held calls per balancer")
+    watches_s = model.balancers_per_zone * assumed_value("processor time per new watch at discovery")
     return [
         "discovery",
-        "watched by `net/pool.py`; the service itself is the platform's",
-        "the list, 1 MB of JSON at most (`MAX_BODY`)",
-        f"{format_number(calls)} held calls/s of all balancers (counted)",
+        "watched by `net/pool.py`; the service itself belongs to the platform",
+        "the list, at most 1 MB of JSON (`MAX_BODY_BYTES`)",
+        f"{format_number(calls_per_s)} held calls/s of all balancers (calculated)",
         "of the service: "
-        f"{format_value(calls * assumed_value('processor a held call at discovery'), 'core')} (counted)",
-        "the list, read: some ten times its JSON",
-        f"zone: {format_number(model.balancers_per_zone)} new watches, "
-        f"{seconds(watches)} of the service's processor (counted); a list of all 1 MB to each",
+        f"{format_value(calls_per_s * assumed_value('processor time per held call at discovery'), 'core')} "
+        "(calculated)",
+        "the parsed list: about ten times its JSON",
+        f"zone back: {format_number(model.balancers_per_zone)} new watches, "
+        f"{seconds_text(watches_s)} of the service's processor time (calculated); "
+        "a list of up to 1 MB to each",
     ]
 
 
-def roles(model: Model) -> str:
-    """What each role holds and costs a balancer at the target, and what carries it."""
+def functions_table(model: Model) -> str:
+    """What each function of a balancer costs it at the target, with the mechanism behind it."""
     rows = [
-        make(model)
-        for make in (
-            _path,
-            _shards,
+        make_row(model)
+        for make_row in (
+            _data_path,
+            _shard_placement,
             _fan_out,
             _membership,
             _configuration,
@@ -276,138 +293,169 @@
             _loads,
             _rights,
             _joining,
-            _machines,
+            _control_machines,
             _discovery,
         )
     ]
     return markdown_table(
-        ["role", "mechanism", "state held", "messages", "processor", "memory", "worst hour"], rows
+        ["function", "mechanism", "state held", "messages", "processor", "memory", "worst case"], rows
     )
 
 
 # -- options -------------------------------------------------------------------------------------------------
 
 
-def sums(model: Model) -> float:
-    """Bytes a second of sums that a member hears beside its own cell."""
+def sums_bytes_per_s(model: Model) -> float:
+    """Bytes per second of load sums that a member receives in addition to the traffic of its own cell."""
     return (
-        assumed_value("sums a member hears") * assumed_value("bytes a sum") / assumed_value("s between sums")
+        assumed_value("sums received per member")
+        * assumed_value("bytes per sum")
+        / assumed_value("interval between sums")
     )
 
 
-def _cell(one: Fit | None, quantity: str, budget: str, cell: float, rest: float, some: bool) -> str:
-    if one is None:
-        return NOT_FITTED if some else NOT_MEASURED
-    unit, mine = GROWTH_MODELS[quantity].unit, min(one.value_at(cell), upper_bound(quantity, cell))
-    text = f"{format_value(mine, unit)}, {budget_verdict(mine / target_value(budget))}"
-    if rest > 1.0:
-        both = mine + min(one.value_at(rest), upper_bound(quantity, rest))
-        text += f"; delegate {format_value(both, unit)}, {budget_verdict(both / target_value(budget))}"
+def _cell_cost_text(
+    fit: Fit | None, quantity: str, budget: str, cell: float, delegates: float, has_rows: bool
+) -> str:
+    """The cost of a member of a cell, and of a delegate, which is also a member of the delegates' fleet."""
+    if fit is None:
+        return NOT_FITTED if has_rows else NOT_MEASURED
+    unit, member_cost = (
+        GROWTH_MODELS[quantity].unit,
+        min(fit.value_at(cell), upper_bound(quantity, cell)),
+    )
+    text = f"{format_value(member_cost, unit)}, {budget_verdict(member_cost / target_value(budget))}"
+    if delegates > 1.0:
+        delegate_cost = member_cost + min(fit.value_at(delegates), upper_bound(quantity, delegates))
+        text += (
+            f"; delegate {format_value(delegate_cost, unit)}, "
+            f"{budget_verdict(delegate_cost / target_value(budget))}"
+        )
     return text
 
 
-def options(model: Model) -> str:
-    """Cells of several sizes, by the fits at the size of a cell, and of a fleet of their delegates."""
-    measured = model.measurements.simulated
+def cell_options_table(model: Model) -> str:
+    """Cells of several sizes, by the fits at the size of a cell and at the number of their delegates."""
+    rows_measured = model.measurements.simulated
     fits = {
-        name: fit_quantity(GROWTH_MODELS[name], measured) for name in ("bytes_out", "control_core", "memory")
+        name: fit_quantity(GROWTH_MODELS[name], rows_measured)
+        for name in ("bytes_out", "control_core", "memory")
     }
     budgets = {"bytes_out": "control bytes", "control_core": "control core", "memory": "control memory"}
-    idle, entry = model.control_estimate("idle_bytes_out"), assumed_value("bytes an entry")
-    played = [float(row["members"]) for row in measured]
+    idle, entry_bytes = model.control_estimate("idle_bytes_out"), assumed_value("bytes per entry")
+    measured_sizes = [float(row["members"]) for row in rows_measured]
     rows = []
-    for cell in (*CELLS, model.balancers):
-        rest = model.balancers / cell
-        row = [
-            f"cells of {format_number(cell)}, {format_number(rest)} delegates"
-            if rest > 1.0
-            else "all, as it is"
+    for cell in (*CELL_SIZES_MEMBERS, model.balancers):
+        delegates = model.balancers / cell
+        cells = [
+            f"cells of {format_number(cell)}, {format_number(delegates)} delegates"
+            if delegates > 1.0
+            else "all members, as now"
+        ]
+        cells += [
+            _cell_cost_text(fits[name], name, budgets[name], cell, delegates, bool(rows_measured))
+            for name in fits
         ]
-        row += [_cell(fits[name], name, budgets[name], cell, rest, bool(measured)) for name in fits]
-        beside = sums(model) if rest > 1.0 else 0.0
-        row.append(rate(beside))
+        sums = sums_bytes_per_s(model) if delegates > 1.0 else 0.0
+        cells.append(bytes_per_s_text(sums))
         if idle.fit is None:
-            row.append(idle.missing_reason)
+            cells.append(idle.missing_reason)
         else:
-            room = target_value("control bytes") - idle.fit.value_at(cell) - beside
-            row.append(
-                seconds(full_propagation_bytes_per_s(cell, 1.0, entry) / room) if room > 0.0 else "no room"
+            remaining = target_value("control bytes") - idle.fit.value_at(cell) - sums
+            cells.append(
+                seconds_text(full_gossip_bytes_per_s(cell, 1.0, entry_bytes) / remaining)
+                if remaining > 0.0
+                else "none, the budget is used up"
             )
-        inside = (
-            bool(played)
-            and min(played) <= cell <= max(played)
-            and (rest == 1.0 or min(played) <= rest <= max(played))
+        within_measured_sizes = (
+            bool(measured_sizes)
+            and min(measured_sizes) <= cell <= max(measured_sizes)
+            and (delegates == 1.0 or min(measured_sizes) <= delegates <= max(measured_sizes))
         )
-        row.append("inside the sizes measured" if inside else "beyond them" if played else "-")
-        rows.append(row)
+        cells.append(
+            "within the measured sizes"
+            if within_measured_sizes
+            else "beyond the measured sizes"
+            if measured_sizes
+            else "-"
+        )
+        rows.append(cells)
     return markdown_table(
         [
-            "who is heard in full",
+            "members that exchange all registers",
             "bytes out",
             "processor",
             "memory",
-            "sums in beside",
-            "one register told each, within the budget (counted)",
+            "load sums in, in addition",
+            "interval of register updates within the budget (calculated)",
             "fits",
         ],
         rows,
     )
 
 
-def others(model: Model) -> str:
-    """The options beside cells, by the assumptions."""
-    n, one, every = model.balancers, assumed_value("bytes a sum"), assumed_value("s between sums")
-    entry, heard = assumed_value("bytes an entry"), sums(model)
+def other_options_table(model: Model) -> str:
+    """The options other than cells, by the assumptions."""
+    balancers, sum_bytes, interval_s = (
+        model.balancers,
+        assumed_value("bytes per sum"),
+        assumed_value("interval between sums"),
+    )
+    entry_bytes, sums_in = assumed_value("bytes per entry"), sums_bytes_per_s(model)
     rows = []
-    for k in CHILDREN:
-        depth = math.ceil(math.log(n, k))
+    for children in CHILDREN_PER_MEMBER:
+        depth = math.ceil(math.log(balancers, children))
         rows.append(
             [
-                f"a tree, {k} children a member",
-                f"{rate(one / every + k * heard)}",
-                f"{rate(k * one / every + heard)}",
-                f"{seconds(2.0 * depth * every)}, {depth} levels up and down",
-                "a member that dies cuts "
-                "off what is under it until that has found another parent; a change of configuration "
-                "waits for it too",
+                f"a tree with {children} children per member",
+                f"{bytes_per_s_text(sum_bytes / interval_s + children * sums_in)}",
+                f"{bytes_per_s_text(children * sum_bytes / interval_s + sums_in)}",
+                f"{seconds_text(2.0 * depth * interval_s)}, {depth} levels up and down",
+                "a member that fails disconnects its subtree until that has found another parent; "
+                "configuration changes wait for this too",
             ]
         )
     machines = target_value("control machines")
-    frames = n / every / machines * (1.0 + math.ceil(heard * every / wire.MAX_FRAME_BYTES))
+    frames = (
+        balancers / interval_s / machines * (1.0 + math.ceil(sums_in * interval_s / wire.MAX_FRAME_BYTES))
+    )
     rows.append(
         [
-            "the five machines as relays",
-            rate(one / every),
-            rate(heard),
-            seconds(2.0 * every),
-            f"a machine: {rate(n * one / every / machines)} in, {rate(n * heard / machines)} out, "
-            f"{format_value(frames * assumed_value('processor a frame in or out'), 'core')}; with two down "
-            f"{format_number(machines / (machines - 2.0))} times that. All away: no sums; each goes by its "
-            "own count and its part of the budgets",
+            "the five control machines as relays",
+            bytes_per_s_text(sum_bytes / interval_s),
+            bytes_per_s_text(sums_in),
+            seconds_text(2.0 * interval_s),
+            f"per machine: {bytes_per_s_text(balancers * sum_bytes / interval_s / machines)} in, "
+            f"{bytes_per_s_text(balancers * sums_in / machines)} out, "
+            f"{format_value(frames * assumed_value('processor time per frame sent or received'), 'core')}"
+            "; with two down "
+            f"{format_number(machines / (machines - 2.0))} times as much. With all down: no sums; each "
+            "balancer uses its own counts and its share of the budgets",
         ]
     )
-    bound = target_value("control bytes")
+    budget = target_value("control bytes")
     rows.append(
         [
-            "doing without: tell less often",
-            rate(bound),
-            rate(bound),
-            f"{seconds(full_propagation_bytes_per_s(n, 1.0, entry) / bound)} between two tellings of a "
-            "member",
-            "memory, processor of the looks and the bounds of the shipped code stay as they are",
+            "no new mechanism: less frequent load updates",
+            bytes_per_s_text(budget),
+            bytes_per_s_text(budget),
+            f"{seconds_text(full_gossip_bytes_per_s(balancers, 1.0, entry_bytes) / budget)} between two "
+            "updates of a member",
+            "memory, the processor of reading the registers and the limits of the code do not change",
         ]
     )
-    loads = 10.0
+    change_factor = 10.0
     rows.append(
         [
-            f"doing without: tell changes of {format_number(loads)} times the size",
-            rate(bound),
-            rate(bound),
-            f"{seconds(full_propagation_bytes_per_s(n, 1.0 / loads, entry) / bound)}, if "
-            f"{format_number(loads)} times as large are "
-            f"{format_number(loads)} times as rare",
-            "the same; and sums are off by the size times the root "
-            "of the members, if errors are independent, which a common rise is not",
+            f"no new mechanism: updates only for changes {format_number(change_factor)} times as large",
+            bytes_per_s_text(budget),
+            bytes_per_s_text(budget),
+            f"{seconds_text(full_gossip_bytes_per_s(balancers, 1.0 / change_factor, entry_bytes) / budget)}"
+            f", if changes {format_number(change_factor)} times as large are "
+            f"{format_number(change_factor)} times as rare",
+            "the same; in addition the error of the sums is the size of a change times the square root of "
+            "the number of members, if errors are independent, which they are not when all loads rise "
+            "together",
         ]
     )
     return markdown_table(
@@ -415,8 +463,8 @@
             "option",
             "out of a balancer",
             "into a balancer",
-            "age",
-            "cost elsewhere, and what holds when it is away",
+            "age of the loads",
+            "other costs, and what remains when it is down",
         ],
         rows,
     )
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -1,4 +1,4 @@
-"""The tables of ``docs/CAPACITY.md``, each a function of what was measured; pure as the model is."""
+"""The tables of ``docs/CAPACITY.md``, each a pure function of the capacity model."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     MAX_FRAMES_PER_PERIOD,
     NOT_MEASURED,
     PERIOD_S,
+    PHASE_TITLES,
     RANGE_HASHES_OVERFLOW_OWNERS,
-    RUN_PARTS,
     TARGETS,
     VALIDATION_TOLERANCE_FRACTION,
     Estimate,
@@ -37,21 +37,21 @@
     range_hashes_frame_bytes,
     regime_text,
     row_value,
-    scale_to_load_rate,
+    scale_to_update_rate,
     target_value,
     total_false_deaths,
     upper_bound,
     validations,
 )
-from snowwick.lab.capacity_roles import options, others, roles
+from snowwick.lab.capacity_roles import cell_options_table, functions_table, other_options_table
 
-MISSING = (
-    ("placing of shards", "840,000 shards"),
-    ("99 in 100 deliveries", "390 ms"),
-    ("contents of a change of configuration, in force", "8 s"),
+MISSING_MECHANISMS = (
+    ("placement of shards", "840,000 shards"),
+    ("deliveries, 99th percentile", "390 ms"),
+    ("contents of a configuration change, in force everywhere", "8 s"),
 )
-WORST = ("bytes_out", "bytes_in", "control_core", "everywhere_p99_s", "load_late_p99_s")
-SIZES = (
+PHASE_QUANTITIES = ("bytes_out", "bytes_in", "control_core", "everywhere_p99_s", "load_late_p99_s")
+SIZE_QUANTITIES = (
     "bytes_out",
     "bytes_in",
     "datagrams_out",
@@ -69,10 +69,10 @@
 )
 
 
-def glance(model: Model) -> str:
-    """What is within its budget, and by what factor the rest is over; the worst first.
+def summary_table(model: Model) -> str:
+    """Each figure at the target with its budget, sorted by the ratio of both, the highest first.
 
-    Beside it what telling loads more rarely comes to, by the slowest series.
+    The last column has the same figure with less frequent load updates, from the series with the lowest rate.
     """
     rows: list[tuple[float, list[str]]] = []
 
@@ -81,90 +81,97 @@
         value: float | None,
         unit: str,
         budget: float,
-        stands: str,
+        status: str,
         factor: float | None = None,
-        past: bool = False,
-        beside: str = "the same",
-        counted: str = "",
+        past_bound: bool = False,
+        slowest_series: str = "unchanged",
+        value_suffix: str = "",
     ) -> None:
         if value is None:
-            rows.append((-1.0, [name, stands, format_value(budget, unit), "-", "-", "-", beside]))
+            rows.append((-1.0, [name, status, format_value(budget, unit), "-", "-", "-", slowest_series]))
             return
-        over = value / budget if budget else (math.inf if value else 0.0)
-        said = (
-            f"open: {format_number(over)} of it, were there no bound"
-            if past and over <= 1.0
-            else budget_verdict(over)
+        ratio = value / budget if budget else (math.inf if value else 0.0)
+        verdict = (
+            f"undecided: {format_number(ratio)} of it if the code had no limit"
+            if past_bound and ratio <= 1.0
+            else budget_verdict(ratio)
         )
         rows.append(
             (
-                over,
+                ratio,
                 [
                     name,
-                    format_value(value, unit) + counted,
+                    format_value(value, unit) + value_suffix,
                     format_value(budget, unit),
-                    said,
+                    verdict,
                     f"{format_number(factor)} times" if factor is not None else "-",
-                    stands,
-                    beside,
+                    status,
+                    slowest_series,
                 ],
             )
         )
 
     for quantity, budget in CONTROL_BUDGETS.items():
-        form, one = growth_model_of(quantity), model.control_estimate(quantity)
-        part = quantity.rpartition(".")[0]
-        title = form.title + (f", {RUN_PARTS[part + '.']}" if part else "")
+        growth_model, estimate = growth_model_of(quantity), model.control_estimate(quantity)
+        phase = quantity.rpartition(".")[0]
+        title = growth_model.title + (f", {PHASE_TITLES[phase + '.']}" if phase else "")
         add(
             title,
-            one.value,
-            form.unit,
+            estimate.value,
+            growth_model.unit,
             target_value(budget),
-            one.status_text,
-            one.extrapolation_factor,
-            one.past_bound,
-            rarely(model, quantity, form, target_value(budget)),
-            ", counted ceiling" if one.capped else "",
+            estimate.status_text,
+            estimate.extrapolation_factor,
+            estimate.past_bound,
+            slowest_series_text(model, quantity, growth_model, target_value(budget)),
+            ", calculated upper bound" if estimate.capped else "",
         )
-    for title, held, lines in model.day_scenarios():
-        one = model.data_path_estimate("line_s", held)
+    for title, connections, lines_per_s in model.day_scenarios():
+        estimate = model.data_path_estimate("line_s", connections)
         add(
-            f"data path, {title}: {format_number(lines)} lines a second at {format_number(held)} connections",
-            None if one.value is None else one.value * lines,
+            f"data path, {title}: {format_number(lines_per_s)} lines per second at "
+            f"{format_number(connections)} connections",
+            None if estimate.value is None else estimate.value * lines_per_s,
             "core",
-            assumed_value("cores of the data path"),
-            one.status_text,
-            one.extrapolation_factor,
+            assumed_value("data path cores"),
+            estimate.status_text,
+            estimate.extrapolation_factor,
         )
-    add("members that a balancer takes frames of", model.balancers, "", float(wire.MAX_SENDERS), "counted")
+    add("members whose frames a balancer accepts", model.balancers, "", float(wire.MAX_SENDERS), "calculated")
     add(
-        "frame with the hashes of the ranges",
+        "frame with the range hashes",
         float(range_hashes_frame_bytes(int(model.balancers))),
         "bytes",
         float(wire.MAX_FRAME_BYTES),
-        "counted",
+        "calculated",
     )
-    deaths = [some for row in model.measurements.simulated if (some := total_false_deaths(row)) is not None]
-    slow = (
-        model.measurements.series.get(model.slowest_load_rate, ())
-        if model.slowest_load_rate is not None
+    false_deaths = [
+        count for row in model.measurements.simulated if (count := total_false_deaths(row)) is not None
+    ]
+    slowest_rows = (
+        model.measurements.series.get(model.slowest_load_update_rate, ())
+        if model.slowest_load_update_rate is not None
         else ()
     )
-    rarer = [some for row in slow if (some := total_false_deaths(row)) is not None]
+    slowest_false_deaths = [count for row in slowest_rows if (count := total_false_deaths(row)) is not None]
     add(
-        "members falsely taken for dead, all sizes played",
-        float(sum(deaths)) if deaths else None,
+        "members falsely declared dead, in the runs of all sizes",
+        float(sum(false_deaths)) if false_deaths else None,
         "",
         0.0,
-        "measured" if deaths else NOT_MEASURED,
-        beside=format_number(sum(rarer)) if rarer else NOT_MEASURED,
+        "measured" if false_deaths else NOT_MEASURED,
+        slowest_series=format_number(sum(slowest_false_deaths)) if slowest_false_deaths else NOT_MEASURED,
     )
     rows += [
-        (-0.5, [name, "missing", budget, "**no mechanism**", "-", "-", "the same"])
-        for name, budget in MISSING
+        (-0.5, [name, "missing", budget, "**no mechanism**", "-", "-", "unchanged"])
+        for name, budget in MISSING_MECHANISMS
     ]
     rows.sort(key=lambda row: -row[0])
-    how = f", {format_number(model.slowest_load_rate)}/s" if model.slowest_load_rate is not None else ""
+    rate_suffix = (
+        f", {format_number(model.slowest_load_update_rate)}/s"
+        if model.slowest_load_update_rate is not None
+        else ""
+    )
     return markdown_table(
         [
             "at the target",
@@ -172,120 +179,133 @@
             "budget",
             "verdict",
             "extrapolated",
-            "size left out",
-            f"doing without: telling loads less often{how}",
+            "validation",
+            f"with less frequent load updates{rate_suffix}",
         ],
         [row for _, row in rows],
     )
 
 
-def rarely(model: Model, quantity: str, form: GrowthModel, budget: float) -> str:
-    """The quantity at the target by the slowest series, and how it stands by its budget."""
-    if model.slowest_load_rate is None:
+def slowest_series_text(model: Model, quantity: str, growth_model: GrowthModel, budget: float) -> str:
+    """The quantity at the target by the series with the lowest rate of load updates, and its verdict."""
+    if model.slowest_load_update_rate is None:
         return NOT_MEASURED
-    one = model.control_estimate(quantity, model.slowest_load_rate)
-    if one.value is None:
-        return one.missing_reason
-    over = one.value / budget
-    said = (
-        f"open: {format_number(over)} of it"
-        if (one.past_bound or one.regime_end) and over <= 1.0
-        else budget_verdict(over)
+    estimate = model.control_estimate(quantity, model.slowest_load_update_rate)
+    if estimate.value is None:
+        return estimate.missing_reason
+    ratio = estimate.value / budget
+    verdict = (
+        f"undecided: {format_number(ratio)} of it"
+        if (estimate.past_bound or estimate.regime_end) and ratio <= 1.0
+        else budget_verdict(ratio)
     )
-    return f"{one.text(form.unit)}, {said}; {one.status_text}"
+    return f"{estimate.text(growth_model.unit)}, {verdict}; {estimate.status_text}"
 
 
-# -- slopes and the size that was left out -------------------------------------------------------------------
+# -- fits and validations ------------------------------------------------------------------------------------
 
 
-def sizes_said(sizes: Sequence[float]) -> str:
-    return ", ".join(format_number(one) for one in sizes) or "none"
+def sizes_text(sizes: Sequence[float]) -> str:
+    return ", ".join(format_number(size) for size in sizes) or "none"
 
 
-def told_said(writes: float | None) -> str:
-    return f"{format_number(writes)}/s" if writes is not None else "-"
+def rate_text(load_update_rate: float | None) -> str:
+    return f"{format_number(load_update_rate)}/s" if load_update_rate is not None else "-"
 
 
-def rates(model: Model) -> list[float]:
-    """The series, the target's first."""
+def load_update_rates(model: Model) -> list[float]:
+    """The rates of the series, the target's first, then from the highest to the lowest."""
     return [
-        model.load_rate,
-        *(one for one in sorted(model.measurements.series, reverse=True) if one != model.load_rate),
+        model.load_update_rate,
+        *(rate for rate in sorted(model.measurements.series, reverse=True) if rate != model.load_update_rate),
     ]
 
 
-def slopes(model: Model) -> str:
-    some: list[tuple[float | None, float, GrowthModel, Estimate]] = [
-        (writes, model.balancers, form, model.control_estimate(form.quantity, writes))
-        for writes in rates(model)
-        for form in GROWTH_MODELS.values()
+def fits_table(model: Model) -> str:
+    """The fit and the estimate of each quantity, for each series and for the data path."""
+    estimates: list[tuple[float | None, float, GrowthModel, Estimate]] = [
+        (rate, model.balancers, growth_model, model.control_estimate(growth_model.quantity, rate))
+        for rate in load_update_rates(model)
+        for growth_model in GROWTH_MODELS.values()
     ]
-    some += [
-        (None, model.connections, form, model.data_path_estimate(form.quantity, model.connections))
-        for form in DATA_PATH_GROWTH_MODELS.values()
+    estimates += [
+        (
+            None,
+            model.connections,
+            growth_model,
+            model.data_path_estimate(growth_model.quantity, model.connections),
+        )
+        for growth_model in DATA_PATH_GROWTH_MODELS.values()
     ]
     rows = []
-    for writes, at, form, one in some:
+    for rate, target_size, growth_model, estimate in estimates:
         rows.append(
             [
-                form.title,
-                one.fit.formula_text(at) if one.fit is not None else one.missing_reason or "of its two parts",
-                form.unit,
-                sizes_said(one.sizes),
-                sizes_said(one.fit.sizes) if one.fit is not None else "-",
-                one.text(form.unit),
-                f"{format_number(one.extrapolation_factor)} times"
-                if one.extrapolation_factor is not None
+                growth_model.title,
+                estimate.fit.formula_text(target_size)
+                if estimate.fit is not None
+                else estimate.missing_reason or "sum of its two parts",
+                growth_model.unit,
+                sizes_text(estimate.sizes),
+                sizes_text(estimate.fit.sizes) if estimate.fit is not None else "-",
+                estimate.text(growth_model.unit),
+                f"{format_number(estimate.extrapolation_factor)} times"
+                if estimate.extrapolation_factor is not None
                 else "-",
-                one.status_text,
-                told_said(writes),
+                estimate.status_text,
+                rate_text(rate),
             ]
         )
     return markdown_table(
         [
             "quantity",
-            "slope",
+            "fit",
             "unit",
-            "sizes measured",
-            "of these fitted",
+            "measured sizes",
+            "fitted sizes",
             "at the target",
             "extrapolated",
-            "size left out",
-            "loads told",
+            "validation",
+            "load updates per member",
         ],
         rows,
     )
 
 
-def _tested(form: GrowthModel, writes: float | None, unit: str, left: Validation) -> list[str]:
-    said = (
+def _validation_cells(
+    growth_model: GrowthModel, load_update_rate: float | None, size_unit: str, validation: Validation
+) -> list[str]:
+    """The row of a validation, with the columns of ``VALIDATION_COLUMNS``."""
+    regime = (
         "-"
-        if writes is None
-        else "either, one law"
-        if form.full_frames_basis is None
-        else regime_text(left.first_full_size)
+        if load_update_rate is None
+        else "one basis for both"
+        if growth_model.full_frames_basis is None
+        else regime_text(validation.first_full_size)
     )
     return [
-        form.title,
-        told_said(writes),
-        said,
-        sizes_said(left.fit.sizes),
-        f"{format_number(left.size)} {unit}",
-        f"{100.0 * left.expected_frame_fill:.0f}%" if left.expected_frame_fill is not None else "-",
-        format_value(left.predicted, form.unit),
-        format_value(left.measured, form.unit),
-        f"{100.0 * left.error:+.1f}%",
-        "held" if left.passed else "MISSED",
+        growth_model.title,
+        rate_text(load_update_rate),
+        regime,
+        sizes_text(validation.fit.sizes),
+        f"{format_number(validation.size)} {size_unit}",
+        f"{100.0 * validation.expected_frame_fill:.0f}%"
+        if validation.expected_frame_fill is not None
+        else "-",
+        format_value(validation.predicted, growth_model.unit),
+        format_value(validation.measured, growth_model.unit),
+        f"{100.0 * validation.error:+.1f}%",
+        "passed" if validation.passed else "FAILED",
     ]
 
 
-TESTED = [
+VALIDATION_COLUMNS = [
     "quantity",
-    "loads told",
+    "load updates per member",
     "regime of the fit",
-    "fitted at",
-    "left out",
-    "frames filled, by the fit",
+    "fitted sizes",
+    "size left out",
+    "frame fill predicted by the fit",
     "predicted",
     "measured",
     "error",
@@ -293,175 +313,189 @@
 ]
 
 
-def _all_tests(model: Model, writes: float) -> list[tuple[GrowthModel, list[Validation]]]:
-    rows = model.measurements.series.get(writes, ())
-    return [(form, validations(form, rows)) for form in GROWTH_MODELS.values()]
+def _validations_by_quantity(
+    model: Model, load_update_rate: float
+) -> list[tuple[GrowthModel, list[Validation]]]:
+    rows = model.measurements.series.get(load_update_rate, ())
+    return [(growth_model, validations(growth_model, rows)) for growth_model in GROWTH_MODELS.values()]
 
 
-def left_out(model: Model) -> str:
-    """Each quantity and series, and each size with enough under it, while the regime holds."""
+def validation_table(model: Model) -> str:
+    """The validations within one regime: each series, quantity and size with enough smaller sizes."""
     rows = []
-    for writes in rates(model):
-        for form, some in _all_tests(model, writes):
-            within = [one for one in some if not one.crosses_regimes]
-            rows += [_tested(form, writes, "members", one) for one in within]
-            if not within:
-                why = (
-                    "across the change of regime: below"
-                    if some
-                    else model.control_estimate(form.quantity, writes).missing_reason
+    for rate in load_update_rates(model):
+        for growth_model, all_validations in _validations_by_quantity(model, rate):
+            within_regime = [validation for validation in all_validations if not validation.crosses_regimes]
+            rows += [
+                _validation_cells(growth_model, rate, "members", validation) for validation in within_regime
+            ]
+            if not within_regime:
+                reason = (
+                    "across the change of regime: see below"
+                    if all_validations
+                    else model.control_estimate(growth_model.quantity, rate).missing_reason
                 )
-                if not some and not why and form.quantity == "control_core":
-                    why = "its parts are: the protocol's here, reading at the target's rate"
+                if not all_validations and not reason and growth_model.quantity == "control_core":
+                    reason = "its parts are tested: the protocol here, the reading at the target's rate"
                 rows.append(
                     [
-                        form.title,
-                        told_said(writes),
-                        why or "not tested: too few sizes under the largest",
-                        *["-"] * (len(TESTED) - 3),
+                        growth_model.title,
+                        rate_text(rate),
+                        reason or "not tested: too few sizes below the largest",
+                        *["-"] * (len(VALIDATION_COLUMNS) - 3),
                     ]
                 )
-    for form in DATA_PATH_GROWTH_MODELS.values():
-        path = model.data_path_estimate(form.quantity, model.connections)
+    for growth_model in DATA_PATH_GROWTH_MODELS.values():
+        estimate = model.data_path_estimate(growth_model.quantity, model.connections)
         rows.append(
-            _tested(form, None, "connections", path.validation)
-            if path.validation is not None
+            _validation_cells(growth_model, None, "connections", estimate.validation)
+            if estimate.validation is not None
             else [
-                form.title,
+                growth_model.title,
                 "-",
-                path.missing_reason or "not tested: too few sizes under the largest",
-                *["-"] * (len(TESTED) - 3),
+                estimate.missing_reason or "not tested: too few sizes below the largest",
+                *["-"] * (len(VALIDATION_COLUMNS) - 3),
             ]
         )
-    return markdown_table(TESTED, rows)
+    return markdown_table(VALIDATION_COLUMNS, rows)
 
 
-def across(model: Model) -> str:
-    """The same where the change of regime lies in the fit's sizes or, by the fit, before the size left
-    out.
-    """
+def cross_regime_table(model: Model) -> str:
+    """The validations whose fitted sizes include full frames, or whose predicted frames are overfull."""
     rows = [
-        _tested(form, writes, "members", one)
-        for writes in rates(model)
-        for form, some in _all_tests(model, writes)
-        for one in some
-        if one.crosses_regimes
+        _validation_cells(growth_model, rate, "members", validation)
+        for rate in load_update_rates(model)
+        for growth_model, all_validations in _validations_by_quantity(model, rate)
+        for validation in all_validations
+        if validation.crosses_regimes
     ]
-    return markdown_table(TESTED, rows or [["none", *["-"] * (len(TESTED) - 1)]])
+    return markdown_table(VALIDATION_COLUMNS, rows or [["none", *["-"] * (len(VALIDATION_COLUMNS) - 1)]])
 
 
-# -- the law of the regime -----------------------------------------------------------------------------------
+# -- growth while frames are not full ------------------------------------------------------------------------
 
-ALLOWED = ("bytes_out", "bytes_in", "control_core", "memory", "everywhere_p99_s")
-BY_RATE = ("bytes_out", "bytes_in", "datagrams_out", "core", "memory")
+BUDGET_QUANTITIES = ("bytes_out", "bytes_in", "control_core", "memory", "everywhere_p99_s")
+RATE_CHECK_QUANTITIES = ("bytes_out", "bytes_in", "datagrams_out", "core", "memory")
 
 
-def allowed(model: Model) -> str:
-    """The largest fleet that each budget bears while frames are not full, and what the target would take."""
-    some = (
-        model.load_rate,
-        model.slowest_load_rate if model.slowest_load_rate is not None else model.load_rate,
+def largest_fleets_table(model: Model) -> str:
+    """The largest fleet within each budget while frames are not full, and the extrapolation to the target."""
+    rates = (
+        model.load_update_rate,
+        model.slowest_load_update_rate
+        if model.slowest_load_update_rate is not None
+        else model.load_update_rate,
     )
     rows = []
-    for name in ALLOWED:
-        form, budget, one = (
-            GROWTH_MODELS[name],
-            target_value(CONTROL_BUDGETS[name]),
-            model.fit_below_full_frames(name),
+    for quantity in BUDGET_QUANTITIES:
+        growth_model, budget, slowest_fit = (
+            GROWTH_MODELS[quantity],
+            target_value(CONTROL_BUDGETS[quantity]),
+            model.fit_below_full_frames(quantity),
         )
-        row = [f"{form.title}, {format_value(budget, form.unit)}"]
-        if one is None or model.slowest_load_rate is None:
-            rows.append([*row, NOT_MEASURED, *["-"] * 3, _brackets(model, name, budget), "-", "-"])
+        cells = [f"{growth_model.title}, {format_value(budget, growth_model.unit)}"]
+        if slowest_fit is None or model.slowest_load_update_rate is None:
+            rows.append(
+                [*cells, NOT_MEASURED, *["-"] * 3, _measured_limits_text(model, quantity, budget), "-", "-"]
+            )
             continue
-        row += [one.formula_text(model.balancers), sizes_said(one.sizes)]
-        laws = [scale_to_load_rate(one, writes / model.slowest_load_rate) for writes in some]
-        for writes, each in zip(some, laws, strict=True):
-            fleet, ends = (
-                largest_fleet_within(each, budget),
-                model.regime_end(writes) if form.full_frames_basis is not None else None,
+        cells += [slowest_fit.formula_text(model.balancers), sizes_text(slowest_fit.sizes)]
+        fits = [scale_to_update_rate(slowest_fit, rate / model.slowest_load_update_rate) for rate in rates]
+        for rate, fit in zip(rates, fits, strict=True):
+            fleet, regime_end = (
+                largest_fleet_within(fit, budget),
+                model.regime_end(rate) if growth_model.full_frames_basis is not None else None,
             )
-            past = (
-                f", were there no bound at {format_number(RANGE_HASHES_OVERFLOW_OWNERS)}"
+            limit_text = (
+                f", if the code had no limit at {format_number(RANGE_HASHES_OVERFLOW_OWNERS)}"
                 if fleet >= RANGE_HASHES_OVERFLOW_OWNERS
                 else ""
             )
-            many = "any size" if fleet >= MAX_FLEET_MEMBERS - 1 else f"{format_number(fleet)} members"
-            if ends is not None and fleet > ends:
-                many, past = f"{format_number(ends)} members, where frames are full and the law ends", ""
-            row.append(f"{many}{past}" if fleet else "none")
-        row += [
-            _brackets(model, name, budget),
-            " and ".join(format_value(each.value_at(model.balancers), form.unit) for each in laws),
+            fleet_text = "any size" if fleet >= MAX_FLEET_MEMBERS - 1 else f"{format_number(fleet)} members"
+            if regime_end is not None and fleet > regime_end:
+                fleet_text, limit_text = (
+                    f"{format_number(regime_end)} members, where frames become full and the fit ends",
+                    "",
+                )
+            cells.append(f"{fleet_text}{limit_text}" if fleet else "none")
+        cells += [
+            _measured_limits_text(model, quantity, budget),
+            " and ".join(format_value(fit.value_at(model.balancers), growth_model.unit) for fit in fits),
         ]
-        most = upper_bound(name, model.balancers)
-        row.append(format_value(most, form.unit) if math.isfinite(most) else "-")
-        rows.append(row)
+        bound = upper_bound(quantity, model.balancers)
+        cells.append(format_value(bound, growth_model.unit) if math.isfinite(bound) else "-")
+        rows.append(cells)
     return markdown_table(
         [
             "budget of a balancer",
-            "law",
-            "fitted at",
-            *(f"largest fleet at {told_said(writes)}" for writes in some),
-            f"sizes measured at {told_said(model.load_rate)}",
-            "the target by the law, at " + " and ".join(map(told_said, some)),
-            "counted ceiling: what is over it is not told",
+            "fit",
+            "fitted sizes",
+            *(f"largest fleet at {rate_text(rate)}" for rate in rates),
+            f"measured sizes at {rate_text(model.load_update_rate)}",
+            "the target by the fit, at " + " and ".join(map(rate_text, rates)),
+            "calculated upper bound: what exceeds it is not sent",
         ],
         rows,
     )
 
 
-def _brackets(model: Model, name: str, budget: float) -> str:
-    """Between which sizes measured at the target's rate the budget ends."""
-    some = [
+def _measured_limits_text(model: Model, quantity: str, budget: float) -> str:
+    """The measured sizes, at the target's rate, between which the budget is reached."""
+    measured = [
         (float(row["members"]), value)
         for row in model.measurements.simulated
-        if (value := row_value(row, name)) is not None
+        if (value := row_value(row, quantity)) is not None
     ]
-    over = min((size for size, value in some if value > budget), default=math.inf)
-    within = max((size for size, value in some if size < over), default=0.0)
-    said = [f"within to {format_number(within)}"] if within else []
-    said += [f"over at {format_number(over)}"] if math.isfinite(over) else []
-    return ", ".join(said) or NOT_MEASURED
+    smallest_over = min((size for size, value in measured if value > budget), default=math.inf)
+    largest_within = max((size for size, value in measured if size < smallest_over), default=0.0)
+    parts = [f"within budget up to {format_number(largest_within)}"] if largest_within else []
+    parts += [f"over at {format_number(smallest_over)}"] if math.isfinite(smallest_over) else []
+    return ", ".join(parts) or NOT_MEASURED
+
 
+def rate_check_table(model: Model) -> str:
+    """The slowest series' fit scaled to the target's rate, and the values measured there.
 
-def by_rate(model: Model) -> str:
-    """The slow series' law at the target's rate, beside what was measured there while frames were not
-    full.
+    Only sizes below full frames are compared.
     """
     rows = []
-    start = first_full_size(model.measurements.simulated)
-    for name in BY_RATE:
-        one, form = model.fit_below_full_frames(name), GROWTH_MODELS[name]
-        for row in model.measurements.simulated if one is not None and model.slowest_load_rate else ():
-            value, size = row_value(row, name), float(row["members"])
+    first_full = first_full_size(model.measurements.simulated)
+    for quantity in RATE_CHECK_QUANTITIES:
+        slowest_fit, growth_model = model.fit_below_full_frames(quantity), GROWTH_MODELS[quantity]
+        for row in (
+            model.measurements.simulated if slowest_fit is not None and model.slowest_load_update_rate else ()
+        ):
+            value, size = row_value(row, quantity), float(row["members"])
             if (
-                one is None
-                or not model.slowest_load_rate
+                slowest_fit is None
+                or not model.slowest_load_update_rate
                 or value is None
-                or (start is not None and size >= start)
+                or (first_full is not None and size >= first_full)
             ):
                 continue
-            said = (
-                one
-                if name == "memory"
-                else scale_to_load_rate(one, model.load_rate / model.slowest_load_rate)
+            scaled = (
+                slowest_fit
+                if quantity == "memory"
+                else scale_to_update_rate(
+                    slowest_fit, model.load_update_rate / model.slowest_load_update_rate
+                )
             )
-            off = said.value_at(size) / value - 1.0 if value else math.inf
+            error = scaled.value_at(size) / value - 1.0 if value else math.inf
             rows.append(
                 [
-                    form.title,
+                    growth_model.title,
                     format_number(size),
-                    format_value(said.value_at(size), form.unit),
-                    format_value(value, form.unit),
-                    f"{100.0 * off:+.1f}%",
-                    "held" if abs(off) <= VALIDATION_TOLERANCE_FRACTION else "MISSED",
+                    format_value(scaled.value_at(size), growth_model.unit),
+                    format_value(value, growth_model.unit),
+                    f"{100.0 * error:+.1f}%",
+                    "passed" if abs(error) <= VALIDATION_TOLERANCE_FRACTION else "FAILED",
                 ]
             )
     return markdown_table(
         [
             "quantity",
             "members",
-            "by the law at the target's rate",
+            "by the fit, scaled to the target's rate",
             "measured",
             "error",
             f"within {100.0 * VALIDATION_TOLERANCE_FRACTION:.0f}%",
@@ -470,38 +504,41 @@
     )
 
 
-def forms(model: Model) -> str:
+def growth_models_table(model: Model) -> str:
+    """The basis functions of each quantity with their reason."""
     rows = []
-    for form in (*GROWTH_MODELS.values(), *DATA_PATH_GROWTH_MODELS.values()):
-        text = ", ".join(form.basis)
-        if form.full_frames_basis is not None:
-            text += f"; with full frames {', '.join(form.full_frames_basis)}"
-        rows.append([form.title, text, form.reason])
-    return markdown_table(["quantity", "form", "reason"], rows)
+    for growth_model in (*GROWTH_MODELS.values(), *DATA_PATH_GROWTH_MODELS.values()):
+        basis = ", ".join(growth_model.basis)
+        if growth_model.full_frames_basis is not None:
+            basis += f"; with full frames {', '.join(growth_model.full_frames_basis)}"
+        rows.append([growth_model.title, basis, growth_model.reason])
+    return markdown_table(["quantity", "growth model", "reason"], rows)
 
 
-# -- what was measured ---------------------------------------------------------------------------------------
+# -- measurements --------------------------------------------------------------------------------------------
 
 
-def machine_said(machine: object) -> str:
+def machine_text(machine: object) -> str:
+    """The machine of a result file; "-" where the file does not describe it."""
     if not isinstance(machine, Mapping):
         return "-"
     memory = format_value(row_value(machine, "memory_bytes"), "bytes")
     return f"{machine.get('cores')} cores, {memory}, Python {machine.get('python')}"
 
 
-def runs(model: Model) -> str:
+def runs_table(model: Model) -> str:
+    """The result files, with the command and the machine of each."""
     rows = [
         [
-            name,
+            file_name,
             str(file.get("form")),
             f"`{file.get('command', '')}`",
             str(file.get("date", "")),
-            machine_said(file.get("machine")),
+            machine_text(file.get("machine")),
             str(sum(1 for row in file.get("rows", ()) if not row.get("partial"))),
-            "whole" if file.get("complete") else f"not whole: {file.get('ended', '')}",
+            "complete" if file.get("complete") else f"incomplete: {file.get('ended', '')}",
         ]
-        for name, file in model.measurements.runs
+        for file_name, file in model.measurements.runs
     ]
     return markdown_table(
         ["file", "form", "command", "date", "machine", "sizes", "run"],
@@ -509,100 +546,119 @@
     )
 
 
-def sizes(model: Model) -> str:
+def sizes_table(model: Model) -> str:
+    """The measurements in the simulated network at each size."""
     rows = []
-    for writes in rates(model):
-        some = model.measurements.series.get(writes, ())
-        start = first_full_size(some)
-        for row in some:
-            sent, frames = row_value(row, "bytes_out"), row_value(row, "datagrams_out")
-            room = f"{100.0 * sent / frames / wire.MAX_FRAME_BYTES:.0f}%" if sent and frames else "-"
-            if start is not None and float(row["members"]) >= start:
-                room += ", full"
+    for rate in load_update_rates(model):
+        series_rows = model.measurements.series.get(rate, ())
+        first_full = first_full_size(series_rows)
+        for row in series_rows:
+            bytes_out, frames = row_value(row, "bytes_out"), row_value(row, "datagrams_out")
+            frame_fill = (
+                f"{100.0 * bytes_out / frames / wire.MAX_FRAME_BYTES:.0f}%" if bytes_out and frames else "-"
+            )
+            if first_full is not None and float(row["members"]) >= first_full:
+                frame_fill += ", full"
             rows.append(
                 [
                     format_number(float(row["members"])),
-                    told_said(writes),
-                    room,
-                    *(format_value(row_value(row, name), GROWTH_MODELS[name].unit) for name in SIZES),
+                    rate_text(rate),
+                    frame_fill,
+                    *(
+                        format_value(row_value(row, name), GROWTH_MODELS[name].unit)
+                        for name in SIZE_QUANTITIES
+                    ),
                     format_value(row_value(row, "load_error"), ""),
                     format_value(row_value(row, "shed"), "/s"),
                     format_value(total_false_deaths(row), ""),
                 ]
             )
-    head = [
+    header = [
         "members",
-        "loads told",
-        "frames filled",
-        *(GROWTH_MODELS[name].title for name in SIZES),
-        "error of the sums",
-        "shed",
-        "false deaths, whole run",
+        "load updates per member",
+        "frame fill",
+        *(GROWTH_MODELS[name].title for name in SIZE_QUANTITIES),
+        "error of the load sums",
+        "entries shed",
+        "members falsely declared dead, whole run",
     ]
-    return markdown_table(head, rows or [[NOT_MEASURED, *["-"] * (len(head) - 1)]])
+    return markdown_table(header, rows or [[NOT_MEASURED, *["-"] * (len(header) - 1)]])
 
 
-def worst(model: Model) -> str:
-    """Each part of the run at the largest size that played it, and at the target by the same forms."""
+def phases_table(model: Model) -> str:
+    """Each phase of the run at the largest size that was measured, and its estimate at the target."""
     rows = []
-    for part, title in RUN_PARTS.items():
-        some = [row for row in model.measurements.simulated if row_value(row, f"{part}core") is not None]
-        last = max(some, key=lambda row: float(row["members"]), default={})
-        cells = [title, format_number(float(last["members"])) if last else "-"]
-        for name in WORST:
-            unit, one = GROWTH_MODELS[name].unit, model.control_estimate(f"{part}{name}")
-            at = f"{one.text(unit)} ({one.status_text})" if one.value is not None else one.missing_reason
-            cells.append(f"{format_value(row_value(last, part + name), unit)}; {at}")
+    for phase_prefix, title in PHASE_TITLES.items():
+        measured = [
+            row for row in model.measurements.simulated if row_value(row, f"{phase_prefix}core") is not None
+        ]
+        largest = max(measured, key=lambda row: float(row["members"]), default={})
+        cells = [title, format_number(float(largest["members"])) if largest else "-"]
+        for name in PHASE_QUANTITIES:
+            unit, estimate = GROWTH_MODELS[name].unit, model.control_estimate(f"{phase_prefix}{name}")
+            at_target = (
+                f"{estimate.text(unit)} ({estimate.status_text})"
+                if estimate.value is not None
+                else estimate.missing_reason
+            )
+            cells.append(f"{format_value(row_value(largest, phase_prefix + name), unit)}; {at_target}")
         cells += [
-            format_value(row_value(last, f"{part}false_deaths"), ""),
-            format_value(row_value(last, f"{part}healed_s"), "s"),
+            format_value(row_value(largest, f"{phase_prefix}false_deaths"), ""),
+            format_value(row_value(largest, f"{phase_prefix}healed_s"), "s"),
         ]
         rows.append(cells)
     return markdown_table(
         [
-            "part of the run",
+            "phase of the run",
             "members",
-            *(f"{GROWTH_MODELS[name].title}; at the target" for name in WORST),
-            "false deaths",
-            "agreed after",
+            *(f"{GROWTH_MODELS[name].title}; at the target" for name in PHASE_QUANTITIES),
+            "members falsely declared dead",
+            "time until all members agree again",
         ],
         rows,
     )
 
 
-def real(model: Model) -> str:
-    """What real processes took, and how many times what the simulated network says at the same size."""
+def real_table(model: Model) -> str:
+    """The measurements of real balancers, and their ratio to the simulated network at the same size."""
     rows = []
     for row in model.measurements.real:
-        same = [one for one in model.measurements.simulated if one["members"] == row["members"]]
+        same_size = [
+            simulated for simulated in model.measurements.simulated if simulated["members"] == row["members"]
+        ]
         cells = [
             format_number(float(row["members"])),
             format_value(row_value(row, "real"), ""),
             format_value(row_value(row, "hollow"), ""),
         ]
         for name in ("bytes_out", "bytes_in", "core", "memory", "everywhere_p99_s"):
-            mine = row_value(row, f"of_real.{name}")
-            mine = row_value(row, name) if mine is None else mine
-            theirs = row_value(same[0], name) if same else None
+            real_value = row_value(row, f"of_real.{name}")
+            real_value = row_value(row, name) if real_value is None else real_value
+            simulated_value = row_value(same_size[0], name) if same_size else None
             cells.append(
-                format_value(mine, GROWTH_MODELS[name].unit)
-                + (f", {format_number(mine / theirs)} times" if mine is not None and theirs else "")
+                format_value(real_value, GROWTH_MODELS[name].unit)
+                + (
+                    f", {format_number(real_value / simulated_value)} times"
+                    if real_value is not None and simulated_value
+                    else ""
+                )
             )
         rows.append(cells)
-    head = [
+    header = [
         "members",
-        "real",
-        "hollow",
+        "real balancers",
+        "lightweight members",
         "bytes out",
         "bytes in",
         "processor",
         "memory",
-        "a change everywhere, 99 in 100",
+        "propagation of a change to all members, 99th percentile",
     ]
-    return markdown_table(head, rows or [[NOT_MEASURED, *["-"] * (len(head) - 1)]])
+    return markdown_table(header, rows or [[NOT_MEASURED, *["-"] * (len(header) - 1)]])
 
 
-def data_path(model: Model) -> str:
+def data_path_table(model: Model) -> str:
+    """The measurements of the data path, and its estimates for the days of the target."""
     rows = []
     for row in model.measurements.data_path:
         rows.append(
@@ -617,19 +673,21 @@
             ]
         )
     rows = rows or [[NOT_MEASURED, *["-"] * 6]]
-    for title, held, lines in model.day_scenarios():
+    for title, connections, lines_per_s in model.day_scenarios():
         memory, line, setup = (
-            model.data_path_estimate(name, held) for name in ("memory", "line_s", "setup_s")
+            model.data_path_estimate(name, connections) for name in ("memory", "line_s", "setup_s")
         )
-        busy = ""
+        processor = ""
         if line.value is not None:
-            busy = f"; {format_value(line.value * lines, 'core')} at {format_number(lines)}/s"
+            processor = (
+                f"; {format_value(line.value * lines_per_s, 'core')} at {format_number(lines_per_s)}/s"
+            )
         rows.append(
             [
-                f"**{format_number(held)}**, {title}",
+                f"**{format_number(connections)}**, {title}",
                 memory.text("bytes"),
                 "-",
-                f"{line.text('s')}{busy}",
+                f"{line.text('s')}{processor}",
                 "-",
                 setup.text("s"),
                 "-",
@@ -639,171 +697,177 @@
         [
             "connections",
             "memory",
-            "of it its own (PSS)",
-            "processor a line",
+            "proportional set size (PSS)",
+            "processor time per line",
             "in reference lines",
-            "processor a setup",
+            "processor time per setup",
             "lines sent",
         ],
         rows,
     )
 
 
-# -- what is taken for granted -------------------------------------------------------------------------------
+# -- targets, assumptions and limits -------------------------------------------------------------------------
 
 
-def the_target(model: Model) -> str:
+def targets_table(model: Model) -> str:
+    """The figures of the target."""
     return markdown_table(
-        ["target", "value", "where from"],
-        [[one.name, format_value(one.value, one.unit), one.reason] for one in TARGETS.values()],
+        ["target", "value", "source"],
+        [
+            [model_input.name, format_value(model_input.value, model_input.unit), model_input.reason]
+            for model_input in TARGETS.values()
+        ],
     )
 
 
-def assumptions(model: Model) -> str:
+def assumptions_table(model: Model) -> str:
+    """The assumptions with their reasons."""
     return markdown_table(
         ["assumption", "value", "reason"],
-        [[one.name, format_value(one.value, one.unit), one.reason] for one in ASSUMPTIONS.values()],
+        [
+            [model_input.name, format_value(model_input.value, model_input.unit), model_input.reason]
+            for model_input in ASSUMPTIONS.values()
+        ],
     )
 
 
-def walls(model: Model) -> str:
-    """What in the shipped code ends before the target, whatever the slopes."""
-    n = int(model.balancers)
-    waiting = n / node.MAX_QUEUED_ENTRIES
+def limits_table(model: Model) -> str:
+    """The limits in the code that a fleet reaches before the target, independent of the fits."""
+    fleet_size = int(model.balancers)
+    queue_ratio = fleet_size / node.MAX_QUEUED_ENTRIES
     return markdown_table(
-        ["bound", "where", "at the target", "reached at"],
+        ["limit", "where", "at the target", "reached at"],
         [
             [
-                "members whose frames are taken",
+                "members whose frames are accepted",
                 "`wire.MAX_SENDERS`",
-                f"{format_number(n)} of {format_number(wire.MAX_SENDERS)}: frames of the others are "
-                "dropped as "
-                f"`too-many-senders`",
+                f"{format_number(fleet_size)} of {format_number(wire.MAX_SENDERS)}: frames of the others are "
+                f"dropped as `too-many-senders`",
                 f"{wire.MAX_SENDERS + 1:,} members",
             ],
             [
-                "the frame with the hashes of the ranges",
+                "size of the frame with the range hashes",
                 "`wire.MAX_FRAME_BYTES`, `store.OWNERS_PER_RANGE`",
-                f"{format_number(range_hashes_frame_bytes(n))} of {format_number(wire.MAX_FRAME_BYTES)} "
-                "bytes: dropped as "
-                "`too-long`, and nothing else "
-                "finds what news did not bring",
+                f"{format_number(range_hashes_frame_bytes(fleet_size))} of "
+                f"{format_number(wire.MAX_FRAME_BYTES)} bytes: dropped as `too-long`, so that entries lost "
+                "in gossip are not found any more",
                 f"{RANGE_HASHES_OVERFLOW_OWNERS:,} owners",
             ],
             [
-                "what a member can send",
+                "frames that a member sends",
                 "`node.MAX_PULLS`, `node.GOSSIP_FANOUT`, `wire.MAX_FRAME_BYTES`",
-                f"{format_value(max_bytes_per_s(n), 'bytes/s')} in "
-                f"{format_number(MAX_FRAMES_PER_PERIOD / PERIOD_S)} frames/s: a fit over "
-                f"it is cut down "
-                "to it, "
-                "and what is over it does not arrive",
+                f"{format_value(max_bytes_per_s(fleet_size), 'bytes/s')} in "
+                f"{format_number(MAX_FRAMES_PER_PERIOD / PERIOD_S)} frames/s: estimates are capped at it, "
+                "and what exceeds it does not arrive",
                 "-",
             ],
             [
-                "what waits to be passed on",
+                "gossip queue",
                 "`node.MAX_QUEUED_ENTRIES`",
-                f"one entry of each member is {format_number(waiting)} times what may wait; those told most "
-                f"are shed",
+                f"one entry of each member is {format_number(queue_ratio)} times the limit; the entries that "
+                f"were sent most often are shed",
                 f"{node.MAX_QUEUED_ENTRIES:,} entries at once",
             ],
             [
-                "a round of probes",
+                "round of probes",
                 "`members.Membership._next_probe_target`",
-                f"{format_value(n * PERIOD_S, 's')} until a member has probed each other once; how often a "
-                f"given one is "
-                "probed by anybody does not depend on the size",
+                f"{format_value(fleet_size * PERIOD_S, 's')} until a member has probed each other member "
+                f"once; how often a member is probed by all others together does not depend on the size",
                 "-",
             ],
             [
-                "an ask for rights names every member",
+                "a lease request lists all members",
                 "`rights.LeaseRequest.holdings`, `store.MAX_VALUE_BYTES`",
-                f"longer than the {format_number(store.MAX_VALUE_BYTES)} bytes of a value: refused, which "
-                f"`net/fleet.py` passes over "
-                "(`_write`), so that rights stop moving (read in the code and computed, not played)",
+                f"exceeds the {format_number(store.MAX_VALUE_BYTES)} bytes of a register value: rejected, "
+                f"which `net/fleet.py` (`_write_register`) ignores, so that rights no longer move (from the "
+                "code and by calculation, not from a run)",
                 f"{format_number(lease_request_overflow_members())} members with names of 13 characters, "
-                f"{format_number(lease_request_overflow_members(3))} with "
-                "names of 3",
+                f"{format_number(lease_request_overflow_members(3))} with names of 3",
             ],
             [
-                "the news that one has caught up",
+                "event that a member has caught up",
                 "`node.CaughtUp`",
-                "needs two equal roots, and somebody's loads "
-                "are on their way at any moment: `fleet-caught-up` is not said",
-                _caught(model),
+                "needs two equal root hashes, but load updates of some member are in transit at any moment: "
+                "`fleet-caught-up` is not logged",
+                _not_caught_up_text(model),
             ],
             [
                 "reading the registers",
                 "`net/fleet.py` (SHARE_INTERVAL_S), `store.Store.live_entries`",
-                "all of everybody's, four times a second, however rarely they are written",
-                _reading(model),
+                "all registers of all members, four times a second, however rarely they are written",
+                _reading_cost_text(model),
             ],
         ],
     )
 
 
-def _caught(model: Model) -> str:
-    """The sizes at which nobody that started heard it within the run."""
-    some = [
-        f"{format_number(float(row['members']))} members at {told_said(writes)}"
-        for writes in rates(model)
-        for row in model.measurements.series.get(writes, ())
+def _not_caught_up_text(model: Model) -> str:
+    """The sizes at which no member that started reported within the run that it had caught up."""
+    sizes = [
+        f"{format_number(float(row['members']))} members at {rate_text(rate)}"
+        for rate in load_update_rates(model)
+        for row in model.measurements.series.get(rate, ())
         if row_value(row, "starts") and row_value(row, "start_said_s") is None
     ]
-    return f"not said within the run at {', '.join(some)}" if some else NOT_MEASURED
+    return f"not logged within the run at {', '.join(sizes)}" if sizes else NOT_MEASURED
 
 
-def _reading(model: Model) -> str:
-    """What reading costs beside the protocol."""
-    some = [
-        (float(row["members"]), heed / core)
+def _reading_cost_text(model: Model) -> str:
+    """The processor time of reading the registers over that of the protocol, at all measured sizes."""
+    ratios = [
+        (float(row["members"]), reading / protocol)
         for row in model.measurements.simulated
-        if (heed := row_value(row, "heed_core")) is not None and (core := row_value(row, "core"))
+        if (reading := row_value(row, "heed_core")) is not None and (protocol := row_value(row, "core"))
     ]
-    if not some:
+    if not ratios:
         return NOT_MEASURED
-    least, most = min(one for _, one in some), max(one for _, one in some)
+    lowest, highest = min(ratio for _, ratio in ratios), max(ratio for _, ratio in ratios)
     return (
-        f"{format_number(least)} to {format_number(most)} times the protocol's processor, at all sizes played"
+        f"{format_number(lowest)} to {format_number(highest)} times the processor of the protocol, at all "
+        "measured sizes"
     )
 
 
+# By the names in the page's markers
 TABLES: dict[str, Callable[[Model], str]] = {
-    "glance": glance,
-    "runs": runs,
-    "roles": roles,
-    "worst": worst,
-    "left-out": left_out,
-    "across": across,
-    "allowed": allowed,
-    "by-rate": by_rate,
-    "slopes": slopes,
-    "forms": forms,
-    "sizes": sizes,
-    "real": real,
-    "data-path": data_path,
-    "walls": walls,
-    "options": options,
-    "others": others,
-    "target": the_target,
-    "assumptions": assumptions,
+    "glance": summary_table,
+    "runs": runs_table,
+    "roles": functions_table,
+    "worst": phases_table,
+    "left-out": validation_table,
+    "across": cross_regime_table,
+    "allowed": largest_fleets_table,
+    "by-rate": rate_check_table,
+    "slopes": fits_table,
+    "forms": growth_models_table,
+    "sizes": sizes_table,
+    "real": real_table,
+    "data-path": data_path_table,
+    "walls": limits_table,
+    "options": cell_options_table,
+    "others": other_options_table,
+    "target": targets_table,
+    "assumptions": assumptions_table,
 }
 
 
-class BadPage(ValueError):
-    """The page's markers are not as they have to be."""
+class InvalidPage(ValueError):
+    """The page lacks a table's markers, or has them more than once or in the wrong order."""
 
 
-def render(page: str, measured: Measurements) -> str:
-    """The page with its tables between their markers, ``<!-- NAME -->`` and ``<!-- end of NAME -->``.
+def render(page: str, measurements: Measurements) -> str:
+    """The page with each table between its markers, ``<!-- NAME -->`` and ``<!-- end of NAME -->``.
 
-    Raises BadPage where a marker is missing or twice there.
+    Raises InvalidPage where a marker is missing or occurs twice.
     """
-    model = Model(measured)
-    for name, make in TABLES.items():
+    model = Model(measurements)
+    for name, make_table in TABLES.items():
         begin, end = f"<!-- {name} -->\n", f"<!-- end of {name} -->"
         if page.count(begin) != 1 or page.count(end) != 1 or page.index(begin) > page.index(end):
-            raise BadPage(f"the markers of {name} are not there once each, in order")
-        head, _, rest = page.partition(begin)
-        page = head + begin + make(model) + "\n" + end + rest.partition(end)[2]
+            raise InvalidPage(
+                f"table {name}: the page needs its begin and end marker once each, in this order"
+            )
+        before, _, rest = page.partition(begin)
+        page = before + begin + make_table(model) + "\n" + end + rest.partition(end)[2]
     return page
