--- a/crowgap/benchlink.py
+++ b/crowgap/benchlink.py
@@ -51,15 +51,17 @@
     """Translate the simulator's settings; unknown keys are ignored, missing ones take defaults."""
     family, limits = setup.get("familyInfo", {}), setup.get("limits", {})
     invariants = setup.get("invariants", {})
-    message_aims = family.get("messageAim") or []
+    target_message_delays = family.get("messageAim") or []
     quotas = family.get("tenantQuotaConnections") or []
     classes = tuple(
         interface.RequestClass(
             name=class_setup["name"],
-            aim=class_setup.get("aim", class_setup["deadline"]),
+            target_setup_time=class_setup.get("aim", class_setup["deadline"]),
             deadline=class_setup["deadline"],
             priority=class_setup.get("points", 1.0),
-            message_aim=message_aims[class_index] if class_index < len(message_aims) else 0.0,
+            target_message_delay=target_message_delays[class_index]
+            if class_index < len(target_message_delays)
+            else 0.0,
             effect=EFFECTS[class_setup.get("effect", "non_idempotent")],
             deduplication_scope=interface.DeduplicationScope(class_setup.get("keyScope", "all")),
             deduplication_window=class_setup.get("memorySpan", 0.0),
@@ -78,19 +80,19 @@
         zone=setup.get("zone", ""),
         tenants=tenants,
         must_subscribe=setup.get("registryMode") == "on_request",
-        list_refresh_interval=invariants.get("askEvery", 10000.0),
+        ask_every=invariants.get("askEvery", 10000.0),
         max_attempts=limits.get("mostTries", 1),
         connect_timeout=limits.get("connectTimeout", 250.0),
         max_retry_after=limits.get("maxRetryAfter", 0.0) if limits.get("retryAfter") else 0.0,
-        warmup_time=invariants.get("cold", 0.0),
-        warmup_start_capacity=invariants.get("coldFrom", 1.0),
-        collapse_multiple=invariants.get("fallMultiple", 1.0),
-        overload_window=invariants.get("overloadFor", 1000.0),
+        cold_time=invariants.get("cold", 0.0),
+        cold_from=invariants.get("coldFrom", 1.0),
+        fall_multiple=invariants.get("fallMultiple", 1.0),
+        overload_for=invariants.get("overloadFor", 1000.0),
         drain_grace=invariants.get("drainGrace", 3000.0),
         load_reported=load_field_index(setup) is not None,
         live_weights=setup.get("weights") == "live",
         probes_allowed=bool(limits.get("probes", False)),
-        timer_resolution=setup.get("tick", 1.0),
+        tick=setup.get("tick", 1.0),
     )
 
 
