--- a/snowwick/lab/capacity_roles.py
+++ b/snowwick/lab/capacity_roles.py
@@ -167,7 +167,7 @@
     return [
         "configuration",
         "that it differs, and limits: `fleet/registers.py` (Revision); its contents **missing**, now files "
-        "and SIGHUP; possible: signed files in parts, requested as by `store.entries_after`",
+        "and SIGHUP; possible: signed files in parts, requested as by `store.Store.entries_after`",
         "one file",
         f"{format_number(changes_per_s)} changes/s: {bytes_per_s_text(entry_bytes_per_s)} out (calculated), "
         f"contents {bytes_per_s_text(contents_bytes_per_s)} in (estimated)",
