--- a/tests/harness.py
+++ b/tests/harness.py
@@ -12,15 +12,17 @@
 from crowgap import interface
 from crowgap.policy import Balancer
 
-SAFE_CLASS = interface.RequestClass("feed", aim=300.0, deadline=1200.0, priority=5.0, message_aim=100.0)
+SAFE_CLASS = interface.RequestClass(
+    "feed", target_setup_time=300.0, deadline=1200.0, priority=5.0, target_message_delay=100.0
+)
 BASE_SETTINGS = interface.Settings(
     classes=(SAFE_CLASS,),
     balancers=1,
     max_attempts=5,
     max_retry_after=1000.0,
-    warmup_time=20000.0,
-    warmup_start_capacity=0.2,
-    collapse_multiple=2.5,
+    cold_time=20000.0,
+    cold_from=0.2,
+    fall_multiple=2.5,
 )
 FINAL_ACTIONS = (interface.Refuse, interface.Fail)
 
