--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -65,7 +65,7 @@
 class DuplicateName:
     """Event: another process uses this balancer's name and started before it."""
 
-    address: str  # of the other process
+    address: str  # the other process's address
 
 
 @dataclass(slots=True)
--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client closed before it got its answer.
+    """The client closed before the decider's answer, or its side answered it without waiting for the decider.
 
     If ``step_active``, a ``RouteStepEnded`` still follows for the route step in progress.
     """
--- a/snowwick/net/delay_monitor.py
+++ b/snowwick/net/delay_monitor.py
@@ -14,11 +14,13 @@
 from snowwick.net.decider import Client, DestinationSilent, MessageDelay
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 
-REPORT_INTERVAL_S = 1.0  # between reports on one destination; also how long an answered line counts
-SILENCE_CHECK_INTERVAL_S = 0.25  # short, so that a hang is reported well before the next delay report
-# Time without an answer after which a destination counts as silent
-SILENCE_S = 0.5  # if several connections are waiting for it
-SILENCE_SINGLE_S = 1.5  # if only one connection is waiting for it
+# Interval between reports on one destination; also how long the delay of an answered line counts
+REPORT_INTERVAL_S = 1.0
+# Interval between checks for silence; short, so that a hang is reported well before the next delay report
+SILENCE_CHECK_INTERVAL_S = 0.25
+# A destination counts as silent after this time without an answer while several connections wait for one
+SILENCE_S = 0.5
+SILENCE_SINGLE_S = 1.5  # the same time while only one connection waits
 MAX_PENDING_LINES = 1024  # unanswered lines of one connection that are timed
 
 
@@ -31,7 +33,8 @@
 
     def __init__(self) -> None:
         self.connections = 0
-        self.last_reply = 0.0  # s, on the loop's clock
+        # Time of the last line that came back, or of the last connection added; in s on the loop's clock
+        self.last_reply = 0.0
         # Connections that have sent since the last line came back, in the order of sending
         self.awaiting_reply: dict[ConnectionTiming, None] = {}
         # Connections that were answered within the report interval, the latest last
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -14,7 +14,7 @@
 from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
 from snowwick.net.peer import LinePeer, PeerEnded, RelayedLines, configure_socket, connect
 
-SILENCE_TIMEOUT_S = 5.5  # without a line back, the client is moved after this time; the protocol allows 7 s
+SILENCE_TIMEOUT_S = 5.5  # a client that gets no line back is moved after this time; the protocol allows 7 s
 MIN_UNANSWERED_S = 3.0  # silence counts only once a line has been unanswered for this long
 # Outcome of an established connection by the last line from the destination
 OUTCOME_BY_LAST_LINE = {Reply.BYE: Outcome.OK, Reply.MOVE: Outcome.CANCELLED}
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -27,10 +27,11 @@
 
 # A front socket without an opening line is closed after this time, whatever other lines it has sent
 OPENING_TIMEOUT_S = 2.0
-MAX_LINGER_S = 5.0  # after the answer, further input is read and discarded for at most this long
+MAX_LINGER_S = 5.0  # after the final answer, further input is read and discarded for at most this long
 # A front socket is not evicted within this time after it was accepted or answered
 MIN_IDLE_S = 0.05
-# Most time to set up again a connection that existed before this program started
+# Each request is answered within this time, whatever its opening line says. The limit is meant for resumed
+# connections, which existed before this program started: their opening line may name any time.
 MAX_ANSWER_WAIT_S = 40.0
 
 
@@ -39,7 +40,7 @@
 
 
 class ShutdownEnding:
-    """To a front: the program is shutting down.
+    """To a front: the last phase of the shutdown has begun (see service.py).
 
     A pending request is answered, an established connection is moved, and an idle front socket is closed.
     """
@@ -49,12 +50,12 @@
     """What a front needs from the service that owns it."""
 
     loop: Loop
-    request_path: RequestPath
-    delay_monitor: Gauge
+    request_path: RequestPath  # stages that accept or reject each request and are notified of its end
+    delay_monitor: Gauge  # measures the delay of the lines that the destinations answer
 
     @property
     def groups_enabled(self) -> bool:
-        """Whether the settings use the group value ``g`` of opening lines."""
+        """Whether requests with the same group key (value ``g`` of opening lines) are placed together."""
 
     @property
     def connect_timeout_s(self) -> float:
@@ -73,27 +74,42 @@
         """Called when the front starts to handle a request."""
 
     def on_answered(self, front: Front) -> None:
-        """Called when the final answer is being sent; the socket may stay open a little longer."""
+        """Called when the final answer is being sent, or the connection is closed without an answer.
+
+        The socket may stay open a little longer.
+        """
 
     def on_front_closed(self, front: Front) -> None:
         """Called when the front's socket has been closed."""
 
 
 class Front(LinePeer):
-    """The client's side of one connection."""
+    """The client's side of one connection.
+
+    It reads the opening line and passes the request through the request path, whose last stage hands it to a
+    decider. Then it carries out the route steps that the decider orders, until one establishes the connection
+    or the decider gives the final answer. A resumed connection is not decided on: its opening line names the
+    destination, which is the only one tried.
+    """
 
     def __init__(self, host: FrontHost, sock: socket.socket) -> None:
         super().__init__(host.loop, configure_socket(sock))
         self.host = host
+        # Reason code for the log if the connection ended now; replaced as the connection proceeds
         self.reason = "fault"
         self.detail = ""
         self.request: Request | None = None
+        # The actor of the present route step, and then of the connection that it has established
         self.destination_side: Destination | None = None
-        # at_decider: the request has been handed to the decider; False for resumed connections
+        # at_decider: the decider has the request and has not refused it or let it fail; stays set while the
+        # connection is established. False for resumed connections.
+        # established: the destination has accepted the connection
         self.at_decider = self.established = False
         # A destination may have executed the request: a busy reply, which promises the opposite, is ruled out
         self.may_have_run = False
-        self.last_destination = -1
+        self.last_destination = -1  # number of the last route step's destination; -1 before the first
+        # Until there is a request, request_started_at is the time of accepting; answered_at is so until the
+        # final answer. answer_deadline applies once there is a request.
         self.accepted_at = self.request_started_at = self.answer_deadline = self.answered_at = (
             self.loop.clock()
         )
@@ -114,7 +130,12 @@
             self.host.on_front_closed(self)
 
     def _release_request(self) -> None:
-        """Notify the decider, the route step and the stages that this side is done with the request."""
+        """Notify the decider, the route step and the stages that this side is done with the request.
+
+        The decider gets ``ClientLeft`` also if this side has answered the client itself. Calls after the
+        first do nothing: the decider and the route step have been released, and each stage is notified of the
+        end only once (path.py).
+        """
         if self.request is None:
             return
         if self.at_decider and not self.established:
@@ -152,7 +173,7 @@
                 self.sock, read=not self.output_full(), write=bool(self.output_buffer), until=deadline
             )
             end_reason = ""
-            for message in self.take_messages():
+            for message in self.take_messages():  # without a request only ShutdownEnding and EvictIdle come
                 end_reason = "draining" if isinstance(message, ShutdownEnding) else "made-room"
             # Read the socket even when closing: a request that has already arrived must be answered.
             still_open = self.receive() if wake_flags & (READABLE | TIMED_OUT) or end_reason else True
@@ -161,7 +182,7 @@
                 if command == lines.PING:
                     self.reason = "ping"
                     self.output_buffer += lines.PONG
-                elif command == lines.STATS:
+                elif command == lines.STATS:  # only destinations report their load
                     self.output_buffer += lines.NO
                 else:
                     opening = lines.parse_opening(line)
@@ -184,6 +205,11 @@
                 return None
 
     def _start_request(self, request: Request) -> None:
+        """Start to wait for the answer to a request that the request path has accepted.
+
+        The path has already posted the request to its decider, except that of a resumed connection, whose
+        route step starts here.
+        """
         self.request_started_at = self.loop.clock()
         self.answer_deadline = self.request_started_at + min(request.wait_ms / 1000.0, MAX_ANSWER_WAIT_S)
         self.host.on_request(self)
@@ -219,6 +245,7 @@
                     self.destination_side = None
                     self.may_have_run = self.may_have_run or message.outcome not in NOT_EXECUTED
                     if not self.at_decider:
+                        # "kept": a connection that existed before this program started
                         self.reason = f"kept-{message.outcome.value}"
                         return lines.ERR
                     self._finish_route_step(message.outcome, message.elapsed_ms, final=False)
@@ -240,10 +267,15 @@
                 # The decider normally answers earlier; this guards against a fault in it.
                 self.reason = "overdue"
                 return lines.ERR
-            # Wait for one more turn, because an UP that was read in this turn is not delivered yet.
+            # Wait for one more turn: an UP line, by which the destination accepts, may have been read in this
+            # turn, and the message about it is not delivered yet.
             deadline_passed = bool(wake_flags & TIMED_OUT)
 
     def _start_route_step(self, destination: int, wait_ms: float) -> None:
+        """Try to set up the connection at a destination, which may take ``wait_ms``.
+
+        If that cannot start, this side posts the end of the route step to itself.
+        """
         assert self.request is not None
         self.last_destination = destination
         address = self.host.destination_address(destination)
@@ -269,6 +301,7 @@
         self.destination_side.start()
 
     def _establish(self, message: ConnectionEstablished) -> None:
+        """Send the destination's UP line to the client and report the connection; the relay starts next."""
         assert self.request is not None
         self.established = True
         self.other_side = self.destination_side
@@ -282,6 +315,12 @@
         self.flush()
 
     def _finish_route_step(self, outcome: Outcome, elapsed_ms: float, final: bool) -> None:
+        """Report to the decider the end of the route step or of the connection that it established.
+
+        ``final`` means that no other route step follows for this request, which ends it for the stages too.
+        Nothing is reported of a resumed connection that was never established, since the decider was not
+        notified of it.
+        """
         self.destination_side = None
         assert self.request is not None
         if self.at_decider or self.established:
@@ -290,7 +329,10 @@
             self.host.request_path.on_ended(self.request)
 
     def _send_answer(self, line: bytes) -> Coroutine:
-        """Send the final answer and end the connection; further input is discarded."""
+        """Send the final answer and end the connection; further input is discarded.
+
+        An empty ``line`` closes the connection without an answer.
+        """
         self._release_request()
         self.at_decider = False
         self.host.on_answered(self)
@@ -304,16 +346,19 @@
             self.flush()
             yield from self.relay()
         except OSError:
-            pass  # the answer has been sent; the client may have left
+            pass  # the client has left, so there is nobody to answer any more
 
     def on_input_discarded(self) -> None:
-        """Extend the close deadline: a client that sends 60 MB may read the answer only after sending it."""
+        """Extend the close deadline while the client still sends, up to ``MAX_LINGER_S`` after the answer.
+
+        A client that sends tens of megabytes (60 MB for example) may read the answer only after sending them.
+        """
         if self.other_side is None:
             self.close_deadline = min(self.loop.clock() + CLOSE_GRACE_S, self.answered_at + MAX_LINGER_S)
 
     def on_message(self, message: object) -> None:
         if isinstance(message, EvictIdle):
-            # Close only if the answer has been written, since it might be lost otherwise.
+            # Close only after the answer has been written for a while, since it might be lost otherwise.
             if (
                 self.other_side is None
                 and not self.output_buffer
@@ -321,7 +366,7 @@
             ):
                 self.read_done = self.write_done = True
         elif isinstance(message, ShutdownEnding):
-            if self.other_side is not None:
+            if self.other_side is not None:  # the connection is established and being relayed
                 self.on_message(MoveAway("draining"))
         elif isinstance(message, MoveAway):
             if not self.closing:
@@ -346,5 +391,5 @@
 
 
 def remaining_wait_ms(front: Front) -> float:
-    """Returns the time in ms until the client stops waiting for the answer."""
+    """Returns the time in ms until the answer deadline: the client's wait, at most ``MAX_ANSWER_WAIT_S``."""
     return 1000.0 * (front.answer_deadline - front.loop.clock())
--- a/snowwick/net/loop.py
+++ b/snowwick/net/loop.py
@@ -48,7 +48,8 @@
 class Actor:
     """A coroutine with a mailbox; it waits for at most one socket at a time."""
 
-    restart_after_fault = False  # set for actors that the program cannot do without
+    # Whether the actor is restarted after an exception; set for those that the program cannot do without
+    restart_after_fault = False
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
@@ -99,7 +100,8 @@
         self.actors_by_fd: dict[int, Actor] = {}
         self.actors: set[Actor] = set()
         self.ready: deque[Actor] = deque()
-        self.open_sockets = 0  # of peers, waiting or not; compared with the limit on descriptors
+        # Open sockets of connections (LinePeer), registered with epoll or not; the service limits them
+        self.open_sockets = 0
         self.stopped = False
 
     def run(self) -> None:
@@ -214,7 +216,7 @@
 
     def _remove(self, actor: Actor) -> None:
         self.unregister(actor)
-        if actor.timer is not None:  # the loop is closed while the actor waits
+        if actor.timer is not None:  # only when the loop is closed while the actor waits
             self.timers.cancel(actor.timer, actor)
             actor.timer = None
         actor.coroutine = None
--- a/snowwick/net/peer.py
+++ b/snowwick/net/peer.py
@@ -12,11 +12,11 @@
 from snowwick.net.loop import MAIL, READABLE, TIMED_OUT, WRITABLE, Actor, Coroutine, Loop, Wait
 
 READ_SIZE_BYTES = 16384
-HIGH_WATER_BYTES = 16384  # of unsent output, from which on the other side is no longer read
+HIGH_WATER_BYTES = 16384  # with this much unsent output on one side, the other side is no longer read
 CLOSE_GRACE_S = 0.5  # one side may stay open this long after the other has ended; the protocol allows 1 s
-# Extra time while the last lines are unsent; together with CLOSE_GRACE_S still within that second
+# Extra time before closing while the last lines are unsent; with CLOSE_GRACE_S still within that second
 UNSENT_GRACE_S = 0.4
-MAX_DRAIN_READS = 4  # before closing a socket; bounded, since a peer may never stop sending
+MAX_DRAIN_READS = 4  # reads of remaining input before a socket is closed; a peer may never stop sending
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
         self.other_side: LinePeer | None = None
         self.closing = self.read_done = self.write_done = self.write_failed = False
         self.close_deadline: float | None = None
-        self.close_deadline_extended = False  # for output that is still unsent
+        self.close_deadline_extended = False  # whether it was extended because of unsent output
 
     def receive(self) -> bool:
         """Read available bytes into the input buffer; returns False at the end of the stream."""
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -23,12 +23,14 @@
 # occurs and times out, discovery refuses the first call on a new connection, and after a pause the next first
 # call succeeds.
 NEWS_DEADLINE_S = 6.0
-WATCH_HOLD_S = 1.0  # that discovery may hold a call until there is a change; held calls cost it little
-WATCH_OVERDUE_S = 0.25  # beyond that until a call counts as timed out; answers come some ms after their time
+# Discovery may hold a call for this time until there is a change; held calls cost it little
+WATCH_HOLD_S = 1.0
+# A held call times out this long after the hold time; answers come some ms after it
+WATCH_OVERDUE_S = 0.25
 # Additional time for the first call on a connection, to connect and wait in the queue. It is longer than the
 # 2 s after which discovery refuses a waiting call, since a call abandoned earlier costs discovery as much.
 FIRST_CALL_EXTRA_S = 2.125
-MAX_RETRY_PAUSE_S = 0.5  # after a failed call; randomized down to half of it, so that calls are spread
+MAX_RETRY_PAUSE_S = 0.5  # pause after a failed call; randomized down to half of it, so that calls are spread
 STATES = {
     "in_service": interface.State.READY,
     "terminating": interface.State.DRAINING,
@@ -37,7 +39,7 @@
 # Interval between calls if an answer has no changes and was not held. Discovery continues a watch if the next
 # call comes within 0.2 s of the answer.
 POLL_INTERVAL_S = 0.1
-MAX_BODY_BYTES = 1 << 20  # some thousands of entries; as parsed JSON they take ten times that in memory
+MAX_BODY_BYTES = 1 << 20  # room for some thousands of entries; parsed, they take ten times that in memory
 # Exceptions that reading a malformed list may raise
 READ_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
@@ -102,7 +104,7 @@
         self.refused_errors: list[str] = []  # errors in the entries of the list that was refused last
         # By destination number
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.labels: dict[int, Labels] = {}  # by which destinations are assigned to pools
+        self.labels: dict[int, Labels] = {}  # decide to which pool a destination is assigned
         self.entries: dict[int, interface.BackendEntry] = {}
 
     def apply(self, message: Any, kind: interface.ListKind | None = None) -> interface.ListUpdate:
@@ -335,7 +337,7 @@
         ):
             self.http.start_next_cycle()
         else:
-            self._disconnect()  # a second answer came, not to be taken for the next call's
+            self._disconnect()  # else a second answer that came might be taken for the next call's
         if status != 200:
             raise CallFailed(f"HTTP status {status}")
         return json.loads(body)
@@ -359,7 +361,7 @@
         assert self.sock is not None
         while True:
             wake_flags = yield Wait(self.sock, read=True, until=deadline)
-            # First, since nothing from the old discovery counts after a change of address
+            # The mailbox comes first, since nothing from the old discovery counts after a change of address
             self._check_mailbox()
             if wake_flags & READABLE:
                 try:
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -1,4 +1,13 @@
-"""The balancer service: starts its actors, accepts connections, reloads its configuration and shuts down."""
+"""The balancer service: starts its actors, accepts connections, reloads its configuration and shuts down.
+
+A front is the client's side of a connection. A decider runs the decision module for one pool of destinations:
+it chooses the destination of each request. Without a contracts file there is one pool with all destinations.
+
+The shutdown has three phases. During the arrival period new connections are still routed here and get busy
+replies. Then clients with an established connection are moved, in random order. In the last
+``FINAL_ANSWER_S`` each front has to finish: pending requests are answered, clients that are not moved yet are
+moved at once, and idle ones are closed.
+"""
 
 from __future__ import annotations
 
@@ -34,22 +43,27 @@
     from snowwick.net.contracts import ContractStage
     from snowwick.net.fleet import FleetLink
 
-LISTEN_BACKLOG = 1024  # connections
-OWN_DESCRIPTORS = (
-    12  # reserved for the process itself: standard streams, epoll, signals, listening, discovery
-)
-ANSWER_SOCKETS = 8  # reserved for sending busy replies when no socket is left for a route step
-ACCEPTS_PER_TURN = 16  # bounded, so that the other actors get their turn in between
-MAX_IDLE_FRACTION = 0.5  # of the sockets not in use by requests, the part that idle clients may hold
-ACCEPT_PAUSE_S = 0.05  # after accept has failed or sockets have run out
-EVICTION_PAUSE_S = 0.005  # until an evicted idle client has closed
+LISTEN_BACKLOG = 1024  # connections that may wait to be accepted
+# File descriptors reserved for the process itself: standard streams, epoll, signals, listening, discovery
+OWN_DESCRIPTORS = 12
+# Sockets reserved for fronts: when no socket is left for a route step, clients still get a busy reply. Also
+# the number of idle clients that may always be connected while there are sockets.
+ANSWER_SOCKETS = 8
+# Connections accepted in one turn of the loop, so that the other actors get their turn in between. Also the
+# number of idle clients that are evicted at once.
+ACCEPTS_PER_TURN = 16
+MAX_IDLE_FRACTION = 0.5  # idle clients may hold at most this part of the sockets not in use by requests
+ACCEPT_PAUSE_S = 0.05  # pause after a failed accept; also the time step of the shutdown
+EVICTION_PAUSE_S = 0.005  # pause in accepting, in which evicted idle clients close
 # After SIGTERM new connections still arrive for this time; a client moved earlier would reconnect here.
 ARRIVAL_PERIOD_S = 0.4
-MOVE_PERIOD_S = 0.6  # after that, over which clients are moved, so that they do not reconnect all at once
-MAX_DRAIN_DEADLINE_S = 3.0  # the longest request deadline that the shutdown waits for
-SHUTDOWN_GRACE_S = 0.4  # that the shutdown may take beyond this deadline
-FINAL_ANSWER_S = 0.25  # before the end, when pending requests are answered and idle clients closed
-PROTOCOL_TOLERANCE_S = 0.05  # by which each time limit of the protocol may be off
+MOVE_PERIOD_S = 0.6  # clients are moved over this time, so that they do not reconnect all at once
+MAX_DRAIN_DEADLINE_S = 3.0  # the shutdown waits for the longest request deadline, but at most this long
+SHUTDOWN_GRACE_S = 0.4  # the shutdown may take this long beyond that deadline
+FINAL_ANSWER_S = 0.25  # length of the last phase of the shutdown
+# Each time limit of the wire protocol may be off by this much, so a connection may still arrive this long
+# after the arrival period
+PROTOCOL_TOLERANCE_S = 0.05
 
 
 class Acceptor(Actor):
@@ -83,7 +97,10 @@
 
 
 class Signals(Actor):
-    """Shuts the service down on SIGTERM and SIGINT, reloads the configuration on SIGHUP."""
+    """Shuts the service down on SIGTERM and SIGINT, reloads the configuration on SIGHUP.
+
+    The bytes read from the socket are signal numbers (net/signals.py).
+    """
 
     def __init__(self, service: Service, sock: socket.socket) -> None:
         super().__init__(service.loop)
@@ -115,6 +132,9 @@
     ) -> None:
         """Create the service without starting it.
 
+        Contracts limit the connections and setups of each team, and assign its requests to a pool. The fleet
+        file describes the link to the other balancers.
+
         ``read_contracts`` and ``read_fleet`` read the operators' files, now and at each reload. They may
         raise ValueError with the faults. Raises OSError if the fleet link's address cannot be bound.
         """
@@ -122,15 +142,19 @@
         self.loop = loop or Loop(Log())
         self.log = self.loop.log
         self.random = random.Random(config.seed)
-        self.fronts: set[Front] = set()
+        self.fronts: set[Front] = set()  # all client connections
         self.idle: dict[Front, None] = {}  # clients without a pending request, the longest idle first
+        # Sockets of connections, of clients and to destinations, that may be open at the same time
         self.socket_limit = config.sockets - OWN_DESCRIPTORS
         self.draining = False
-        self.unix_offset_ms = 1000.0 * (time.time() - self.loop.clock())  # from the loop's clock to Unix time
+        # Unix time minus the loop's clock
+        self.unix_offset_ms = 1000.0 * (time.time() - self.loop.clock())
         self.pool_deciders = PoolDeciders(
             self.make_decider, self.settings_for, lambda: self.pool.config.labels
         )
         settings = config.settings
+        # Watches discovery and holds its list of all destinations. The last argument is None unless lists are
+        # pushed to an agent (see Pool): then it says how long destinations that leave may still be used.
         self.pool = Pool(
             self.loop,
             config.discovery,
@@ -138,6 +162,7 @@
             self.random.random,
             None if settings.must_subscribe else settings.drain_grace / 1000.0,
         )
+        # Measures the delay of the lines of each destination and reports slow and silent destinations
         self.delay_monitor = Gauge(self.loop, self.pool_deciders.forward, config.message_aim_ms)
         self.read_fleet = read_fleet
         self.fleet = self.make_fleet(read_fleet()) if read_fleet is not None else None
@@ -161,7 +186,11 @@
         )
 
     def make_decider(self, pool_name: str, tenants: frozenset[str] | None) -> Decider:
-        """Create the decider of a pool, with only the tenants of that pool; with all tenants if None."""
+        """Create the decider of a pool, with only the tenants of that pool; with all tenants if None.
+
+        The decider subscribes to discovery's list by ``WatchPool``. The fleet link, if there is one, observes
+        the outcome of its route steps.
+        """
         settings, seed = self.config.settings, self.config.seed
         if tenants is not None:
             settings = self.settings_for(tenants)
@@ -180,24 +209,34 @@
         return self.pool.config
 
     def last_reply_times(self) -> Iterator[tuple[int, float]]:
+        """Yield each destination with connections and the time of its last reply.
+
+        This is the last line that came back on any connection, or the last connection established. Times are
+        in seconds on the loop's clock.
+        """
         return (
             (destination, timing.last_reply) for destination, timing in self.delay_monitor.timings.items()
         )
 
     def connection_counts(self) -> Iterator[dict[int, int]]:
+        """Yield the number of connections by destination, one mapping for each pool."""
         return (decider.connection_counts() for decider in self.pool_deciders.by_pool.values())
 
     def apply_silence_report(self, message: DestinationSilent) -> None:
+        """Pass on to the deciders that other balancers found a destination silent."""
         self.pool_deciders.forward(message)
 
     def apply_pool_update(self, update: PoolUpdate) -> None:
+        """Pass on to the deciders a change of the list that the fleet link derived from other balancers."""
         self.pool_deciders.apply_update(update)
 
     # -- creation of the parts -----------------------------------------------------------------------
 
     def make_fleet(self, file: FleetFile) -> FleetLink:
+        """Create the fleet link, which from then on also receives the delay monitor's reports."""
         from snowwick.net.fleet import FleetLink, call_both  # loaded only if there is a fleet
 
+        # The time is part of the seed, since the link's boot number has to differ between starts.
         link = FleetLink(self, file, self.config.name, random.Random(f"{self.config.seed}{time.time_ns()}"))
         self.delay_monitor.report = call_both(self.delay_monitor.report, link.record_silent)
         return link
@@ -214,6 +253,7 @@
     def make_contract_stage(self, contracts: Contracts) -> ContractStage:
         from snowwick.net.contracts import ContractStage  # loads msgspec, only if needed
 
+        # Each balancer enforces its part of the limits, by the number of balancers and its own index.
         settings = self.config.settings
         return ContractStage(
             self.loop,
@@ -227,7 +267,11 @@
         )
 
     def choose_decider(self, request: Request) -> Decider:
-        """Return the decider of a request that the contract stage has not assigned to a pool."""
+        """Return the decider of a request that the contract stage has not assigned to a pool.
+
+        With contracts these are only resumed connections of tenants without a contract: they stay with the
+        decider of the destination that they name.
+        """
         return (
             self.pool_deciders.for_destination(self.destination_number(request.resumed_destination))
             if request.resumed_destination
@@ -236,11 +280,15 @@
 
     @property
     def decider(self) -> Decider:
-        """The only decider, or the first of several."""
+        """The decider of a process without contracts; with contracts, that of the first pool.
+
+        With contracts no request is given to it, since new requests are assigned to a pool or rejected.
+        """
         return next(iter(self.pool_deciders.by_pool.values()))
 
     @property
     def groups_enabled(self) -> bool:
+        """Whether requests with the same group key (value ``g`` of opening lines) are placed together."""
         return self.config.groups
 
     @property
@@ -258,6 +306,10 @@
         return self.unix_offset_ms + 1000.0 * self.loop.clock()
 
     def start(self) -> None:
+        """Listen and start the actors, with the list of the configuration until discovery answers.
+
+        ``Config.known`` holds the destinations as they were stored before this start.
+        """
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setblocking(False)
@@ -293,7 +345,8 @@
     def reload(self) -> None:
         """Read the configuration, the contracts and the fleet file again, and apply all of them or none.
 
-        Of the configuration, only discovery's address is applied without a restart.
+        Of the configuration, only discovery's address is applied without a restart. ``RELOADABLE_FIELDS``
+        also has ``known``, which matters only at a start, so that a change of it needs no warning.
         """
         try:
             new_config = self.reload_config()
@@ -331,10 +384,11 @@
     def drain(self) -> Coroutine:
         """Answer requests that still arrive, move every client away and return when nothing is pending.
 
-        Clients are not moved while new connections are still routed to this balancer: they came straight
-        back, got busy replies and lost a second. The drain does not end while a connection accepted by the
-        kernel, an unanswered request or an unmoved client remains. If the longest deadline is too short for
-        the usual periods, clients are moved faster.
+        The module text describes the phases. No client is moved during the arrival period, since it would
+        reconnect to this balancer, get a busy reply and lose about a second. The drain ends at ``end_at`` at
+        the latest, and earlier once the arrival period is over and neither a connection in the listen queue
+        nor a front remains. If the longest deadline is too short for the usual periods, clients are moved
+        faster.
         """
         started_at = self.loop.clock()
         longest_deadline_s = (
@@ -360,7 +414,7 @@
                     front.post(MoveAway("draining"))
             if self.loop.clock() >= end_at - FINAL_ANSWER_S:
                 for front in self.fronts:
-                    front.post(ShutdownEnding())
+                    front.post(ShutdownEnding())  # repeated in each step; a front that is closing ignores it
             if move_elapsed_s > PROTOCOL_TOLERANCE_S and not self.fronts and not self.accept_pending():
                 break
             yield Wait(until=min(end_at, self.loop.clock() + ACCEPT_PAUSE_S))
@@ -374,12 +428,14 @@
         return len(self.fronts) > before
 
     def accept_client(self, sock: socket.socket) -> None:
+        """Create the front of an accepted connection; it counts as idle until its request."""
         front = Front(self, sock)
         self.fronts.add(front)
         self.idle[front] = None
         front.start()
 
     def on_request(self, front: Front) -> None:
+        """Exempt the client from eviction."""
         self.idle.pop(front, None)
 
     def on_answered(self, front: Front) -> None:
@@ -388,6 +444,7 @@
         self.idle[front] = None
 
     def on_front_closed(self, front: Front) -> None:
+        """Forget the front and log why its connection ended, and after how long."""
         self.fronts.discard(front)
         self.idle.pop(front, None)
         request = front.request
@@ -409,14 +466,15 @@
         return "draining" if self.draining else "no-sockets" if self.short_of_sockets() else ""
 
     def short_of_sockets(self) -> bool:
-        """Return whether no socket is available for a route step."""
+        """Return whether no socket is available for a route step; ``ANSWER_SOCKETS`` are kept for fronts."""
         return self.loop.open_sockets >= self.socket_limit - ANSWER_SOCKETS
 
     def make_room(self) -> bool:
         """Return whether one more connection may be accepted; if not, evict the longest idle clients.
 
-        This protects against floods of clients that connect and send nothing. Normal clients, which send
-        their request at once, need a front socket and a socket for the route step.
+        This protects against floods of clients that connect and send nothing. Idle clients may hold at most
+        half of the sockets that requests do not use, since each request, which normal clients send at once,
+        needs a second socket for its route step. The sockets of the idle clients count as free here.
         """
         free_sockets = self.socket_limit - (self.loop.open_sockets - len(self.idle))
         if (
