--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -1,8 +1,27 @@
 """All decisions of one balancer; `crowgap/interface.py` has its settings, events and actions.
 
-The ordinary path: a throttle (the token bank and waiting buffer of Berger IV.B) admits setups, and rendezvous
-hashing on the group key, or on the client key where there is none, places them.  docs/design.md describes
-where the module departs from this path.  All times are milliseconds on the caller's clock.
+The ordinary path: a throttle admits setups, and rendezvous hashing on the group key, or on the client key
+where there is none, places them.  docs/design.md describes where the module departs from this path.  All
+times are milliseconds on the caller's clock.
+
+Throttle: A. W. Berger's rate control throttle, in which tokens and jobs queue.  A setup (a job) that finds no
+token in the token bank waits in the waiting buffer, and one that finds the buffer full is refused.  The
+bank holds at most C_T tokens and the buffer at most C_J setups.  The throttle turns on in an overload only.
+
+Group and ranking: requests with the same group key are one group.  A group's ranking is the order in which
+weighted rendezvous hashing prefers the backends for it; it is the same at every balancer.  Serving a group
+has a fixed cost at each backend that serves any part of it, the group cost GROUP_COST_CONNECTIONS, so a group
+is kept on few backends.
+
+Plan: which backends of its ranking each group uses, and for which fraction of its clients, so that no backend
+is filled beyond a common bound.  It needs tenants with quotas: the capacities are estimated from these.
+
+Cold and warm: a backend is cold until its warm-up, ``Settings.cold_time``, is over.  Its capacity rises
+during the warm-up, and it collapses when it is asked for ``fall_multiple`` times its present capacity for
+``overload_for`` ms, the overload window.  The cold budget is the mean number of setups from all balancers
+that overload it within this time.  The balancers decide independently of each other, so the number of setups
+that arrive from all of them has about a Poisson distribution around its mean, and the square root of the
+mean covers its spread.  ``Balancer._within_cold_limit`` applies this budget.
 """
 
 from __future__ import annotations
@@ -21,84 +40,98 @@
 
 # Groups whose traffic and ranking are remembered.
 MAX_GROUPS = 300
-# Ranks kept of each group's ranking: enough for the spread of a group and for skipping failed backends.
+# Ranks kept of each group's ranking: enough to split a group over several backends and to pass over failed
+# ones.  Also the number of backends that are kept beyond twice the ready ones before old ones are forgotten.
 RANKS_KEPT = 32
 
-# C_J + C_T, the places in the waiting buffer and the token bank: Berger IV.A finds 10 enough for a robust
-# throughput.
+# C_J + C_T, the places in the waiting buffer plus the capacity of the token bank: Berger IV.A finds 10 enough
+# for a robust throughput.
 BANK_AND_BUFFER_SLOTS = 10.0
 # C_T when the throttle turns on; few, so that a true overload is throttled at once.
 BANK_AT_TURN_ON_TOKENS = 1.0
-# How long an overload lasts before the waiting buffer shrinks.
+# Time from turn-on until the waiting buffer begins to shrink and the token bank to grow by as much.
 BUFFER_SHRINK_DELAY_MS = 2000.0
 # How long the waiting buffer then takes to shrink to nothing.
 BUFFER_SHRINK_MS = 8000.0
 
-# Time between two runs of the overload monitor: several runs within any client's patience.
+# Time between two runs of the overload monitor: several runs within the time that a client waits for its
+# answer.  Also the backoff after the first failed call to the list service.
 MONITOR_INTERVAL_MS = 500.0
-# From this fraction of troubled backends or failed attempts on the throttle turns on and lowers its rate r.
+# The pressure is the larger of the fraction of the backends in use that are in trouble (slow, or without
+# room by their reported loads) and the fraction of recent attempts that failed; see ``Balancer._monitor``.
+# From this pressure on the throttle turns on and lowers its token rate.
 OVERLOADED_FRACTION = 0.35
-# Up to this fraction the fleet counts as healthy.
+# Up to this pressure the fleet counts as healthy.
 HEALTHY_FRACTION = 0.15
 # More recent failures than this are needed before their fraction means anything.
 MIN_FAILURE_COUNT = 3.0
-# Lowest token rate, as a fraction of the usual arrivals: the end of an overload shows only where some setups
-# are still let through.
+# Lowest token rate, as a fraction of the rate of arrivals averaged over ARRIVAL_DECAY_MS: the end of an
+# overload shows only where some setups are still let through.
 MIN_RATE_FRACTION = 0.1
 # Change of the token rate at each run of the monitor; it falls faster than it rises.
 RATE_INCREASE_FACTOR = 1.1
 RATE_DECREASE_FACTOR = 0.85
 # Healthy runs of the monitor in a row that turn the throttle off.
 HEALTHY_RUNS_TO_TURN_OFF = 6
-# Time constant of the decaying counts of arrivals: about the lifetime of a connection.
+# Time constant of the decaying counts of arrivals: about the lifetime of a connection, so that the counts
+# follow the numbers of open connections.
 ARRIVAL_DECAY_MS = 30000.0
 
-# A message delay from this fraction of the shortest message aim on counts as slow.
+# A message delay from this fraction of the shortest target delay on counts as slow.
 SLOW_DELAY_FRACTION = 0.34
 # How long a backend counts as slow after it was last seen so.
 SLOW_TTL_MS = 1500.0
-# Probability that one delay report or one run of the monitor moves a connection that should be elsewhere.
+# Probability that one run of the monitor, or a delay report of exactly the target delay, moves a connection
+# for which another backend would be chosen now.
 MOVE_PROBABILITY = 0.25
-# A connection stays at its backend at least this long before it may be moved.
+# A connection stays at its backend at least this long before it may be moved, unless the backend is leaving.
 MIN_STAY_MS = 2000.0
 
-# Load over capacity up to which the plan fills a backend in any case.
+# The plan fills each backend up to the larger of two bounds: this fraction of its capacity ...
 TARGET_LOAD_FRACTION = 0.55
-# Load over the fleet's mean up to which the plan fills a backend.
+# ... and this factor times the mean load over capacity of the fleet at full quotas, group costs included.
 TARGET_OVER_MEAN_FACTOR = 1.08
-# The quotas of all tenants together, as a fraction of what the fleet can hold.
+# Assumption from which the capacity of the fleet is estimated: the quotas of all tenants together are this
+# fraction of the connections that it can hold.
 ASSUMED_QUOTA_FRACTION = 0.81
-# What a group costs a backend that holds any part of it, in mean connections.
+# Fixed cost to a backend of serving any part of a group, expressed as a number of average connections.
 GROUP_COST_CONNECTIONS = 3.0
-# Fraction of a cold backend's budget that is used, because its capacity is a guess.
+# Fraction of a cold backend's budget that is used, because its capacity is an estimate.  Where loads are
+# reported, this times the backend's present fraction of its capacity is also the fraction of the clients that
+# may go there.
 COLD_BUDGET_FRACTION = 0.5
 
-# Backends of the ranking that are probed in one round.
+# Eligible backends, best first, that are probed in one round, and from which one is chosen by probe time.  A
+# backend among as many first ranks of a group counts as ranked high for it.
 PROBES_PER_ROUND = 3
 # Backends with the oldest probe results that the first round probes as well.
 OLDEST_PROBES = 2
+# Most probe rounds of one flow, over all its attempts.
 MAX_PROBE_ROUNDS = 5
 # A backend that is slower, or more loaded, than another by this factor is clearly worse.
 CLEARLY_WORSE_FACTOR = 1.25
 
-# Loads here are fractions of a backend's capacity.
-# Load by which another backend must be lower before a group is split over it.
+# Loads here are fractions of a backend's capacity, as backends report them in the answers to probes.  The
+# first three are penalties that are added to a reported load; the backend with the lowest sum is chosen.
+# Penalty of a backend that is not the group's first rank and has no open connection of it: to serve the group
+# there splits it over one more backend.
 GROUP_SPLIT_LOAD = 0.2
-# Load by which a backend must be lower for each further rank in the group's ranking.
+# Penalty for each rank that a backend is behind the first in the group's ranking.
 RANK_STEP_LOAD = 0.02
-# Load by which a backend in another zone must be lower.
+# Penalty of a backend in another zone than this balancer's.
 CROSS_ZONE_LOAD = 0.1
-# From this reported load over capacity on messages are late.
+# Above this reported load messages are late, and connections are moved away from the backend.
 OVERLOADED_LOAD = 1.0
-# Up to this reported load a backend has room again.
+# Up to this reported load a backend has room: an overloaded one is relieved down to it, one above it is not
+# probed for new setups, and the fleet is in trouble when too few backends are below it.
 RELIEVED_LOAD = 0.65
-# How long a reported load is used.
+# How long a reported load is used after its probe's answer.
 PROBED_LOAD_TTL_MS = 5000.0
 
-# Fraction of its class's aim that a setup waits for probe results.
+# Fraction of its class's target setup time that a setup waits for probe results.
 PROBE_WAIT_FRACTION = 0.15
-# How long a probe result counts as fresh, so that the backend is not probed again; a reported load may be as
-# old as this when it arrives.
+# How long a probe result counts as fresh, so that the backend is not probed again.  It is also taken as the
+# age that a reported load may already have when the answer arrives.
 PROBE_FRESH_MS = 1000.0
 
 # Time over which the clients of a leaving backend are moved.
@@ -134,17 +167,24 @@
     )
 
     def __init__(self, entry: interface.BackendEntry, rounding_offset: float = 0.0) -> None:
+        # The weight is the list's, and 1 where the list has none or the settings say ``live_weights``.
         self.id, self.entry, self.weight, self.ready = entry.backend, entry, 1.0, False
         self.hash = _hash(str(entry.backend))
-        self.weighted_probe_time = 0.0  # ms that the last answer to a probe took, times the weight
-        self.probed_at = -math.inf
-        self.probed_load = -1.0  # load over capacity as last reported, -1 where the backend reports none
+        # Time in ms that the last probe took, times the weight.
+        self.weighted_probe_time = 0.0
+        self.probed_at = -math.inf  # when the last probe was answered or given up
+        self.probed_load = -1.0  # load over capacity in the last answer to a probe, -1 if it had none
+        # No new setup goes to the backend before ``avoid_until``, after failures or when it is full.
+        # ``last_failure_at`` is the last failure that counts in ``failure_count``.  ``relieved_at`` is when
+        # connections were last moved away because the backend was overloaded.
         self.avoid_until = self.last_failure_at = self.slow_at = self.relieved_at = -math.inf
-        # The offset is random in [0, 1): it rounds this balancer's fractional share of the budget of a cold
-        # backend up or down by chance.
+        # ``failure_count`` counts failures in a row.  ``slowness`` is from 0 to 1: the message delay when
+        # last seen slow over the target delay, or 1 after a timeout or a refusal.  ``rounding_offset`` is
+        # random in [0, 1) and is added to this balancer's limit while the backend is cold: where the limit is
+        # below 1, some balancers may send a flow there and others none.
         self.failure_count, self.slowness, self.rounding_offset = 0, 0.0, rounding_offset
         self.leaving_since = math.inf  # when the list first said that it drains or is gone
-        self.flows: dict[int, Flow] = {}
+        self.flows: dict[int, Flow] = {}  # pending attempts and open connections of this balancer
 
 
 class Group:
@@ -152,11 +192,12 @@
 
     def __init__(self, key_hash: int) -> None:
         self.hash = key_hash
-        self.arrivals = 0.0  # decaying count
-        self.counted_at = 0.0
+        self.arrivals = 0.0  # count as of ``counted_at``, decaying with ARRIVAL_DECAY_MS
+        self.counted_at = 0.0  # time of the last arrival
         self.top_ranks: list[tuple[float, int]] = []  # score and backend id, best first
         self.open_by_backend: Counter[int] = Counter()  # this balancer's open connections of the group
-        # The plan: up to which fraction of the group's clients, cumulated, each backend serves.
+        # The plan, as (upper end, backend id): a backend serves the clients whose ``Flow.placement_hash`` as
+        # a fraction of 2**32 is above the upper end of the entry before and at most its own.
         self.planned_split: list[tuple[float, int]] = []
 
 
@@ -166,7 +207,7 @@
     __slots__ = (
         "attempt_count",
         "awaited_probes",
-        "backend",
+        "backend_id",
         "changed_at",
         "deadline",
         "group",
@@ -191,6 +232,9 @@
         deadline: float,
         uses_loose_cold_limit: bool,
     ):
+        # The deadline is a point in time: infinite for a connection from before this balancer's start, and
+        # minus infinity once the client has left.  ``uses_loose_cold_limit`` selects one of the two limits of
+        # ``Balancer._within_cold_limit``.
         self.id, self.request_class, self.group, self.deadline, self.uses_loose_cold_limit = (
             event.request,
             request_class,
@@ -198,22 +242,32 @@
             deadline,
             uses_loose_cold_limit,
         )
-        self.placement_hash = _hash(event.client_key or str(event.request)) >> 32  # 32 bits
+        # 32 bits: the client's position in the planned split of its group, and among the clients that may go
+        # to a cold backend.
+        self.placement_hash = _hash(event.client_key or str(event.request)) >> 32
         self.attempt_count = 0
         self.is_pending = False  # an attempt has started and has neither opened nor ended
         self.is_open = False
-        self.backend = -1  # of the last attempt
-        self.changed_at = 0.0  # last time at which it was probed for, attempted, opened or moved
+        self.backend_id = -1  # of the last attempt
+        # Time of the last change: start of a probe round or of an attempt, opening, or request to move.
+        self.changed_at = 0.0
         self.probe_rounds = 0
         self.opened_at = 0.0
-        self.work_rate = 1.0  # work a second, as last reported
+        # Work a second that the connection asks for, in the unit of ``interface.LoadReport``; 1 until
+        # reported.
+        self.work_rate = 1.0
         self.tried_backends: set[int] = set()
         self.awaited_probes: dict[int, None] = {}  # backends whose probe results it waits for, in order
-        self.possible_executions: list[tuple[Backend, float]] = []  # attempts that may have run, time sent
+        # Backends and start times of the attempts that may have run.
+        self.possible_executions: list[tuple[Backend, float]] = []
 
 
 class Throttle:
-    """Berger's throttle: an evenly refilled bank of C_T tokens and a buffer for C_J waiting setups."""
+    """Berger's throttle: a bank for C_T tokens, refilled at a rate set by the monitor, and a waiting buffer.
+
+    The buffer holds C_J setups.  While the throttle is off no token is needed and the buffer has no bound: it
+    then holds the setups for which there is no backend.
+    """
 
     def __init__(self) -> None:
         self.active = False
@@ -224,7 +278,12 @@
         self.waiting: list[Flow] = []  # highest priority first, oldest first within a priority
 
     def bank_capacity(self, now: float) -> float:
-        """Return C_T: few tokens at turn-on (a false alarm only delays), C_J + C_T if the overload lasts."""
+        """Return C_T, the most tokens that the bank holds.
+
+        At turn-on the bank is small and the waiting buffer large, so that after a false alarm setups wait and
+        few are refused.  If the overload lasts, the bank grows up to C_J + C_T and the buffer shrinks to 0:
+        setups beyond the token rate are then refused at once.
+        """
         return BANK_AT_TURN_ON_TOKENS + (BANK_AND_BUFFER_SLOTS - BANK_AT_TURN_ON_TOKENS) * min(
             1.0, max(0.0, (now - self.turned_on_at - BUFFER_SHRINK_DELAY_MS) / BUFFER_SHRINK_MS)
         )
@@ -248,6 +307,7 @@
         self.settings, self.random, self.throttle = settings, random.Random(seed), Throttle()
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.total_quota = sum(tenant.quota for tenant in settings.tenants)  # connections over all balancers
+        # Shortest target delay of a message among the classes, in ms; 100 ms where no class has one.
         self.shortest_target_delay = min(
             [
                 request_class.target_message_delay
@@ -257,29 +317,39 @@
             default=100.0,
         )
         self.backends: dict[int, Backend] = {}
-        self.ready_backends: list[Backend] = []  # by id
-        self.capacity_per_weight = math.inf  # connections that a backend of weight 1 can hold
-        self.recently_used: dict[int, Backend] = {}  # since the monitor's last run
+        self.ready_backends: list[Backend] = []  # in the order of their ids
+        # Connections that a backend of weight 1 can hold, infinite while unknown: estimated once from the
+        # quotas and the first list, and again after the caller has set it to infinity for other quotas.
+        self.capacity_per_weight = math.inf
+        # Backends by id that got an attempt since the monitor's last run or had flows at that run.
+        self.recently_used: dict[int, Backend] = {}
         self.groups: dict[int, Group] = {}  # by the hash of the key
         self.flows: dict[int, Flow] = {}
         self.flows_awaiting_probes: dict[int, Flow] = {}
-        self.arrivals = 0.0  # decaying count
+        # Requests and existing connections: a count as of ``arrivals_counted_at``, decaying with
+        # ARRIVAL_DECAY_MS.
+        self.arrivals = 0.0
         self.arrivals_counted_at = 0.0
         self.open_connections = 0
         self.recent_successes = 0.0  # decaying count of attempts that opened
-        self.recent_failures = 0.0  # decaying count of attempts that failed
+        # Decaying count of attempts that failed.  Error answers, cancelled and unsent attempts and those at
+        # leaving backends are not counted.
+        self.recent_failures = 0.0
         self.healthy_runs = 0  # of the monitor, in a row
-        self.list_backoff = MONITOR_INTERVAL_MS
+        self.list_backoff = MONITOR_INTERVAL_MS  # before the next call to the list service after a failed one
         self.plan_is_current = False
-        self.any_backend_warm = False
-        # Both decay over the overload window, the time after which an overload makes a backend collapse.
-        self.overload_window_arrivals = 0.0  # clients that came or lost their connection
-        self.mean_open_connections = 0.0  # connections that were open before
-        self.buffer_check_at = math.inf
+        self.any_backend_warm = False  # as of the last plan
+        # Clients that came or lost their connection: a count that decays over the overload window,
+        # ``Settings.overload_for``, at each run of the monitor.
+        self.overload_window_arrivals = 0.0
+        # Exponential average of ``open_connections`` over the same time.
+        self.mean_open_connections = 0.0
+        self.buffer_check_at = math.inf  # when the next timer for the waiting buffer is due
         self.monitor_started = False
         self.now = 0.0
         self.pending_actions = list[interface.Action]()
-        # By token of the timer.
+        # What a timer starts, by the number that ``interface.SetTimer`` calls its token; these have nothing
+        # to do with the tokens of the throttle.
         self.timers: dict[int, Any] = {
             0: self._drain_buffer,
             1: self._monitor,
@@ -307,6 +377,7 @@
         return self.pending_actions
 
     def _set_timer(self, wait: float, token: int) -> None:
+        """Ask for a timer in ``wait`` ms; ``token`` is its key in ``timers``."""
         self.pending_actions.append(interface.SetTimer(self.now + wait, token))
 
     def _jitter_factor(self) -> float:
@@ -314,16 +385,22 @@
         return 0.5 + self.random.random()
 
     def _on_list(self, event: interface.ListUpdate) -> None:
+        """Apply an update of the list, or call the list service again later if the call failed.
+
+        The first update, or failure, also starts the monitor.
+        """
         ask_every = self.settings.ask_every
         if not self.monitor_started:
             self.monitor_started = True
             self._set_timer(MONITOR_INTERVAL_MS * self._jitter_factor(), 1)
             if self.settings.must_subscribe:
-                # All balancers may start or restart together: spread their calls to the list service.
+                # All balancers may start or restart together: spread their calls to the list service, over
+                # 0.04 of its refresh interval for each balancer and at most 0.4 of it.
                 self._set_timer(
                     min(0.04 * self.settings.balancers, 0.4) * ask_every * self.random.random(), 2
                 )
         if event.kind is interface.ListKind.FAILED:
+            # Twice as long after each failure in a row, up to 0.2 of the refresh interval.
             self.list_backoff = min(2 * self.list_backoff, 0.2 * ask_every)
             self._set_timer(self.list_backoff * self._jitter_factor(), 2)
             return
@@ -410,30 +487,36 @@
     def _plan(self) -> None:
         """Assign each group's share of the total quota to backends, in the order of the group's ranking.
 
-        A backend is filled up to a bound; what is left goes to the next of the ranking.  The groups are taken
-        in the order of their hashes, so that balancers agree as far as they have seen the same groups.
+        A backend is filled up to a bound on its load; what is left goes to the next of the ranking, and what
+        no backend of the ranking has room for to the backend with the most room.  The groups are taken in the
+        order of their hashes, so that balancers agree as far as they have seen the same groups.
         """
         seen_groups = [
             (group, group.arrivals * math.exp((group.counted_at - self.now) / ARRIVAL_DECAY_MS))
             for group in sorted(self.groups.values(), key=lambda group: group.hash)
         ]
+        # At first the present capacity of each backend, in connections.
         room = {
             backend.id: self.capacity_per_weight * backend.weight * self._capacity_fraction(backend)
             for backend in self.ready_backends
         }
         # Good-Turing: the fraction of arrivals from groups seen once estimates that of groups not yet seen.
+        # A group whose count has decayed to 1 is taken for one seen once.  The 1.0 is an arrival of a group
+        # not yet seen; without it there would be a division by zero where all groups have been seen once.
         seen_total = 1.0 + sum(arrivals for _, arrivals in seen_groups)
         estimated_total = (
             seen_total
             * seen_total
             / (seen_total - sum(arrivals for _, arrivals in seen_groups if arrivals <= 1.0))
         )
+        # Load over capacity up to which a backend is filled.
         bound = max(
             TARGET_LOAD_FRACTION,
             TARGET_OVER_MEAN_FACTOR
             * (self.total_quota + GROUP_COST_CONNECTIONS * len(seen_groups))
             / max(1.0, sum(room.values())),
         )
+        # From here on the room that is left at each backend, in connections.
         room = {
             backend_id: bound * capacity - GROUP_COST_CONNECTIONS for backend_id, capacity in room.items()
         }
@@ -442,6 +525,8 @@
             group.planned_split = []
             share = self.total_quota * arrivals / estimated_total
             remaining = share
+            # A backend is used only if there is room for what remains, or for a part that is worth the group
+            # cost.
             for backend_id in (rank[1] for rank in self._ranking(group)):
                 if room[backend_id] >= min(remaining, GROUP_COST_CONNECTIONS):
                     assigned = min(remaining, room[backend_id])
@@ -462,7 +547,10 @@
         )
 
     def _capacity_fraction(self, backend: Backend) -> float:
-        """Return the fraction of its capacity that a backend has reached in its warm-up."""
+        """Return the fraction of its full capacity that a backend has reached in its warm-up.
+
+        It rises evenly from ``cold_from`` to 1 within ``cold_time``; a backend with an unknown start is warm.
+        """
         settings, age = self.settings, max(0.0, self.now - backend.entry.started)
         if backend.entry.started <= 0 or age >= settings.cold_time:
             return 1.0
@@ -471,35 +559,49 @@
     def _within_cold_limit(self, flow: Flow, backend: Backend) -> bool:
         """Return whether a cold backend may take one more of this balancer's flows; a warm one always may.
 
-        All balancers together could overload it, so each uses only its part of the backend's budget.
+        All balancers together could overload it, so each has a limit on its own flows there.  Capacities are
+        unknown here: the mean number of this balancer's connections at a ready backend stands for its part of
+        the full capacity.  ``Flow.uses_loose_cold_limit`` and ``any_backend_warm`` select one of two limits.
         """
         settings, capacity_fraction = self.settings, self._capacity_fraction(backend)
-        room = (
+        # This balancer's part of the number of connections at which the backend collapses.
+        limit = (
             settings.fall_multiple
             * capacity_fraction
             * max(self.open_connections, 1)
             / max(1, len(self.ready_backends))
         )
-        # Where loads are reported, all balancers see the same late report of an empty backend: only a part of
-        # the clients, chosen by hash, may go there, and only from groups that rank it high.
+        # Where loads are reported, all balancers get the same outdated report of an empty backend: only a
+        # part of the clients, chosen by hash, may go there, and only from groups that rank it high.
         selected = not settings.load_reported or (
             flow.placement_hash < COLD_BUDGET_FRACTION * capacity_fraction * 2**32
             and backend.id in [rank[1] for rank in flow.group.top_ranks[:PROBES_PER_ROUND]]
         )
         if flow.uses_loose_cold_limit or not self.any_backend_warm:
-            room = 1.0 + COLD_BUDGET_FRACTION * room + math.sqrt(COLD_BUDGET_FRACTION * room)
+            # The loose limit: one flow, so that the backend is used at all, plus a fraction of this number as
+            # the mean, plus its square root, about the standard deviation of a Poisson distribution with this
+            # mean.
+            limit = 1.0 + COLD_BUDGET_FRACTION * limit + math.sqrt(COLD_BUDGET_FRACTION * limit)
         else:
-            # The setups that make it collapse within the overload window, plus one, over all balancers.
-            # Random rounding of a fractional share gives their sum over all balancers a Poisson distribution.
-            room = (
-                room * settings.overload_for / max(1.0, settings.cold_time)
+            # The strict limit, for many clients that arrive at once.  Over all balancers its mean is the
+            # number of setups within one overload window that makes the backend collapse, plus one.  (At an
+            # even pace the connections of a whole warm-up make ``overload_for / cold_time`` of their number
+            # in one window.)  The random offset rounds a fractional limit up or down so that its mean stays.
+            # The balancers round independently, so where the limit is below 1 the sum is about Poisson
+            # distributed.
+            limit = (
+                limit * settings.overload_for / max(1.0, settings.cold_time)
                 + 1.0 / settings.balancers
                 + backend.rounding_offset
             )
-        return capacity_fraction >= 1.0 or (selected and len(backend.flows) + 1 <= room)
+        return capacity_fraction >= 1.0 or (selected and len(backend.flows) + 1 <= limit)
 
     def _eligible_backends(self, flow: Flow) -> list[Backend]:
-        """Return the backends that may take the flow: those of its group's plan first, then by rank."""
+        """Return the backends that may take the flow, best first.
+
+        First comes the backend that the plan assigns to this client, then the others of its group's plan,
+        then the rest of the group's ranking.
+        """
         group = flow.group
         if not self.plan_is_current:
             self._plan()
@@ -517,9 +619,13 @@
         ]
 
     def _choose_backend(self, flow: Flow) -> Backend | None:
-        """Return the least loaded eligible backend that reports its load.
+        """Return the backend for the next attempt, or None if no backend is eligible.
 
-        Where none reports, return the first of those probed that is not clearly slower than the quickest.
+        Among eligible backends with a recent reported load this is the one with the lowest sum of that load,
+        of the load of setups that the report cannot contain yet, and of the penalties for its rank, for
+        splitting the group and for another zone.  Where none has a recent reported load, it is the first of
+        the PROBES_PER_ROUND best that has no fresh probe result or whose result is not clearly slower than
+        the quickest of theirs.
         """
         eligible, fresh_since = self._eligible_backends(flow), self.now - PROBE_FRESH_MS
         if reporting := [
@@ -531,7 +637,8 @@
             rank_by_id = {rank[1]: position for position, rank in enumerate(flow.group.top_ranks)} | (
                 dict.fromkeys(flow.group.open_by_backend, 0)
             )
-            # Load of one setup that the report cannot contain: it may be PROBE_FRESH_MS old when it arrives.
+            # Estimated load of one connection over the capacity: the penalty for splitting a group is taken
+            # as the load of the group cost, which is GROUP_COST_CONNECTIONS average connections.
             load_per_connection = GROUP_SPLIT_LOAD / GROUP_COST_CONNECTIONS
             return min(
                 reporting,
@@ -539,6 +646,8 @@
                     backend.probed_load
                     + GROUP_SPLIT_LOAD * min(1, rank_by_id[backend.id])
                     + RANK_STEP_LOAD * rank_by_id[backend.id]
+                    # Setups that the report cannot contain: pending ones, and those that opened less than
+                    # PROBE_FRESH_MS before the answer, since the report may have been as old when it arrived.
                     + load_per_connection
                     * sum(
                         other.is_pending or other.opened_at > backend.probed_at - PROBE_FRESH_MS
@@ -565,9 +674,10 @@
         )
 
     def _may_repeat(self, flow: Flow, backend: Backend) -> bool:
-        """Return whether an attempt at the backend is free of a second effect.
+        """Return whether an attempt at the backend cannot take effect a second time.
 
-        After an attempt that may have run, a repeat must be safe, or must arrive at a backend that drops it.
+        After an attempt that may have run, a repeat must be safe, or must arrive in time at a backend that
+        recognises its idempotency key and drops it.
         """
         request_class, attribute = (
             flow.request_class,
@@ -595,6 +705,7 @@
         )
 
     def _create_flow(self, event: interface.Request | interface.ExistingConnection, deadline: float) -> Flow:
+        """Create the flow of a request or connection, and count it as an arrival."""
         group = self._group_for(event.group_key or event.client_key)
         group.arrivals = group.arrivals * math.exp((group.counted_at - self.now) / ARRIVAL_DECAY_MS) + 1.0
         self.arrivals = (
@@ -602,7 +713,11 @@
         )
         group.counted_at = self.arrivals_counted_at = self.now
         self.overload_window_arrivals += 1.0
-        # Whether so few clients arrive that a cold backend can take as many from each balancer.
+        # Arrivals are few if within one overload window no more come than the cold budgets of all backends at
+        # full capacity add up to: ``fall_multiple * overload_for / cold_time`` times the mean number of open
+        # connections (plus 1).  Then every flow uses the loose limit.  If more come, a flow uses it by
+        # chance, with the quotient as the probability, so that the flows with the loose limit are about that
+        # many.
         uses_loose_cold_limit = (
             self.random.random() * self.overload_window_arrivals * self.settings.cold_time
             < self.settings.fall_multiple * self.settings.overload_for * (1.0 + self.mean_open_connections)
@@ -618,21 +733,25 @@
         return flow
 
     def _on_existing_connection(self, event: interface.ExistingConnection) -> None:
+        """Take over a connection from before this balancer's start; the backend may be in no list so far."""
         flow = self._create_flow(event, math.inf)
-        flow.attempt_count, flow.backend = 1, event.backend
+        flow.attempt_count, flow.backend_id = 1, event.backend
         self.backends.setdefault(
             event.backend, Backend(interface.BackendEntry(event.backend, interface.State.GONE))
         )
         self._mark_open(flow)
 
     def _on_request(self, event: interface.Request) -> None:
+        # A midflow request continues work that has begun, so it needs no token of the throttle.
         if event.request not in self.flows:
             self._admit(self._create_flow(event, self.now + event.patience), event.midflow)
 
     def _send_probes(self, flow: Flow) -> bool:
         """Probe the backends that may take the flow, and return whether it now waits for the results.
 
-        Only the results show what the other balancers send to a backend.
+        This balancer counts only its own setups; a probe's result also shows the effect of the other
+        balancers'. A backend is left out if a recent result shows that it has no room, or shows no load
+        although loads are reported.  A single candidate is not probed, since there is nothing to choose.
         """
         wait, load_reported = (
             PROBE_WAIT_FRACTION * flow.request_class.target_setup_time,
@@ -670,9 +789,11 @@
     def _expire_probes(self) -> None:
         """Treat probes without an answer in time as failed, so that their setups go on.
 
-        Such a backend is busy or away.
+        Such a backend is busy or cannot be reached; the failure counts for every flow that waits for it.
         """
         for flow in list(self.flows_awaiting_probes.values()):
+            # The tolerance of 0.01 ms is for timers that seem early because times are rounded to
+            # microseconds.
             for backend_id in (
                 list(flow.awaited_probes)
                 if self.now
@@ -682,12 +803,18 @@
                 self._on_probe_result(interface.ProbeResult(backend_id, -1.0))
 
     def _admit(self, flow: Flow, midflow: bool = False) -> None:
-        """The ordinary path: a token starts an attempt; without one the flow waits, or is refused."""
+        """The ordinary path: a token starts an attempt; without one the flow waits, or is refused.
+
+        With ``midflow`` no token is needed.
+        """
         if not (midflow or self.throttle.take_token(self.now)) or not self._start_attempt(flow):
             self._buffer(flow)  # also where no backend is eligible, as long as there is time
 
     def _buffer(self, flow: Flow) -> None:
-        """Put the flow into the waiting buffer, and refuse the last one where the buffer is too full."""
+        """Put the flow into the waiting buffer; if the throttle is on and it is too full, refuse the last.
+
+        The last flow is the newest of the lowest priority.
+        """
         throttle = self.throttle
         insort(throttle.waiting, flow, key=lambda other: -other.request_class.priority)
         if throttle.active and len(throttle.waiting) > BANK_AND_BUFFER_SLOTS - throttle.bank_capacity(
@@ -697,7 +824,10 @@
         self._arm_buffer_timer()
 
     def _start_attempt(self, flow: Flow, probed: bool = False) -> bool:
-        """Start an attempt, after probes where these are needed; return False if no backend is eligible."""
+        """Start an attempt, after probes where these are needed; return False if no backend is eligible.
+
+        With ``probed`` the flow has just had its probe results and starts without another round.
+        """
         if not probed and self._send_probes(flow):
             return True  # the attempt starts when the probes are answered
         backend = self._choose_backend(flow)
@@ -708,13 +838,14 @@
             flow.attempt_count + 1 < self.settings.max_attempts
             and flow.request_class.effect is interface.Effect.SAFE
         )
-        # Half of the time for one attempt: a backend that hangs must leave time for the next rank.
+        # An attempt that may be followed by another gets half of the time that is left, or the target setup
+        # time if that is longer: a backend that hangs must leave time for the next rank.
         timeout = (
             max(0.5 * time_left, min(time_left, flow.request_class.target_setup_time))
             if may_retry
             else time_left
         )
-        flow.is_pending, flow.backend, flow.changed_at, flow.attempt_count = (
+        flow.is_pending, flow.backend_id, flow.changed_at, flow.attempt_count = (
             True,
             backend.id,
             self.now,
@@ -726,7 +857,10 @@
         return True
 
     def _refusal_margin(self, flow: Flow) -> float:
-        """Return how many ms before its deadline a waiting flow is refused, so that the answer is in time."""
+        """Return how many ms before its deadline a waiting flow is refused, so that the answer is in time.
+
+        This is 50 ms, plus four ticks for timers that fire late, but at most 0.3 of the class's deadline.
+        """
         return min(50.0 + 4 * self.settings.tick, 0.3 * flow.request_class.deadline)
 
     def _refuse(self, flow: Flow) -> None:
@@ -736,6 +870,7 @@
         have run and the repeat could take effect a second time.
         """
         self.flows.pop(flow.id, None)
+        # 1.5 is the largest jitter factor, so that ``retry_after`` is never above ``max_retry_after``.
         request_class, retry_after = (
             flow.request_class,
             self.settings.max_retry_after * self._jitter_factor() / 1.5,
@@ -760,8 +895,9 @@
         flow = self.flows.get(event.request)
         if flow is None or not flow.is_pending or event.attempt != flow.attempt_count - 1:
             return
-        backend = self.backends[flow.backend]
-        # A success of an attempt that started before the last failure says nothing about the backend now.
+        backend = self.backends[flow.backend_id]
+        # The success of an attempt that started before the last failure does not show the backend's present
+        # state.
         if flow.changed_at > backend.last_failure_at:
             backend.failure_count = 0
             backend.avoid_until = -math.inf
@@ -775,16 +911,17 @@
         flow.opened_at = self.now
         flow.tried_backends.clear()
         self.open_connections += 1
-        flow.group.open_by_backend[flow.backend] += 1
-        self.recently_used[flow.backend] = backend = self.backends[flow.backend]
+        flow.group.open_by_backend[flow.backend_id] += 1
+        self.recently_used[flow.backend_id] = backend = self.backends[flow.backend_id]
         backend.flows[flow.id] = flow
 
     def _on_delay_report(self, event: interface.DelayReport) -> None:
         flow = self.flows.get(event.request)
         if flow is None or not flow.is_open or event.delay < SLOW_DELAY_FRACTION * self.shortest_target_delay:
             return
+        # At most twice the target counts.  Where loads are reported, they decide about moves instead.
         backend, delay_over_target = (
-            self.backends[flow.backend],
+            self.backends[flow.backend_id],
             min(2.0, event.delay / self.shortest_target_delay),
         )
         backend.slow_at, backend.slowness = self.now, min(1.0, delay_over_target)
@@ -793,13 +930,15 @@
         )
 
     def _on_load_report(self, event: interface.LoadReport) -> None:
+        # The work of one connection, not the load of a backend, which comes with ProbeResult.
         if event.request in self.flows:
             self.flows[event.request].work_rate = event.load
 
     def _on_backend_silent(self, event: interface.BackendSilent) -> None:
-        """Move all flows off the backend and send nothing new there.
+        """Send nothing new to the backend for a while, and move its connections away as far as possible.
 
-        A slow backend answers late; this one answers nobody.
+        Connections that opened only just now, or for which no other backend is eligible, stay.  A slow
+        backend answers late; this one does not answer at all.
         """
         if backend := self.backends.get(event.backend):
             if backend.avoid_until <= self.now:
@@ -818,6 +957,7 @@
             flow.awaited_probes.pop(event.backend, None)
             if not flow.awaited_probes:
                 del self.flows_awaiting_probes[flow.id]
+                # With reported loads another round may follow, since a result may show that there is no room.
                 if not self._start_attempt(flow, probed=not self.settings.load_reported):
                     self._buffer(flow)
 
@@ -828,17 +968,17 @@
         max_load: float = math.inf,
         started_after: float = -math.inf,
     ) -> bool:
-        """Move the connection with this probability, if it has stayed long enough.
+        """Ask the client to reconnect with this probability, if the connection has stayed long enough.
 
-        It moves only if the backend that it would get now is another one, reports less load than ``max_load``
-        and has started later than ``started_after``.  Return whether it moves.
+        This is done only if the backend that it would get now is another one, with a reported load below
+        ``max_load`` and a start after ``started_after``.  Return whether it moves.
         """
         moves = (
             flow.is_open
             and self.now - flow.changed_at > MIN_STAY_MS
             and self.random.random() < probability
             and (backend := self._choose_backend(flow)) is not None
-            and backend.id != flow.backend
+            and backend.id != flow.backend_id
             and backend.probed_load < max_load
             and backend.entry.started > started_after
         )
@@ -865,7 +1005,10 @@
                 ]
 
     def _relieve_overloaded_backends(self) -> None:
-        """Move the load above the relieved level away from each overloaded backend, group by group."""
+        """Move the load above RELIEVED_LOAD away from each overloaded backend, group by group.
+
+        A backend is not relieved again for two times PROBE_FRESH_MS, until a report shows the effect.
+        """
         for backend in self.ready_backends:
             if (
                 backend.probed_load > OVERLOADED_LOAD
@@ -890,6 +1033,7 @@
                 self._maybe_move(flow, MOVE_PROBABILITY, started_after=flow.opened_at)
 
     def _on_ended(self, event: interface.Ended) -> None:
+        """Record how an attempt or a connection ended; after a failed attempt retry, wait or refuse."""
         flow, backend = self.flows.get(event.request), self.backends.get(event.backend)
         if (
             flow is None
@@ -917,31 +1061,38 @@
         ):
             self._refuse(flow)
         elif event.outcome is not interface.Outcome.CONNECT_FAILED or not self._start_attempt(flow):
-            self._admit(flow)  # each further attempt takes a token: retries would add to an overload
+            # A retry takes a token, since it adds to an overload.  One after a failed connect, which has cost
+            # the backend no work, starts without a token where another backend is eligible.
+            self._admit(flow)
 
     def _record_outcome(self, backend: Backend, outcome: interface.Outcome, was_open: bool) -> None:
-        """Record a failure, and skip the backend for a while where it is to blame.
+        """Count a failure, and send nothing new to the backend for a while where the backend is the cause.
 
-        One failed backend concerns itself only; the monitor reacts to how many there are.
+        The failure of one backend does not turn the throttle on; the monitor does that if there are many.
         """
         if (
             outcome in (interface.Outcome.OK, interface.Outcome.CANCELLED, interface.Outcome.UNSENT)
             or self.now >= backend.leaving_since
         ):
             return  # connections that a backend drops as it leaves are no failure
-        self.overload_window_arrivals += was_open  # its clients come again at once, at any balancer
+        # The client of a connection that breaks off reconnects at once, at any balancer.
+        self.overload_window_arrivals += was_open
         # A backend that breaks connections off at once is not overloaded; a full or slow one is.
         if outcome in (interface.Outcome.FULL, interface.Outcome.TIMEOUT):
             backend.slow_at = self.now
             backend.slowness = 1.0
         self.recent_failures += not was_open and outcome is not interface.Outcome.ERROR
         if outcome is interface.Outcome.FULL:
+            # A full backend is avoided for 100 to 300 ms however often it was full.
             backend.avoid_until = self.now + 200.0 * self._jitter_factor()
         elif outcome is not interface.Outcome.ERROR:  # an error costs little and may be the request's fault
             self._skip_backend(backend)
 
     def _skip_backend(self, backend: Backend) -> None:
-        """Send nothing new to the backend for a time that doubles with each failure in a row."""
+        """Send nothing new to the backend for a time that doubles with each failure in a row.
+
+        From the fifth failure on it is 32 connect timeouts, jitter aside.
+        """
         backend.failure_count, backend.last_failure_at = min(backend.failure_count + 1, 5), self.now
         backend.avoid_until = max(
             backend.avoid_until,
@@ -958,7 +1109,10 @@
             self.throttle.waiting = [other for other in self.throttle.waiting if other is not flow]
 
     def _arm_buffer_timer(self) -> None:
-        """Set a timer for the next token or for the next refusal of a waiting flow, whichever is first."""
+        """Set a timer for the next token or for the next refusal of a waiting flow, whichever is first.
+
+        It is due within 100 ms in any case, since a backend may become eligible at any time.
+        """
         throttle, wait = self.throttle, 100.0
         if not throttle.waiting:
             return
@@ -971,11 +1125,13 @@
             self._set_timer(wait, 0)
 
     def _drain_buffer(self) -> None:
-        """Start waiting flows for which there is a token.
+        """Start the waiting flows for which there are a token and an eligible backend.
 
-        Refuse those that near their deadline and those for which a buffer that shrank has no place.
+        Flows close to their deadline are refused, and so are the last ones where the buffer has become
+        smaller than the number of waiting flows.
         """
-        if self.now >= self.buffer_check_at - 0.01:  # times are rounded to us: a timer may seem early by less
+        # Times are rounded to microseconds, so a timer may seem early, by less than these 0.01 ms.
+        if self.now >= self.buffer_check_at - 0.01:
             self.buffer_check_at = math.inf
         throttle, still_waiting = self.throttle, list[Flow]()
         for flow in throttle.waiting:
@@ -994,10 +1150,13 @@
         self._arm_buffer_timer()
 
     def _monitor(self) -> None:
-        """Turn the throttle on or off and set its rate r, by how many of the backends in use are in trouble.
+        """Turn the throttle on or off and set its token rate by the pressure.
 
-        It also brings the plan up to date and moves connections where a backend leaves, is overloaded or has
-        just started.
+        The pressure is the larger of two fractions: the failed part of recent attempts, and the troubled part
+        of the backends in use, in which each slow backend counts with its slowness.  Where backends report
+        loads, the troubled fraction is 1 if at most a quarter of them have room, else 0.  The monitor also
+        brings the plan up to date and moves connections where a backend leaves, is overloaded or has just
+        started.
         """
         self._set_timer(MONITOR_INTERVAL_MS, 1)
         self._plan()
@@ -1028,6 +1187,7 @@
             # Reported loads show directly whether there is room; room at a quarter of the backends is enough.
             troubled_fraction = float(reported_loads[len(reported_loads) // 4] >= RELIEVED_LOAD)
         self.recently_used = {backend.id: backend for backend in self.recently_used.values() if backend.flows}
+        # At 0.75 a run the counts decay with a time constant of about 3.5 runs of the monitor.
         self.recent_successes, self.recent_failures = (
             0.75 * self.recent_successes,
             0.75 * self.recent_failures,
@@ -1037,6 +1197,7 @@
             if self.recent_failures > MIN_FAILURE_COUNT
             else 0.0
         )
+        # Slowness that adds up to no more than one wholly slow backend is no overload of the fleet.
         pressure = max(
             failed_fraction,
             troubled_fraction
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -377,7 +377,7 @@
         ):
             flow, key = harness.balancer.flows[request], f"g{request * 7 % 13}"
             harness.handle_event(
-                interface.Ended(request, 0, flow.backend, interface.Outcome.CANCELLED, 5.0, True)
+                interface.Ended(request, 0, flow.backend_id, interface.Outcome.CANCELLED, 5.0, True)
             )
             moves.append(
                 sends(
