--- a/snowwick/broker/admission.py
+++ b/snowwick/broker/admission.py
@@ -3,6 +3,22 @@
 The module does no I/O; times are seconds on the caller's clock.  An admitted connection is a ``Lease``, which
 the caller releases once.  State is kept for each team, class and established connection; of refused clients
 only a fingerprint and a retry time are kept, in a table of fixed size.
+
+A contract is what the operators' file grants a team in the whole fleet (``contract`` reads it); the limits
+here are one balancer's part of the contracts.  Connections, setups a second and load are limited separately.
+
+- Guarantee: what a team may use at any time; where too much of it is lent, borrowers' connections are moved.
+- Ceiling: the most that a team, or a class of it, may use.
+- Lending: any team may borrow what teams leave unused of their guarantees and what is guaranteed to none.
+- Lending reserve: the fraction of the unused guarantees that is not lent, so that a team's first requests
+  find room before any connection has been moved.
+- Reclaiming: clients of the team that borrows most for its weight are asked to reconnect, newest first, until
+  there is room for what is guaranteed and reserved.  Connections over a ceiling or in a wrong pool also move.
+- Reservation: room that is kept for a refused team until its client should have retried.  A team gets it if
+  it stays within its guarantee, or would still borrow no more for its weight than the largest borrower; the
+  rule is ``Budget.reserve_room``.
+- Retry slot: the time at which a refused client is asked to retry.  ``retry_queue`` books slots at the rate
+  at which the class has been admitting clients; who retries at its slot goes before clients without one.
 """
 
 from __future__ import annotations
@@ -19,24 +35,34 @@
 
 DEFAULT_MAX_RETRY_AFTER_S = 60.0  # where the settings set no bound
 RESERVATION_GRACE_S = 1.0  # how long a reservation outlasts the longest retry time
-RECLAIM_INTERVAL_S = 0.05  # between reclaim rounds while connections have to be moved
-FAIR_RATE_GAIN_PER_S = 0.5  # how fast the fair rate follows the use of the burst
+# Time between reclaim rounds while connections have to be moved; a round moves as many as the reclaim rate
+# has saved up in one interval.
+RECLAIM_INTERVAL_S = 0.05
+# Relative change of the fair rate per second: up while the whole burst is unused, down while none of it is.
+FAIR_RATE_GAIN_PER_S = 0.5
 MAX_FAIR_RATE_STEP_S = 0.25  # most time that one update of the fair rate accounts for
-IDLE_BURST_FRACTION = 0.9  # unused part of the fleet's burst from which borrowing is not limited
-# Part of a burst that is left for clients with a retry slot by clients without one.
+# While at least this fraction of the fleet limiter's burst is unused, teams may borrow up to their ceilings.
+IDLE_BURST_FRACTION = 0.9
+# While clients wait for their retry slots, a client without one passes a rate limit only if this fraction of
+# the limit's burst stays unused, for the clients with a slot.
 RETRY_BURST_FRACTION = 0.5
-# The reclaim rate is sized for at least this part of all connections, since it also serves the teams that
-# share what lies beyond the guarantees.
+# The reclaim rate can move the sum of all guarantees within ``reclaim_within_s``, and at least this fraction
+# of all connections: moves also even out what teams borrow beyond their guarantees.
 MIN_RECLAIMABLE_FRACTION = 0.25
-# Part of a ceiling that is left for clients with a retry slot by clients without one.
+# A client without a retry slot likewise leaves this fraction of the connections free: of the team's ceiling,
+# or of the balancer's limit if that is lower.
 RETRY_CONNECTION_FRACTION = 0.03
-MAX_RETRY_CONNECTIONS = 4  # upper bound of that part
-MIN_CEILING_FOR_RETRY_CONNECTIONS = 20  # connections; below it that part is 0
+MAX_RETRY_CONNECTIONS = 4  # upper bound of the connections left free
+MIN_CEILING_FOR_RETRY_CONNECTIONS = 20  # connections; below this ceiling or limit none are left free
 
 
 @dataclass(slots=True, frozen=True)
 class ClassLimits:
-    """The limits of a request class: its part of the team's ceilings, and the longest wait of a request."""
+    """The limits of a request class: its part of the team's ceilings, and the longest wait of a request.
+
+    ``max_wait_ms`` is not used in this module: the caller limits the time for which an admitted request may
+    wait for its connection.
+    """
 
     ceiling_fraction: float = 1.0
     max_wait_ms: float = math.inf
@@ -44,7 +70,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TeamLimits:
-    """A team's limits at this balancer as (guarantee, ceiling); without ``classes`` any class is admitted."""
+    """A team's limits at this balancer as (guarantee, ceiling); without ``classes`` any class is admitted.
+
+    ``load`` is work a second in the unit of the destinations' LOAD lines.  What lies beyond the guarantees is
+    shared in proportion to ``weight``.  ``pool`` names the destinations that serve the team; after it has
+    changed, the team's connections in the old pool are moved.
+    """
 
     connections: tuple[float, float]
     setups_per_s: tuple[float, float]
@@ -56,19 +87,19 @@
 
 @dataclass(slots=True, frozen=True)
 class BalancerLimits:
-    """All limits that this balancer enforces."""
+    """All limits that this balancer enforces: its part of the fleet's limits, and the teams' limits."""
 
     connections: float
     setups_per_s: float
     teams: Mapping[str, TeamLimits]
-    load: float = math.inf
+    load: float = math.inf  # work a second in the unit of the destinations' LOAD lines
     burst_s: float = 1.0  # seconds' worth of a rate that may pass at once
     reclaim_within_s: float = 10.0  # time in which a team gets its whole guarantee back
     lending_reserve_fraction: float = 0.1  # part of the unused guarantees that is not lent
 
 
 class ClassState(RetryQueue):
-    """One request class of a team: its limits, its connections, and the retry slots of its clients."""
+    """One request class of a team: its limits, its connections, and the queue of its clients' retry slots."""
 
     __slots__ = ("ceiling_limiter", "connections", "fingerprint_salt", "max_connections", "max_wait_ms")
 
@@ -76,13 +107,13 @@
         super().__init__()
         self.connections = 0
         self.max_connections = math.inf
-        self.max_wait_ms = math.inf
-        self.ceiling_limiter: Gcra | None = None  # None where the class may use the whole of the team's rate
+        self.max_wait_ms = math.inf  # for the caller
+        self.ceiling_limiter: Gcra | None = None  # None where the class may use the team's whole rate
         self.fingerprint_salt = crc32(f"{team}\0{name}\0".encode())
 
 
 class TeamState:
-    """One team: its shares, rates and classes, and its established connections, oldest first."""
+    """One team: its use of the budgets, its rate limiters, its classes and the leases that can be moved."""
 
     __slots__ = (
         "accepts_any_class",
@@ -108,18 +139,26 @@
             True,
             0,
         )
+        # What the team uses and may use of the budgets of connections and of load.
         self.connection_share, self.load_share = TeamShare(self), TeamShare(self)
+        # Rate 0 and burst 1 until the limits are set.
         self.guarantee_limiter, self.ceiling_limiter = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
-        # Like Gcra.theoretical_arrival and Gcra.interval_s, for the borrowed rate, which always changes.
+        # A limiter for setups beyond the guarantee, in the terms of ``Gcra``: the theoretical arrival time of
+        # the next one and the time between two.  It is no ``Gcra`` since its rate is another at each request.
         self.borrowed_theoretical_arrival = -math.inf
         self.borrowed_interval_s = 0.0
         self.classes: dict[str, ClassState] = {}
+        # Established connections whose clients have not been asked to move, oldest first.
         self.movable_leases: dict[Lease, None] = {}
 
 
 @dataclass(slots=True, eq=False)
 class Lease:
-    """One admitted connection.  ``owner`` is the caller's object and is not used here."""
+    """One admitted connection.  ``owner`` is the caller's object and is not used here.
+
+    ``pool`` is the team's pool at the admission.  ``load`` is the last reported load in work a second, 0
+    before the first report.
+    """
 
     owner: object
     team: TeamState
@@ -127,13 +166,21 @@
     pool: str
     load: float = 0.0
     load_reported: bool = False
-    active: bool = True
+    active: bool = True  # not released
     draining: bool = False  # its client has been asked to move
 
 
 @dataclass(slots=True)
 class Refusal:
-    """A refused request: the reason code, the name of the limit, and the time after which to retry."""
+    """A refused request: the reason code, the name of the limit, and the time after which to retry.
+
+    The pairs of reason and limit are:
+
+    - ``no-contract``: ``team`` (unknown or removed) or ``class`` (not among the team's classes)
+    - ``over-class``: ``rate`` or ``connections``, the part of the team's ceiling that its class may use
+    - ``over-rate``, ``over-connections`` and ``over-load``: ``team`` (the team's ceiling) or ``fleet`` (this
+      balancer's part of the fleet's limit, as far as the team may borrow from it)
+    """
 
     reason: str
     limit: str
@@ -151,13 +198,16 @@
             max_retry_after_s if max_retry_after_s > 0 else DEFAULT_MAX_RETRY_AFTER_S,
         )
         self.teams: dict[str, TeamState] = {}
+        # Limits and lending reserves are 0 until ``apply`` sets them; connections are counted in whole units.
         self.connection_budget, self.load_budget = Budget(0.0, 0.0, True), Budget(0.0, 0.0, False)
+        # Limiters of this balancer's part of the fleet's setups a second, and of the moves; rate 0 and burst
+        # 1 until ``apply`` sets them.
         self.fleet_limiter, self.reclaim_limiter = Gcra(0.0, 1.0), Gcra(0.0, 1.0)
         self.retry_table = RetryTable()
         # Setups a second that a team of weight 1 may borrow while all teams borrow, and when it was updated.
         self.fair_rate = self.fair_rate_updated_at = 0.0
         self.misplaced_leases: dict[Lease, None] = {}  # in a pool that is no longer their team's
-        self.teams_to_check: dict[TeamState, None] = {}  # to be checked: these may exceed a ceiling
+        self.teams_to_check: dict[TeamState, None] = {}  # may exceed a ceiling; ``reclaim`` checks them
         self.now = 0.0
         self.apply(limits, 0.0)
 
@@ -166,8 +216,8 @@
     def apply(self, limits: BalancerLimits, now: float) -> None:
         """Enforce other limits from now on.
 
-        Admitted connections stay counted; those over the new limits are moved at the reclaim rate.  The state
-        of that rate is kept: two changes in a row allow no more moves than one.
+        Admitted connections stay counted; those over the new limits are moved at the reclaim rate.  The
+        reclaim limiter is not reset, so that repeated changes of the limits do not allow additional moves.
         """
         self.limits, now = limits, self._advance_clock(now)
         self.has_load_limit = limits.load < math.inf or any(
@@ -188,6 +238,7 @@
             reclaimable_connections / limits.reclaim_within_s,
             max(1.0, reclaimable_connections / limits.reclaim_within_s * RECLAIM_INTERVAL_S),
         )
+        # The fair rate starts at an equal share of the whole rate by weight; a lower one is raised to it.
         total_weight = sum(team_limits.weight for team_limits in limits.teams.values())
         self.fair_rate = min(
             max(self.fair_rate, limits.setups_per_s / max(1.0, total_weight)), limits.setups_per_s
@@ -201,6 +252,7 @@
             budget.update_uncontended_total()
 
     def _set_team_limits(self, team: TeamState, team_limits: TeamLimits, now: float) -> None:
+        """Set the limits of a team and of its classes; all classes stay if any class is admitted."""
         burst_s = self.limits.burst_s
         if team_limits.pool != team.pool:
             self.misplaced_leases.update(
@@ -236,6 +288,7 @@
             class_state.max_connections = math.inf
             return
         rate = class_limits.ceiling_fraction * team_limits.setups_per_s[1]
+        # At least one connection; 1e-9 is for rounding errors of a product that should be whole.
         class_state.max_connections = max(
             1.0, math.floor(class_limits.ceiling_fraction * team_limits.connections[1] + 1e-9)
         )
@@ -256,7 +309,7 @@
             self.teams_to_check.pop(team, None)
 
     def _advance_clock(self, now: float) -> float:
-        """The time to go by: a clock that steps back counts as standing still."""
+        """The time ``now``, or the latest earlier one: a clock that steps back counts as standing still."""
         if now > self.now:
             self.now = now
         return self.now
@@ -291,7 +344,8 @@
             retry_at = self.retry_table.find(fingerprint, now)
         load = self._expected_load(team) if self.has_load_limit else 0.0
         slot_reached = retry_at is not None and now >= retry_at - EARLY_TOLERANCE_S
-        # A client without a slot leaves room for those with one, unless its team is within its guarantee.
+        # While clients wait for their slots, a client without one, or one that retries before its slot,
+        # leaves room for them, unless its team is within its guarantee.
         leave_room = (
             slots_pending
             and not slot_reached
@@ -313,11 +367,11 @@
         if limit == "fleet":
             self._reserve_room(now, team, load, reason)
         if retry_at is not None and not slot_reached:
-            # A client that retries early keeps its slot: it is not admitted sooner and gets no second slot.
+            # A client that is refused before its slot keeps this slot and gets no second one.
             return Refusal(reason, limit, retry_at - now)
         fingerprint = fingerprint or self.retry_table.fingerprint(class_state.fingerprint_salt, key)
         if not rate:
-            # This limit has no rate of its own: the slot rate follows from recent admissions.
+            # This limit has no rate of its own, or the rate 0: the slot rate follows from recent admissions.
             rate = class_state.slot_rate(now)
         if slot_reached:  # no room at its slot: the client gets another soon, not one at the end of the queue
             class_state.record_retry(False)
@@ -339,7 +393,7 @@
         return self._create_lease(owner, team, class_state)
 
     def _find_class(self, team: TeamState, name: str) -> ClassState | None:
-        """The state of a class; it is created where the team's contract names no classes."""
+        """The state of a class; it is created where the team's limits name no classes."""
         if name not in team.classes and team.accepts_any_class:
             team.classes[name] = ClassState(team.name, name)
         return team.classes.get(name)
@@ -354,9 +408,11 @@
     def _exceeded_limit(
         self, now: float, team: TeamState, class_state: ClassState, load: float, leave_room: bool
     ) -> tuple[str, str, float] | None:
-        """The limit that refuses a request, if any: reason code, name, and its rate (0 where it has none).
+        """The first limit that refuses a request, if any: reason code, name, and rate in setups a second.
 
-        With ``leave_room`` the request also has to leave some room for clients with a retry slot.
+        The rate is 0 for a limit that has no rate of its own, but also for a ceiling of 0 setups a second.  A
+        setup within the team's guaranteed rate passes whatever is left of the fleet's rate.  With
+        ``leave_room`` the request also has to leave some room for clients with a retry slot.
         """
         ceiling_limiter = class_state.ceiling_limiter
         if ceiling_limiter is not None and not (
@@ -388,7 +444,7 @@
         return None
 
     def _connections_for_retries(self, team: TeamState) -> int:
-        """How many connections are left for clients with a retry slot."""
+        """How many connections a client without a retry slot has to leave free for those with one."""
         ceiling = min(team.connection_share.ceiling, self.connection_budget.limit)
         return (
             min(MAX_RETRY_CONNECTIONS, math.ceil(RETRY_CONNECTION_FRACTION * ceiling))
@@ -397,12 +453,13 @@
         )
 
     def _may_borrow_rate(self, now: float, team: TeamState, leave_room: bool) -> bool:
-        """Whether a setup beyond the team's guaranteed rate may pass.
+        """Whether a setup beyond the team's guaranteed rate may pass; also brings the fair rate up to date.
 
-        While almost none of the fleet's burst is used, any setup may.  Otherwise each team may borrow up to
-        the fair rate times its weight.  The fair rate rises while more than half of the burst is unused and
-        falls while less is (the fair share of core-stateless fair queueing, Stoica et al. 1998, found by
-        feedback).
+        While almost none of the fleet's burst is used, any setup may pass.  Otherwise each team may borrow up
+        to the fair rate times its weight, and ``team.borrowed_interval_s`` is set to the interval between two
+        setups at this rate, which ``_charge_and_create_lease`` charges.  The fair rate rises while more than
+        half of the burst is unused and falls while less is (the fair share of core-stateless fair queueing,
+        Stoica et al. 1998, found by feedback).
         """
         fleet_limiter = self.fleet_limiter
         used_s = fleet_limiter.theoretical_arrival - now
@@ -421,17 +478,21 @@
                 * min(MAX_FAIR_RATE_STEP_S, elapsed_s)
                 * (2.0 * max(0.0, unused_fraction) - 1.0)
             )
+            # The lower bound keeps it above 0, from where it could not rise again.
             self.fair_rate = min(max(fair_rate, 1e-4 * setups_per_s), setups_per_s)
         if unused_fraction >= IDLE_BURST_FRACTION:
             return True
-        # The fair rate keeps the burst about half used: clients without a slot need room within that half.
+        # While teams borrow, about half of the burst is used, since the fair rate is controlled so.  If
+        # clients without a slot had to leave half of it, they would hardly ever pass; so they leave a
+        # quarter.
         if not (
             fleet_limiter.conforms_leaving(now, RETRY_BURST_FRACTION / 2.0)
             if leave_room
             else fleet_limiter.conforms(now)
         ):
             return False
-        # The unused part also counts directly: through the fair rate alone the feedback would oscillate.
+        # The factor of 0.5 to 1.5 is the proportional term of the control, and the fair rate is the integral
+        # term; with that alone the control would oscillate.
         borrowed_rate = self.fair_rate * team.connection_share.weight * (0.5 + unused_fraction)
         team.borrowed_interval_s = 1.0 / borrowed_rate
         return (
@@ -442,7 +503,11 @@
     def _charge_and_create_lease(
         self, now: float, owner: object, team: TeamState, class_state: ClassState
     ) -> Lease:
-        """Count an admitted request against the rate limits, and create its lease."""
+        """Charge an admitted request to the rate limiters, and create its lease.
+
+        A setup beyond the guarantee is charged the interval that was set when the team's borrowing was last
+        limited, also while borrowing is not limited; before the first time this is 0.
+        """
         if team.guarantee_limiter.conforms(now):
             team.guarantee_limiter.consume(now)
         else:
@@ -462,7 +527,12 @@
         return Lease(owner, team, class_state, team.pool)
 
     def _reserve_room(self, now: float, team: TeamState, load: float, reason: str) -> None:
-        """Reserve the room that is freed next for a team that was refused, if it is entitled to it."""
+        """Reserve room for a team that was refused by the fleet's limit, where it has a right to more.
+
+        It has this right if it stays within its guarantee, or would not exceed the level of the largest
+        borrower (``Budget.reserve_room``).  Reclaiming then frees the room.  It would not help against a
+        limit of the team's own.
+        """
         until = now + self.max_retry_after_s + RESERVATION_GRACE_S
         if reason == "over-connections":
             self.connection_budget.reserve_room(until, team.connection_share, 1.0)
@@ -486,7 +556,7 @@
                 self.misplaced_leases[lease] = None
 
     def update_load(self, lease: Lease, reported_load: float) -> None:
-        """Set the load that a connection causes now."""
+        """Set the load that a connection causes now, in work a second."""
         if not lease.active:
             return
         team, change = lease.team, reported_load - lease.load
@@ -521,13 +591,16 @@
     # -- reclaiming --------------------------------------------------------------------------------------
 
     def reclaim_delay_s(self) -> float | None:
-        """Time until ``reclaim`` should be called, or None while no connection has to be moved."""
+        """Time until ``reclaim`` should be called, or None while there is nothing to reclaim.
+
+        It counts from the latest ``now`` that was given to any method.
+        """
         return (
             max(RECLAIM_INTERVAL_S, self.reclaim_limiter.wait_s(self.now)) if self.needs_reclaim() else None
         )
 
     def needs_reclaim(self) -> bool:
-        """Whether any connection has to be moved."""
+        """Whether any connection has to be moved, or a team may exceed a ceiling and has to be checked."""
         return (
             bool(self.misplaced_leases or self.teams_to_check)
             or self.connection_budget.share_to_reclaim_from() is not None
@@ -539,7 +612,7 @@
         now = self._advance_clock(now)
         self.connection_budget.expire_reservations(now)
         self.load_budget.expire_reservations(now)
-        moved: list[Lease] = []
+        leases_to_move: list[Lease] = []
         while (
             self.reclaim_limiter.conforms(now)
             and (lease := next(self._candidates_to_move(), None)) is not None
@@ -550,14 +623,15 @@
             self.misplaced_leases.pop(lease, None)
             self.connection_budget.adjust_draining(lease.team.connection_share, 1.0)
             self.load_budget.adjust_draining(lease.team.load_share, lease.load)
-            moved.append(lease)
-        return moved
+            leases_to_move.append(lease)
+        return leases_to_move
 
     def _candidates_to_move(self) -> Iterator[Lease]:
-        """Leases in the order in which they are moved.
+        """Candidates for the next move, best first; the caller takes the first one and then asks anew.
 
-        Those over a ceiling come first, then those in a wrong pool, then the newest of the team that borrows
-        most.
+        First comes the newest lease of each team over a ceiling, then those in a wrong pool, then the newest
+        of the team that borrows most.  Teams of ``teams_to_check`` that exceed no ceiling, or have no
+        connections, are dropped from it on the way.
         """
         for team in list(self.teams_to_check):
             over_ceiling = team.connection_share.exceeds_ceiling() or team.load_share.exceeds_ceiling()
--- a/snowwick/broker/budget.py
+++ b/snowwick/broker/budget.py
@@ -1,9 +1,9 @@
 """Usage and lending of one resource: connections, or the load that they cause.
 
 Every team has a guarantee, a ceiling and a weight.  Room that a team does not use is lent to any other team,
-except for a reserve.  A refused team that is within its guarantee, or that has borrowed less for its weight
-than another, gets a reservation of the room that is freed next by moving the newest connections of the
-largest borrower.  Moving from the largest borrower until no refused team has less by a unit is weighted
+except for the lending reserve.  A refused team that is within its guarantee, or that has borrowed less for
+its weight than another, gets a reservation of the room that is freed next by moving the newest connections of
+the largest borrower.  Moving from the largest borrower until no refused team has less by a unit is weighted
 max-min fairness.  It is reached step by step and never computed as a whole, so the cost of a request does
 not grow with the number of teams.
 """
