--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -1,4 +1,4 @@
-"""Replication among balancers: how fast and at what cost a change spreads, catch-up, cuts, a hanging server.
+"""Replication between balancers: propagation, bytes, catch-up, partitions, and a server that hangs.
 
 python -m benchmarks.replication [--quick] --json FILE
 """
@@ -18,105 +18,123 @@
 from snowwick.lab.network import FLEET_KEY, LinkFaults, Network
 from snowwick.lab.rig import Fleet
 
-LOSS = 0.05
-CHANGES = 5.0  # a second over the whole fleet, whatever its size
-WATCHED = 10.0  # s in which bytes are counted
+LOSS_PROBABILITY = 0.05  # of each datagram
+CHANGES_PER_S = 5.0  # over the whole fleet, whatever its size
+BYTES_WINDOW_S = 10.0  # in which the bytes sent are counted
 
 
-def spread(count: int, seed: int) -> tuple[float, float, float]:
-    """Simulated: periods until a change is everywhere, over what is allowed; bytes a member sends a second
-    with the same changes; members taken for dead that were not, with a one-way cut and stopped processes.
+def propagation(count: int, seed: int) -> tuple[float, float, float]:
+    """Simulate ``count`` members that spread changes; returns three measurements.
+
+    These are the periods until a change has reached all members, as a fraction of the number allowed; the
+    bytes per second that a member sends while CHANGES_PER_S changes are made; and the number of members that
+    were declared dead although they were not, under a one-way cut and pauses of machines.
     """
-    net = Network(count, seed, faults=LinkFaults(loss_probability=LOSS))
-    net.run(120.0, net.has_converged, 0.2)
-    taken = []
+    network = Network(count, seed, faults=LinkFaults(loss_probability=LOSS_PROBABILITY))
+    network.run(120.0, network.has_converged, 0.2)
+    periods = []
     for n in range(3):
-        key, began = f"k{n}", net.now
-        net.write(f"m{n}", 1, key, b"v")
-        net.run(
+        key, began = f"k{n}", network.now
+        network.write(f"m{n}", 1, key, b"v")
+        network.run(
             began + 30.0,
             lambda key=key: all(  # type: ignore[misc]
-                any((1, key) in owner.entries for owner in one.node.store.owners.values())
-                for one in net.running_machines()
+                any((1, key) in owner.entries for owner in machine.node.store.owners.values())
+                for machine in network.running_machines()
             ),
             0.02,
         )
-        taken.append((net.now - began) / net.period_s)
-    before, began = sum(one.node.counts.bytes_out for one in net.running_machines()), net.now
-    while net.now < began + WATCHED:
-        net.write(f"m{net.rng.randrange(count)}", 1, "k", b"%d" % net.event_serial)
-        net.run(net.now + 1.0 / CHANGES)
-    sent = (sum(one.node.counts.bytes_out for one in net.running_machines()) - before) / count / WATCHED
-    net.is_cut = lambda one, other: (one, other) == ("m1", "m2")
-    end = net.now + (20.0 if count > 100 else 60.0)
-    while net.now < end:
+        periods.append((network.now - began) / network.period_s)
+    bytes_before, began = (
+        sum(machine.node.counts.bytes_out for machine in network.running_machines()),
+        network.now,
+    )
+    while network.now < began + BYTES_WINDOW_S:
+        network.write(f"m{network.rng.randrange(count)}", 1, "k", b"%d" % network.event_serial)
+        network.run(network.now + 1.0 / CHANGES_PER_S)
+    bytes_per_s = (
+        (sum(machine.node.counts.bytes_out for machine in network.running_machines()) - bytes_before)
+        / count
+        / BYTES_WINDOW_S
+    )
+    network.is_cut = lambda source, target: (source, target) == ("m1", "m2")
+    end = network.now + (20.0 if count > 100 else 60.0)
+    while network.now < end:
         for _ in range(math.ceil(count / 50)):
-            net.pause(f"m{net.rng.randrange(count)}", 2.0)
-        net.run(net.now + 10.0)
-    deaths = {
-        news.member.name
-        for one in net.running_machines()
-        for _, news in one.node_events
-        if isinstance(news, MemberChange) and news.member.state >= DEAD
+            network.pause(f"m{network.rng.randrange(count)}", 2.0)
+        network.run(network.now + 10.0)
+    false_deaths = {
+        event.member.name
+        for machine in network.running_machines()
+        for _, event in machine.node_events
+        if isinstance(event, MemberChange) and event.member.state >= DEAD
     }
-    return max(taken) / (4 * math.ceil(math.log2(count))), sent, float(len(deaths))
+    return max(periods) / (4 * math.ceil(math.log2(count))), bytes_per_s, float(len(false_deaths))
 
 
-def catch_up(entries: int, part: float) -> float:
-    """Bytes that two nodes exchange until one that was away has the changes, over 2 times those and 64 kB."""
+def catch_up(entries: int, changed_fraction: float) -> float:
+    """Bytes that two nodes exchange until the one that missed the changes has them.
+
+    Returned as a fraction of the allowed bytes: twice those of the changed entries, and 64 kB.
+    """
     now = 0.0
-    one, other = (
+    writer, reader = (
         Node(name, name, [FLEET_KEY], ["a"], random.Random(n), lambda: 1e12 + 1000.0 * now)
         for n, name in enumerate("ab", 1)
     )
-    for node in (one, other):
+    for node in (writer, reader):
         node.store.max_entries, node.store.max_bytes = 10 * entries, 1 << 30
-    nodes = {"a": one, "b": other}
+    nodes = {"a": writer, "b": reader}
 
-    def play(enough: float) -> None:
+    def run_until_equal(end: float) -> None:
         nonlocal now
-        while not one.has_same_registers(other) and now < enough:
+        while not writer.has_same_registers(reader) and now < end:
             for node in nodes.values():
                 node.tick(now)
             while any(node.outbox for node in nodes.values()):
                 for node in nodes.values():
-                    for to, datagram in node.take_datagrams():
-                        nodes[to].receive(datagram, now)
+                    for target, datagram in node.take_datagrams():
+                        nodes[target].receive(datagram, now)
             now += 0.05
 
     for n in range(entries):
-        one.write(1, f"key{n:06}", b"value%06d" % n, now)
-    one.store.gossip_queue.clear()
-    play(600.0)
-    assert one.has_same_registers(other)
-    changed, before = int(entries * part), 0
+        writer.write(1, f"key{n:06}", b"value%06d" % n, now)
+    writer.store.gossip_queue.clear()  # so that the reader gets the entries by comparison only
+    run_until_equal(600.0)
+    assert writer.has_same_registers(reader)
+    changed, bytes_before = int(entries * changed_fraction), 0
     for n in range(changed):
-        one.write(1, f"key{n:06}", b"other%06d" % n, now)
-    one.store.gossip_queue.clear()
-    bytes_changed = sum(one.store.owners["a"].entries[1, f"key{n:06}"].size_bytes for n in range(changed))
-    before = sum(node.counts.bytes_out for node in nodes.values())
-    play(now + 600.0)
-    assert one.has_same_registers(other)
-    sent = sum(node.counts.bytes_out for node in nodes.values()) - before
-    return sent / (2.0 * bytes_changed + 65536.0)
-
-
-def healed(folder: Path, count: int, cut: float) -> tuple[float, float, float]:
-    """Real processes: s from the end of a cut until all agree, part of a core that an idle one takes, and how
-    much more memory it has than one without a fleet."""
+        writer.write(1, f"key{n:06}", b"other%06d" % n, now)
+    writer.store.gossip_queue.clear()
+    changed_bytes = sum(writer.store.owners["a"].entries[1, f"key{n:06}"].size_bytes for n in range(changed))
+    bytes_before = sum(node.counts.bytes_out for node in nodes.values())
+    run_until_equal(now + 600.0)
+    assert writer.has_same_registers(reader)
+    sent_bytes = sum(node.counts.bytes_out for node in nodes.values()) - bytes_before
+    return sent_bytes / (2.0 * changed_bytes + 65536.0)
+
+
+def run_partition(folder: Path, count: int, cut_s: float) -> tuple[float, float, float]:
+    """Cut a fleet of real processes into halves for ``cut_s`` and heal it; returns three measurements.
+
+    These are the seconds from the end of the cut until all members agree; the fraction of a core that an idle
+    balancer uses; and the resident memory in MB that it has more than a balancer without a fleet.
+    """
     with Fleet(folder, count) as fleet:
         fleet.start()
         fleet.wait_until(fleet.all_joined)
-        memory = [_memory(fleet, n) for n in range(count)]
-        cpu, began = [_cpu(fleet, n) for n in range(count)], time.monotonic()
+        resident_bytes = [_resident_bytes(fleet, n) for n in range(count)]
+        cpu_before_s, began = [_cpu_s(fleet, n) for n in range(count)], time.monotonic()
         fleet.run_for(5.0)
-        idle = statistics.median((_cpu(fleet, n) - cpu[n]) / (time.monotonic() - began) for n in range(count))
+        idle_cores = statistics.median(
+            (_cpu_s(fleet, n) - cpu_before_s[n]) / (time.monotonic() - began) for n in range(count)
+        )
         fleet.partition(range(count // 2))
         for n in range(count):
             fleet.connect_client(n)
-        fleet.run_for(cut)
+        fleet.run_for(cut_s)
         fleet.heal()
-        took = fleet.wait_until(
+        agreement_s = fleet.wait_until(
             lambda: (
                 fleet.all_joined()
                 and all(fleet.status(n)["held_elsewhere"] == count - 1 for n in range(count))
@@ -127,35 +145,40 @@
     with Fleet(folder / "without", 1, fleet_enabled=False) as alone:
         alone.start()
         alone.run_for(1.0)
-        return took, idle, (statistics.median(memory) - _memory(alone, 0)) / 1e6
+        return (
+            agreement_s,
+            idle_cores,
+            (statistics.median(resident_bytes) - _resident_bytes(alone, 0)) / 1e6,
+        )
 
 
-def _pid(fleet: Fleet, n: int) -> int:
-    process = fleet.balancers[n].process
+def _process_id(fleet: Fleet, balancer: int) -> int:
+    process = fleet.balancers[balancer].process
     assert process is not None
     return process.pid
 
 
-def _cpu(fleet: Fleet, n: int) -> float:
-    return int(Path(f"/proc/{_pid(fleet, n)}/schedstat").read_text().split()[0]) / 1e9
+def _cpu_s(fleet: Fleet, balancer: int) -> float:
+    """CPU time that a balancer has used, as the scheduler counts it."""
+    return int(Path(f"/proc/{_process_id(fleet, balancer)}/schedstat").read_text().split()[0]) / 1e9
 
 
-def _memory(fleet: Fleet, n: int) -> float:
-    text = Path(f"/proc/{_pid(fleet, n)}/status").read_text()
-    return 1024.0 * int(text.split("VmRSS:")[1].split()[0])
+def _resident_bytes(fleet: Fleet, balancer: int) -> float:
+    status = Path(f"/proc/{_process_id(fleet, balancer)}/status").read_text()
+    return 1024.0 * int(status.split("VmRSS:")[1].split()[0])
 
 
-def lost(folder: Path, count: int, talk: bool) -> int:
-    """Route steps that come to nothing at a hanging server until all have left it."""
+def failed_route_steps(folder: Path, count: int, with_fleet: bool) -> int:
+    """Number of route steps that fail at a server that hangs, until no balancer uses it any more."""
     folder.mkdir()
-    with Fleet(folder, count, destination_count=4, fleet_enabled=talk, deadline_ms=600.0) as fleet:
+    with Fleet(folder, count, destination_count=4, fleet_enabled=with_fleet, deadline_ms=600.0) as fleet:
         fleet.start()
-        if talk:
+        if with_fleet:
             fleet.wait_until(fleet.all_joined)
         fleet.run_for(1.0)
         fleet.destinations[0].mode = "hang"
-        for turn in range(60):
-            fleet.connect_client(turn % count, key=f"c{turn}", keep_s=1.0)
+        for n in range(60):
+            fleet.connect_client(n % count, key=f"c{n}", keep_s=1.0)
             fleet.run_for(0.1)
         fleet.wait_for_answers()
         return len(fleet.destinations[0].opening_times)
@@ -164,31 +187,33 @@
 def main() -> None:
     options = parse_options(__doc__ or "")
     sizes = [5, 50, 100] if options.quick else [5, 50, 200, 1000]
-    rows = [spread(count, count) for count in sizes]
+    rows = [propagation(count, count) for count in sizes]
     entries = 10_000 if options.quick else 100_000
-    caught = [catch_up(entries, part) for part in (0.001, 0.1, 1.0)]
+    catch_up_fractions = [catch_up(entries, fraction) for fraction in (0.001, 0.1, 1.0)]
     with tempfile.TemporaryDirectory() as folder:
         for name in ("halves", "lost"):
             (Path(folder) / name).mkdir()
-        count, cut = (4, 3.0) if options.quick else (8, 10.0)
-        took, idle, more = healed(Path(folder) / "halves", count, cut)
-        with_it = lost(Path(folder) / "lost" / "with", count, True)
-        without = lost(Path(folder) / "lost" / "without", count, False)
+        count, cut_s = (4, 3.0) if options.quick else (8, 10.0)
+        agreement_s, idle_cores, fleet_mb = run_partition(Path(folder) / "halves", count, cut_s)
+        failed_with_fleet = failed_route_steps(Path(folder) / "lost" / "with", count, True)
+        failed_without_fleet = failed_route_steps(Path(folder) / "lost" / "without", count, False)
     report(
         {
             "everywhere, over 4 ceil(log2 N) periods": Figure(max(row[0] for row in rows), 1.0, "lower"),
             f"bytes a second, {sizes[-1]} over {sizes[-2]}": Figure(rows[-1][1] / rows[-2][1], 1.6, "lower"),
             "false deaths": Figure(sum(row[2] for row in rows), 0.0, "lower"),
-            "catch-up, over 2 times the change and 64 kB": Figure(max(caught), 1.0, "lower"),
-            "agreed after a cut has healed, s": Figure(took, 2.0, "lower"),
-            "idle, part of a core": Figure(idle, 0.01, "lower"),
-            "memory, MB": Figure(more, 6.0, "lower"),
-            "lost at a hanging server, over without": Figure(with_it / max(1, without), 0.3, "lower"),
+            "catch-up, over 2 times the change and 64 kB": Figure(max(catch_up_fractions), 1.0, "lower"),
+            "agreed after a cut has healed, s": Figure(agreement_s, 2.0, "lower"),
+            "idle, part of a core": Figure(idle_cores, 0.01, "lower"),
+            "memory, MB": Figure(fleet_mb, 6.0, "lower"),
+            "lost at a hanging server, over without": Figure(
+                failed_with_fleet / max(1, failed_without_fleet), 0.3, "lower"
+            ),
         },
         {
             **{f"bytes a second at {count}": row[1] for count, row in zip(sizes, rows, strict=True)},
-            "lost at a hanging server, with": float(with_it),
-            "without": float(without),
+            "lost at a hanging server, with": float(failed_with_fleet),
+            "without": float(failed_without_fleet),
         },
         options.json,
     )
