--- a/snowwick/fleet/node.py
+++ b/snowwick/fleet/node.py
@@ -138,6 +138,7 @@
         # By number of the request: until when the reply is kept, and its parts.  Two tools that choose the
         # same number within that time get the same reply.
         self.status_replies: dict[int, tuple[float, list[bytes]]] = {}
+        # By type of the body; ``receive`` handles status requests itself
         self.handlers: dict[type, Callable[[Frame, Any, float], None]] = {
             wire.Ping: self._on_ping,
             wire.Ack: self._on_ack,
@@ -148,7 +149,7 @@
             wire.VersionVector: self._on_version_vector,
             wire.PullRequest: self._on_pull_request,
             wire.PullReply: self._on_pull_reply,
-            wire.Gossip: lambda *_: None,
+            wire.Gossip: lambda *_: None,  # the frame's updates and entries are merged before
         }
 
     # -- own registers -----------------------------------------------------------------------------------
@@ -534,9 +535,8 @@
         ``ranges`` is sent only where all summaries fit, since the receiver concludes that the sender does not
         have the owners of these ranges that are not listed.
         """
-        room = (
-            wire.MAX_FRAME_BYTES - 300
-        )  # for the digest, the frame's header and the other fields of the body
+        # 300 bytes are for the digest, the frame's header and the other fields of the body
+        room = wire.MAX_FRAME_BYTES - 300
         selected = list[wire.OwnerSummary]()
         self.rng.shuffle(summaries)
         for summary in summaries:
--- a/snowwick/net/front.py
+++ b/snowwick/net/front.py
@@ -164,7 +164,11 @@
             yield from self.relay()
 
     def _read_opening(self) -> Generator[Wait, int, lines.Opening | None]:
-        """Read the opening line; returns None, with ``reason`` set, if the connection ends without one."""
+        """Read the opening line; returns None, with ``reason`` set, if the connection ends without a request.
+
+        The reason is "ping" if the client has sent a PING, "left" if it closed right after its opening
+        line, "draining" or "made-room" if this side closes, and else "no-opening".
+        """
         deadline = self.accepted_at + OPENING_TIMEOUT_S
         self.reason = "no-opening"
         while True:
@@ -357,6 +361,7 @@
             self.close_deadline = min(self.loop.clock() + CLOSE_GRACE_S, self.answered_at + MAX_LINGER_S)
 
     def on_message(self, message: object) -> None:
+        """Handle a message during the relay or, with ``other_side`` None, after the final answer."""
         if isinstance(message, EvictIdle):
             # Close only after the answer has been written for a while, since it might be lost otherwise.
             if (
--- a/snowwick/net/host.py
+++ b/snowwick/net/host.py
@@ -32,9 +32,10 @@
         """Enforces the contracts; None without contracts."""
 
     def last_reply_times(self) -> Iterable[tuple[int, float]]:
-        """The destinations with connections, each with the time of its last answered line.
+        """The destinations with connections, each with the time of its last reply.
 
-        Times are in seconds on the loop's clock.
+        This is the last line that came back, or the last connection established if that was later.  Times are
+        in seconds on the loop's clock.
         """
 
     def connection_counts(self) -> Iterable[Mapping[int, int]]:
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -149,6 +149,7 @@
         self.draining = False
         # Unix time minus the loop's clock
         self.unix_offset_ms = 1000.0 * (time.time() - self.loop.clock())
+        # The deciders by pool; the labels of the destinations decide to which pool each of them belongs
         self.pool_deciders = PoolDeciders(
             self.make_decider, self.settings_for, lambda: self.pool.config.labels
         )
