--- a/example/toy_client.py
+++ b/example/toy_client.py
@@ -1,4 +1,4 @@
-"""A toy client: opens a connection through the balancer, says a few lines, comes again while it is busy.
+"""A toy client: opens a connection through the balancer, sends two lines, and retries when refused.
 
 python example/toy_client.py [HOST:PORT [TENANT]]
 """
@@ -9,13 +9,13 @@
 import sys
 import time
 
-TRIES = 30
+MAX_ATTEMPTS = 30
 
 
-def talk(host: str, port: int, number: int, tenant: str) -> float | None:
-    """One try; the seconds after which to come again, or None once it was served."""
+def attempt(host: str, port: int, request_id: int, tenant: str) -> float | None:
+    """Make one attempt; returns the seconds until the next one, or None if it was served."""
     with socket.create_connection((host, port), 5.0) as sock, sock.makefile("rwb") as lines:
-        lines.write(b"OPEN %d truck-12 c=feed,t=%s,d=1200,g=trucks\r\n" % (number, tenant.encode()))
+        lines.write(b"OPEN %d truck-12 c=feed,t=%s,d=1200,g=trucks\r\n" % (request_id, tenant.encode()))
         lines.flush()
         answer = lines.readline().decode().split()
         print(" ".join(answer), flush=True)
@@ -31,11 +31,11 @@
 def main() -> int:
     host, _, port = (sys.argv[1] if len(sys.argv) > 1 else "127.0.0.1:8081").rpartition(":")
     tenant = sys.argv[2] if len(sys.argv) > 2 else "demo"
-    for number in range(1, TRIES + 1):
-        wait = talk(host, int(port), number, tenant)
-        if wait is None:
+    for request_id in range(1, MAX_ATTEMPTS + 1):
+        retry_after_s = attempt(host, int(port), request_id, tenant)
+        if retry_after_s is None:
             return 0
-        time.sleep(wait)
+        time.sleep(retry_after_s)
     return 1
 
 
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,4 +1,4 @@
-"""A toy to try the balancer with: destinations that echo lines, and a discovery that lists them.
+"""Toy servers to try the balancer with: destinations that echo lines, and a discovery that lists them.
 
 python example/toy_server.py [--discovery HOST:PORT] [--destinations N]
 """
@@ -15,15 +15,15 @@
 
 
 class Destination(socketserver.StreamRequestHandler):
-    """Answers the opening line with UP, echoes what follows, says BYE to ``bye``."""
+    """Answers the opening line with UP, echoes other lines, and answers ``bye`` with BYE and closes."""
 
     def handle(self) -> None:
-        me = f"s-{self.connection.getsockname()[1]}"
+        destination_id = f"s-{self.connection.getsockname()[1]}"
         opening = self.rfile.readline(4096)
         if not opening.startswith(b"OPEN "):
             return
-        print(f"{me}: {opening.decode().strip()}", flush=True)
-        self.wfile.write(f"UP {me}\r\n".encode())
+        print(f"{destination_id}: {opening.decode().strip()}", flush=True)
+        self.wfile.write(f"UP {destination_id}\r\n".encode())
         while line := self.rfile.readline(4096):
             if line.strip() == b"bye":
                 self.wfile.write(b"BYE\r\n")
@@ -31,22 +31,24 @@
             self.wfile.write(line)
 
 
-class Server(socketserver.ThreadingTCPServer):
+class DestinationServer(socketserver.ThreadingTCPServer):
     allow_reuse_address = daemon_threads = True
 
 
 class Discovery(BaseHTTPRequestHandler):
-    """The whole list to whoever has none, and no news to whoever watches."""
+    """Answers a first request with the whole list, and later ones with an empty change after a wait."""
 
     protocol_version = "HTTP/1.1"
     servers: tuple[dict[str, str], ...] = ()
 
     def do_GET(self) -> None:
-        asked = parse_qs(urlparse(self.path).query)
-        fresh = asked.get("after", ["0"])[0] == "0"
-        if not fresh:
-            time.sleep(min(60.0, float(asked.get("wait_ms", ["0"])[0]) / 1000.0))
-        body = json.dumps({"version": 1, "full": fresh, "servers": self.servers if fresh else []}).encode()
+        parameters = parse_qs(urlparse(self.path).query)
+        is_first = parameters.get("after", ["0"])[0] == "0"
+        if not is_first:
+            time.sleep(min(60.0, float(parameters.get("wait_ms", ["0"])[0]) / 1000.0))
+        body = json.dumps(
+            {"version": 1, "full": is_first, "servers": self.servers if is_first else []}
+        ).encode()
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
@@ -57,22 +59,24 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Echoing destinations, and a discovery that lists them.")
+    parser = argparse.ArgumentParser(
+        description="Destinations that echo lines, and a discovery that lists them."
+    )
     parser.add_argument("--discovery", default="127.0.0.1:8500")
     parser.add_argument("--destinations", type=int, default=3)
     options = parser.parse_args()
-    listed = []
+    listed_servers = []
     for _ in range(options.destinations):
-        server = Server(("127.0.0.1", 0), Destination)
+        server = DestinationServer(("127.0.0.1", 0), Destination)
         threading.Thread(target=server.serve_forever, daemon=True).start()
         port = int(server.server_address[1])
-        listed.append({"id": f"s-{port}", "addr": f"127.0.0.1:{port}", "state": "in_service"})
-    Discovery.servers = tuple(listed)
+        listed_servers.append({"id": f"s-{port}", "addr": f"127.0.0.1:{port}", "state": "in_service"})
+    Discovery.servers = tuple(listed_servers)
     host, _, port = options.discovery.rpartition(":")
-    web = ThreadingHTTPServer((host, int(port)), Discovery)
-    addresses = ", ".join(one["addr"] for one in listed)
-    print(f"destinations {addresses}; discovery on {host}:{web.server_address[1]}", flush=True)
-    web.serve_forever()
+    discovery_server = ThreadingHTTPServer((host, int(port)), Discovery)
+    addresses = ", ".join(entry["addr"] for entry in listed_servers)
+    print(f"destinations {addresses}; discovery on {host}:{discovery_server.server_address[1]}", flush=True)
+    discovery_server.serve_forever()
 
 
 if __name__ == "__main__":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Makes property tests give the same verdict every time, and passes over what KNOWN-RED.txt names."""
+"""Makes property tests deterministic and marks the tests listed in KNOWN-RED.txt as expected failures."""
 
 from hypothesis import settings
 from known_red import pytest_configure
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail passes over just these, says so, and cannot hide more."""
+"""Tests of the ``known_red`` plugin: only listed tests may fail, and they are reported."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 CAUSE = " | a fault | issue 7\n"
 
 
-def play(folder: Path, listed: str, *words: str) -> subprocess.CompletedProcess[str]:
-    """A suite of its own, run as the project's is."""
+def run_suite(folder: Path, list_text: str, *arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run pytest with the plugin on SUITE in a separate folder; ``list_text`` is that of KNOWN-RED.txt."""
     (folder / "tests").mkdir()
     (folder / "tests" / "test_some.py").write_text(SUITE)
-    (folder / "KNOWN-RED.txt").write_text(listed)
+    (folder / "KNOWN-RED.txt").write_text(list_text)
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     environment = {**os.environ, "PYTHONPATH": str(Path(__file__).parent)}
     return subprocess.run(
-        [sys.executable, "-m", "pytest", "-p", "known_red", "-p", "no:cacheprovider", *words],
+        [sys.executable, "-m", "pytest", "-p", "known_red", "-p", "no:cacheprovider", *arguments],
         cwd=folder,
         env=environment,
         text=True,
@@ -42,39 +42,62 @@
     )
 
 
-BAD = "tests/test_some.py::test_bad" + CAUSE
-EACH = "tests/test_some.py::test_each[2]" + CAUSE
+BAD_LINE = "tests/test_some.py::test_bad" + CAUSE
+EACH_LINE = "tests/test_some.py::test_each[2]" + CAUSE
 
 
-def test_listed_tests_are_passed_over_and_printed(tmp_path: Path) -> None:
-    done = play(tmp_path, BAD + "\n" + EACH)
-    assert done.returncode == 0, done.stdout
-    assert done.stdout.count("KNOWN RED") == 2 and "test_bad: a fault (issue 7): still fails" in done.stdout
-    assert "2 passed, 2 xfailed" in done.stdout
+def test_listed_tests_may_fail_and_are_reported(tmp_path: Path) -> None:
+    result = run_suite(tmp_path, BAD_LINE + "\n" + EACH_LINE)
+    assert result.returncode == 0, result.stdout
+    assert (
+        result.stdout.count("KNOWN RED") == 2 and "test_bad: a fault (issue 7): still fails" in result.stdout
+    )
+    assert "2 passed, 2 xfailed" in result.stdout
 
 
 @pytest.mark.parametrize(
-    "listed,words,said",
+    "list_text,arguments,message",
     [
-        (BAD, (), "1 failed"),  # what is not listed fails as ever
+        (BAD_LINE, (), "1 failed"),  # a failing test that is not listed fails the run
         (
-            BAD + EACH + "tests/test_some.py::test_gone" + CAUSE,
+            BAD_LINE + EACH_LINE + "tests/test_some.py::test_gone" + CAUSE,
             (),
             "no such test: tests/test_some.py::test_gone",
         ),
-        (BAD + EACH + "tests/test_other.py::test_gone" + CAUSE, (), "no such test"),
-        (BAD + EACH + "tests/test_some.py::test_each" + CAUSE, ("tests/test_some.py",), "no such test"),
-        (BAD + EACH + EACH.replace("2", "1") + EACH.replace("2", "3"), (), "names 4 tests"),
-        (BAD + EACH + BAD, (), "twice"),
+        (BAD_LINE + EACH_LINE + "tests/test_other.py::test_gone" + CAUSE, (), "no such test"),
+        (
+            BAD_LINE + EACH_LINE + "tests/test_some.py::test_each" + CAUSE,
+            ("tests/test_some.py",),
+            "no such test",
+        ),
+        (
+            BAD_LINE + EACH_LINE + EACH_LINE.replace("2", "1") + EACH_LINE.replace("2", "3"),
+            (),
+            "lists 4 tests, at most 3 are allowed",
+        ),
+        (BAD_LINE + EACH_LINE + BAD_LINE, (), "listed twice: tests/test_some.py::test_bad"),
         ("tests/test_some.py::test_bad\n", (), "not TEST | CAUSE | ISSUE"),
     ],
-    ids=["not listed", "no test", "no file", "no such parameter", "a fourth", "twice", "without a cause"],
+    ids=[
+        "not listed",
+        "no such test",
+        "no such file",
+        "no such parameter",
+        "too many",
+        "listed twice",
+        "without a cause",
+    ],
 )
-def test_nothing_else_is_passed_over(tmp_path: Path, listed: str, words: tuple[str, ...], said: str) -> None:
-    done = play(tmp_path, listed, *words)
-    assert done.returncode != 0 and said in done.stdout + done.stderr
-
-
-def test_listed_test_that_passes_is_said(tmp_path: Path) -> None:
-    done = play(tmp_path, BAD + EACH + "tests/test_some.py::test_good" + CAUSE)
-    assert done.returncode == 0 and "test_good: a fault (issue 7): passes now" in done.stdout
+def test_other_failures_and_invalid_lists_fail_the_run(
+    tmp_path: Path, list_text: str, arguments: tuple[str, ...], message: str
+) -> None:
+    result = run_suite(tmp_path, list_text, *arguments)
+    assert result.returncode != 0 and message in result.stdout + result.stderr
+
+
+def test_listed_test_that_passes_is_reported(tmp_path: Path) -> None:
+    result = run_suite(tmp_path, BAD_LINE + EACH_LINE + "tests/test_some.py::test_good" + CAUSE)
+    assert (
+        result.returncode == 0
+        and "test_good: a fault (issue 7): passes now: take it out of the list" in result.stdout
+    )
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The Python example in README.md runs and prints the expected line."""
 
 from __future__ import annotations
 
