--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -55,7 +55,7 @@
 BUFFER_SHRINK_MS = 8000.0
 
 # Time between two runs of the overload monitor: several runs within the time that a client waits for its
-# answer.  Also the backoff after the first failed call to the list service.
+# answer.  The first failed call to the list service is followed by a backoff of twice this time.
 MONITOR_INTERVAL_MS = 500.0
 # The pressure is the larger of the fraction of the backends in use that are in trouble (slow, or without
 # room by their reported loads) and the fraction of recent attempts that failed; see ``Balancer._monitor``.
@@ -170,7 +170,8 @@
         # The weight is the list's, and 1 where the list has none or the settings say ``live_weights``.
         self.id, self.entry, self.weight, self.ready = entry.backend, entry, 1.0, False
         self.hash = _hash(str(entry.backend))
-        # Time in ms that the last probe took, times the weight.
+        # Time in ms that the last probe took, times the weight: a larger backend answers faster at the same
+        # load over capacity, so the products can be compared.
         self.weighted_probe_time = 0.0
         self.probed_at = -math.inf  # when the last probe was answered or given up
         self.probed_load = -1.0  # load over capacity in the last answer to a probe, -1 if it had none
@@ -336,7 +337,9 @@
         # leaving backends are not counted.
         self.recent_failures = 0.0
         self.healthy_runs = 0  # of the monitor, in a row
-        self.list_backoff = MONITOR_INTERVAL_MS  # before the next call to the list service after a failed one
+        # Wait in ms, before jitter, from a failed call to the list service to the next one; each failure
+        # first doubles it and then uses it.
+        self.list_backoff = MONITOR_INTERVAL_MS
         self.plan_is_current = False
         self.any_backend_warm = False  # as of the last plan
         # Clients that came or lost their connection: a count that decays over the overload window,
@@ -400,7 +403,7 @@
                     min(0.04 * self.settings.balancers, 0.4) * ask_every * self.random.random(), 2
                 )
         if event.kind is interface.ListKind.FAILED:
-            # Twice as long after each failure in a row, up to 0.2 of the refresh interval.
+            # At most 0.2 of the refresh interval.
             self.list_backoff = min(2 * self.list_backoff, 0.2 * ask_every)
             self._set_timer(self.list_backoff * self._jitter_factor(), 2)
             return
@@ -742,7 +745,7 @@
         self._mark_open(flow)
 
     def _on_request(self, event: interface.Request) -> None:
-        # A midflow request continues work that has begun, so it needs no token of the throttle.
+        # A midflow request continues work that has begun, so its first attempt needs no token.
         if event.request not in self.flows:
             self._admit(self._create_flow(event, self.now + event.patience), event.midflow)
 
@@ -750,7 +753,7 @@
         """Probe the backends that may take the flow, and return whether it now waits for the results.
 
         This balancer counts only its own setups; a probe's result also shows the effect of the other
-        balancers'. A backend is left out if a recent result shows that it has no room, or shows no load
+        balancers'.  A backend is left out if a recent result shows that it has no room, or shows no load
         although loads are reported.  A single candidate is not probed, since there is nothing to choose.
         """
         wait, load_reported = (
@@ -805,7 +808,7 @@
     def _admit(self, flow: Flow, midflow: bool = False) -> None:
         """The ordinary path: a token starts an attempt; without one the flow waits, or is refused.
 
-        With ``midflow`` no token is needed.
+        With ``midflow`` no token is needed here, but one is if the flow has to wait for a backend.
         """
         if not (midflow or self.throttle.take_token(self.now)) or not self._start_attempt(flow):
             self._buffer(flow)  # also where no backend is eligible, as long as there is time
@@ -820,7 +823,7 @@
         if throttle.active and len(throttle.waiting) > BANK_AND_BUFFER_SLOTS - throttle.bank_capacity(
             self.now
         ):
-            self._refuse(throttle.waiting.pop())
+            self._refuse_or_fail(throttle.waiting.pop())
         self._arm_buffer_timer()
 
     def _start_attempt(self, flow: Flow, probed: bool = False) -> bool:
@@ -863,7 +866,7 @@
         """
         return min(50.0 + 4 * self.settings.tick, 0.3 * flow.request_class.deadline)
 
-    def _refuse(self, flow: Flow) -> None:
+    def _refuse_or_fail(self, flow: Flow) -> None:
         """Give the final answer: refused if a repeat by the client is harmless, else failed.
 
         A refusal promises that the client may repeat the request.  That does not hold where an attempt may
@@ -946,6 +949,10 @@
             self._move_fraction(backend, 1.0)
 
     def _on_probe_result(self, event: interface.ProbeResult) -> None:
+        """Store a result, and continue with the flows that have no more results to wait for.
+
+        A probe without an answer counts as one that took the connect timeout.
+        """
         if backend := self.backends.get(event.backend):
             elapsed = event.elapsed if event.elapsed >= 0.0 else self.settings.connect_timeout
             backend.weighted_probe_time, backend.probed_at, backend.probed_load = (
@@ -1059,7 +1066,7 @@
             or event.outcome is interface.Outcome.UNSENT
             or self.now >= flow.deadline - self._refusal_margin(flow)
         ):
-            self._refuse(flow)
+            self._refuse_or_fail(flow)
         elif event.outcome is not interface.Outcome.CONNECT_FAILED or not self._start_attempt(flow):
             # A retry takes a token, since it adds to an overload.  One after a failed connect, which has cost
             # the backend no work, starts without a token where another backend is eligible.
@@ -1136,7 +1143,7 @@
         throttle, still_waiting = self.throttle, list[Flow]()
         for flow in throttle.waiting:
             if self.now >= flow.deadline - self._refusal_margin(flow):
-                self._refuse(flow)
+                self._refuse_or_fail(flow)
             elif not throttle.take_token(self.now):
                 still_waiting.append(flow)
             elif not self._start_attempt(flow):
@@ -1145,7 +1152,7 @@
         while throttle.active and len(still_waiting) > math.ceil(
             BANK_AND_BUFFER_SLOTS - throttle.bank_capacity(self.now)
         ):
-            self._refuse(still_waiting.pop())
+            self._refuse_or_fail(still_waiting.pop())
         throttle.waiting = still_waiting
         self._arm_buffer_timer()
 
--- a/snowwick/broker/admission.py
+++ b/snowwick/broker/admission.py
@@ -277,6 +277,7 @@
             self._set_class_limits(
                 class_state, team_limits, team_limits.classes.get(name, ClassLimits()), now
             )
+        # The new ceilings may be below what the team uses.
         self.teams_to_check[team] = None
 
     def _set_class_limits(
@@ -326,7 +327,12 @@
     def admit_for_team(
         self, now: float, owner: object, team: TeamState, class_name: str, key: str
     ) -> Lease | Refusal:
-        """Like ``admit``, for a caller that has looked up the team."""
+        """Like ``admit``, for a caller that has looked up the team.
+
+        A client that a limit refuses gets the next free retry slot of its class, or, if it retried at its
+        slot and there was no room, another one soon.  One that retries before its slot keeps it.  Where no
+        slot is free within the longest retry time, the client gets a random time near that, without a slot.
+        """
         now = self._advance_clock(now)
         if team.removed:
             return Refusal("no-contract", "team", self._retry_without_slot_s(self.max_retry_after_s))
