--- a/snowwick/__main__.py
+++ b/snowwick/__main__.py
@@ -54,7 +54,7 @@
     from snowwick.net.loop import Loop
     from snowwick.net.service import Service
 
-    settings = _load()
+    settings = _load_config()
     read_contracts = _contracts_reader(contracts, settings) if contracts is not None else None
     try:
         style = as_json(settings.name) if log_format == "json" else as_text
@@ -84,7 +84,7 @@
 @main.command("check-config")
 def check_config() -> None:
     """Read and validate the configuration and print a summary."""
-    loaded = _load()
+    loaded = _load_config()
     click.echo(
         f"name {loaded.name}\nlisten {loaded.listen[0]}:{loaded.listen[1]}\n"
         f"discovery {loaded.discovery[0]}:{loaded.discovery[1]}\nsockets {loaded.sockets}\n"
@@ -142,7 +142,7 @@
 
 
 def _read_contracts(path: Path) -> Contracts:
-    settings = _load() if os.environ.get("GW_CONFIG") else None
+    settings = _load_config() if os.environ.get("GW_CONFIG") else None
     try:
         return _contracts_reader(path, settings)()
     except ValueError as error:
@@ -230,7 +230,7 @@
     click.echo(f"snowwick {__version__}")
 
 
-def _load() -> config.Config:
+def _load_config() -> config.Config:
     try:
         return config.load()
     except config.BadConfig as error:
--- a/snowwick/log.py
+++ b/snowwick/log.py
@@ -71,7 +71,7 @@
         self, clock: Callable[[], float] = time.monotonic, sink: IO[str] | None = None, style: Style = as_text
     ) -> None:
         self.clock, self.sink, self.style = clock, sink if sink is not None else sys.stderr, style
-        self.budget_lines, self.budget_updated_at, self.left_out = MAX_BURST_LINES, clock(), 0
+        self.budget_lines, self.budget_updated_at, self.left_out_count = MAX_BURST_LINES, clock(), 0
         self.descriptor, self.poller = blocking_descriptor(self.sink), select.poll()
         if self.descriptor is not None:
             self.poller.register(self.descriptor, select.POLLOUT)
@@ -84,25 +84,27 @@
         )
         self.budget_updated_at = now
         if self.budget_lines < 1.0:
-            self.left_out += 1
+            self.left_out_count += 1
             return
         self.budget_lines -= 1.0
         text = self.style(name, template.format_map(fields).rstrip(), fields)
-        if self.left_out:
+        if self.left_out_count:
             text = self._left_out_line() + text
         if self._write(text + "\n"):
-            self.left_out = 0
+            self.left_out_count = 0
         else:
-            self.left_out += 1  # a failing log must neither end nor block the process
+            self.left_out_count += 1  # a failing log must neither end nor block the process
 
     def close(self) -> None:
         """Write the number of lines left out since the last line, if that is possible without blocking."""
-        if self.left_out and self._write(self._left_out_line()):
-            self.left_out = 0
+        if self.left_out_count and self._write(self._left_out_line()):
+            self.left_out_count = 0
 
     def _left_out_line(self) -> str:
         return (
-            self.style("log-left-out", f"log: {self.left_out} lines left out", {"count": self.left_out})
+            self.style(
+                "log-left-out", f"log: {self.left_out_count} lines left out", {"count": self.left_out_count}
+            )
             + "\n"
         )
 
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -146,28 +146,28 @@
             tenant: self.admission.teams[name] for tenant, name in self.contracts.tenants.items()
         }
 
-    def _busy(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Rejection:
+    def _busy_rejection(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Rejection:
         delay_ms = self.retry_after_ms() if wait_ms is None else wait_ms
         return Rejection(lines.busy_line(min(max(1.0, delay_ms), self.max_retry_after_ms)), reason, detail)
 
     def enter(self, request: Request) -> Rejection | None:
         now, team = self.loop.clock(), self.team_by_tenant.get(request.tenant)
         if team is None:
-            return self._busy("no-contract") if not request.resumed_destination else None
+            return self._busy_rejection("no-contract") if not request.resumed_destination else None
         request.team, pool = team.name, team.pool
         if request.resumed_destination:  # counted against the limits, but never refused
             request.lease = self.admission.adopt(now, request.client, request.team, request.class_name)
             request.decider = self.pool_deciders.by_pool[pool]
             return None
         if not self.pool_deciders.has_destination(pool):
-            return self._busy("no-destinations", f"pool={pool}")
+            return self._busy_rejection("no-destinations", f"pool={pool}")
         result = self.admission.admit_for_team(
             now, request.client, team, request.class_name, request.opening.key
         )
         if isinstance(result, Refusal):
             self.refused[request.team, "rate" if result.reason == "over-rate" else "connections"] += 1
             self.reclaimer.check()
-            return self._busy(result.reason, f"limit={result.limit}", 1000.0 * result.retry_after_s)
+            return self._busy_rejection(result.reason, f"limit={result.limit}", 1000.0 * result.retry_after_s)
         self.admitted[request.team] += 1
         request.lease, request.decider = result, self.pool_deciders.by_pool[pool]
         request.wait_ms = min(request.wait_ms, result.class_state.max_wait_ms)
--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -178,7 +178,7 @@
         self.clients: dict[int, Client] = {}  # by request number
         self.attempt_counts: dict[int, int] = {}  # route steps started, by request number
         self.active_steps: dict[int, int] = {}  # destination of the route step in progress, by request number
-        self.last_number = 0  # of the last request
+        self.last_request_number = 0  # of the last request
 
     def run(self) -> Coroutine:
         while True:
@@ -278,18 +278,18 @@
             backend.id: len(backend.flows) for backend in self.balancer.backends.values() if backend.flows
         }
 
-    def _assign_number(self, client: Client, attempts: int) -> int:
-        self.last_number += 1
+    def _assign_number(self, client: Client, attempt_count: int) -> int:
+        self.last_request_number += 1
         (
             self.request_numbers[client],
-            self.clients[self.last_number],
-            self.attempt_counts[self.last_number],
+            self.clients[self.last_request_number],
+            self.attempt_counts[self.last_request_number],
         ) = (
-            self.last_number,
+            self.last_request_number,
             client,
-            attempts,
+            attempt_count,
         )
-        return self.last_number
+        return self.last_request_number
 
     def _forget(self, number: int) -> None:
         client = self.clients.pop(number, None)
--- a/snowwick/net/delay_monitor.py
+++ b/snowwick/net/delay_monitor.py
@@ -32,9 +32,9 @@
     """
 
     def __init__(self) -> None:
-        self.connections = 0
+        self.connection_count = 0
         # Time of the last line that came back, or of the last connection added; in s on the loop's clock
-        self.last_reply = 0.0
+        self.last_reply_at = 0.0
         # Connections that have sent since the last line came back, in the order of sending
         self.awaiting_reply: dict[ConnectionTiming, None] = {}
         # Connections that were answered within the report interval, the latest last
@@ -49,8 +49,8 @@
     destination: int
     destination_timing: DestinationTiming
     pending: deque[float] = field(default_factory=deque)  # when each unanswered line was sent, oldest first
-    last_reply: float = 0.0
-    last_delay: float = 0.0
+    last_reply_at: float = 0.0
+    last_delay_s: float = 0.0
 
     def record_sent(self, now: float, count: int) -> None:
         # Bounded, since a client may send at full speed to a destination that answers nothing.
@@ -58,10 +58,10 @@
         self.destination_timing.awaiting_reply[self] = None
 
     def record_reply(self, now: float) -> None:
-        self.last_reply = self.destination_timing.last_reply = now
+        self.last_reply_at = self.destination_timing.last_reply_at = now
         self.destination_timing.awaiting_reply.clear()
         if self.pending:
-            self.last_delay = now - self.pending.popleft()
+            self.last_delay_s = now - self.pending.popleft()
             self.destination_timing.recently_answered.pop(self, None)
             self.destination_timing.recently_answered[self] = None
 
@@ -74,17 +74,18 @@
     """
     for connection in list(
         takewhile(
-            lambda connection: now - connection.last_reply >= REPORT_INTERVAL_S, timing.recently_answered
+            lambda connection: now - connection.last_reply_at >= REPORT_INTERVAL_S, timing.recently_answered
         )
     ):
         del timing.recently_answered[connection]
     answered = sorted(
-        (connection.last_delay, n, connection) for n, connection in enumerate(timing.recently_answered)
+        (connection.last_delay_s, index, connection)
+        for index, connection in enumerate(timing.recently_answered)
     )
     unanswered = [
-        (now - connection.pending[0], -n, connection)
-        for n, connection in enumerate(timing.awaiting_reply)
-        if connection.pending and connection.pending[0] >= timing.last_reply
+        (now - connection.pending[0], -index, connection)
+        for index, connection in enumerate(timing.awaiting_reply)
+        if connection.pending and connection.pending[0] >= timing.last_reply_at
     ]
     candidates = [*answered[len(answered) // 2 :][:1], *unanswered]
     if not candidates:
@@ -96,7 +97,7 @@
 def is_silent(timing: DestinationTiming, now: float) -> bool:
     """Return whether lines are waiting at the destination and no connection was answered for too long."""
     waiting = [connection.pending[0] for connection in timing.awaiting_reply if connection.pending]
-    return bool(waiting) and now - max(timing.last_reply, min(waiting)) >= (
+    return bool(waiting) and now - max(timing.last_reply_at, min(waiting)) >= (
         SILENCE_S if len(waiting) > 1 else SILENCE_SINGLE_S
     )
 
@@ -116,14 +117,14 @@
         # Delays above a third of the shortest target delay are reported.
         self.report, self.report_threshold_s = report, shortest_aim_ms / 3000.0
         self.timings: dict[int, DestinationTiming] = {}
-        self.slow: set[int] = set()
-        self.silence_reported: dict[int, float] = {}  # silent destinations and when each was last reported
+        self.slow_destinations: set[int] = set()
+        self.silence_reported_at: dict[int, float] = {}  # silent destinations and when each was last reported
 
     def add(self, client: Client, destination: int) -> ConnectionTiming:
         timing = self.timings.setdefault(destination, DestinationTiming())
-        timing.connections += 1
-        timing.last_reply = self.loop.clock()
-        return ConnectionTiming(client, destination, timing, last_reply=timing.last_reply)
+        timing.connection_count += 1
+        timing.last_reply_at = self.loop.clock()
+        return ConnectionTiming(client, destination, timing, last_reply_at=timing.last_reply_at)
 
     def remove(self, connection: ConnectionTiming) -> None:
         """Remove a closed connection; does nothing for one that was never added."""
@@ -132,11 +133,11 @@
             return
         timing.awaiting_reply.pop(connection, None)
         timing.recently_answered.pop(connection, None)
-        timing.connections -= 1
-        if not timing.connections:
+        timing.connection_count -= 1
+        if not timing.connection_count:
             del self.timings[connection.destination]
-            self.slow.discard(connection.destination)
-            self.silence_reported.pop(connection.destination, None)
+            self.slow_destinations.discard(connection.destination)
+            self.silence_reported_at.pop(connection.destination, None)
 
     def run(self) -> Coroutine:
         next_report = self.loop.clock() + REPORT_INTERVAL_S
@@ -155,28 +156,28 @@
         """
         now = self.loop.clock()
         silent = [number for number, timing in self.timings.items() if is_silent(timing, now)]
-        self.silence_reported = {
-            number: self.silence_reported.get(number, -REPORT_INTERVAL_S) for number in silent
+        self.silence_reported_at = {
+            number: self.silence_reported_at.get(number, -REPORT_INTERVAL_S) for number in silent
         }
         for destination in silent:
             if (
                 2 * len(silent) <= len(self.timings)
-                and now - self.silence_reported[destination] >= REPORT_INTERVAL_S
+                and now - self.silence_reported_at[destination] >= REPORT_INTERVAL_S
             ):
-                self.silence_reported[destination] = now
+                self.silence_reported_at[destination] = now
                 self.report(DestinationSilent(destination))
 
     def report_delays(self) -> None:
         """Report the delay of each slow destination, and once that of one that is no longer slow."""
         now = self.loop.clock()
         for destination, timing in self.timings.items():
-            found = message_delay(timing, now)
-            if found is None:
+            delay_and_client = message_delay(timing, now)
+            if delay_and_client is None:
                 continue
-            delay, client = found
-            if delay > self.report_threshold_s or destination in self.slow:
+            delay, client = delay_and_client
+            if delay > self.report_threshold_s or destination in self.slow_destinations:
                 self.report(MessageDelay(client, destination, 1000.0 * delay))
             if delay > self.report_threshold_s:
-                self.slow.add(destination)
+                self.slow_destinations.add(destination)
             else:
-                self.slow.discard(destination)
+                self.slow_destinations.discard(destination)
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -63,7 +63,7 @@
         self.started_at = loop.clock()
         self.answer_deadline = self.started_at + wait_s
         self.connect_deadline = min(self.answer_deadline, self.started_at + connect_timeout_s)
-        self.last_reply = Reply.OTHER  # kind of the last line from the destination
+        self.last_reply_kind = Reply.OTHER  # kind of the last line from the destination
         # end_reported: the front has been sent the end of this connection
         # cancelled_by_client: the client closed or sent input before the opening line was written
         self.end_reported = self.cancelled_by_client = False
@@ -78,7 +78,7 @@
                 yield from self.relay()
         except OSError:
             # The last line from the destination decides, however the connection was closed.
-            outcome = OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET)
+            outcome = OUTCOME_BY_LAST_LINE.get(self.last_reply_kind, Outcome.RESET)
             self.notify_other_side(PeerEnded(reset=True))
         except lines.MalformedLine:
             # The destination still answers, so the client is sent a MOVE rather than disconnected.
@@ -164,8 +164,8 @@
     def on_lines(self, data: bytes) -> None:
         now = self.loop.clock()
         for line in data.splitlines(keepends=True):
-            self.last_reply = lines.reply_kind(line)
-            if self.last_reply is not Reply.LOAD:
+            self.last_reply_kind = lines.reply_kind(line)
+            if self.last_reply_kind is not Reply.LOAD:
                 self.timing.record_reply(now)
             elif (load := lines.parse_load(line)) is not None:
                 self.front.post(LoadReport(self.front, self.destination_number, load))
@@ -178,12 +178,12 @@
         super().on_message(message)
 
     def on_input_ended(self) -> None:
-        self._report_end(OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET))
+        self._report_end(OUTCOME_BY_LAST_LINE.get(self.last_reply_kind, Outcome.RESET))
 
     def next_deadline(self) -> float | None:
         if self.close_deadline is not None or not self.timing.pending:
             return self.close_deadline
-        return max(self.timing.last_reply + SILENCE_TIMEOUT_S, self.timing.pending[0] + MIN_UNANSWERED_S)
+        return max(self.timing.last_reply_at + SILENCE_TIMEOUT_S, self.timing.pending[0] + MIN_UNANSWERED_S)
 
     def on_deadline(self) -> bool:
         """Move the client away from a destination that hangs or has vanished while the connection is open."""
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -22,7 +22,7 @@
 # or not. The five durations of the worst case add up to it: a held call stops responding as the change
 # occurs and times out, discovery refuses the first call on a new connection, and after a pause the next first
 # call succeeds.
-NEWS_DEADLINE_S = 6.0
+LIST_UPDATE_DEADLINE_S = 6.0
 # Discovery may hold a call for this time until there is a change; held calls cost it little
 WATCH_HOLD_S = 1.0
 # A held call times out this long after the hold time; answers come some ms after it
@@ -199,7 +199,7 @@
             on_update,
             PoolConfig(self._log_left_out),
         )
-        self.pushed = drain_grace_s is not None
+        self.lists_pushed = drain_grace_s is not None
         self.random_fraction = random_fraction
         self.hold_s, self.first_call_extra_s, self.poll_interval_s = (
             WATCH_HOLD_S,
@@ -227,7 +227,7 @@
         return self.config.addresses.get(destination)
 
     def run(self) -> Coroutine:
-        due = self.loop.clock() if self.pushed else None  # else wait until a decider subscribes
+        due = self.loop.clock() if self.lists_pushed else None  # else wait until a decider subscribes
         try:
             while True:
                 while not self.mailbox and (due is None or self.loop.clock() < due):
@@ -284,9 +284,9 @@
                         "pool config: call failed: {error}",
                         error=f"{type(error).__name__} {error}",
                     )
-                self.failing = self.pushed
+                self.failing = self.lists_pushed
                 self._disconnect()
-                if self.pushed:  # no decider has subscribed
+                if self.lists_pushed:  # no decider has subscribed
                     return self.loop.clock() + self.poll_interval_s
                 self.on_update(interface.ListUpdate(interface.ListKind.FAILED))
                 watch_timed_out = reused_connection and isinstance(error, TimedOut)
@@ -302,7 +302,7 @@
 
     def _call(self) -> Generator[Wait, int, Any]:
         # The first call is held too. If it were answered at once, each new watch would cost two calls.
-        overdue_s = self.first_call_extra_s if self.sock is None or self.pushed else WATCH_OVERDUE_S
+        overdue_s = self.first_call_extra_s if self.sock is None or self.lists_pushed else WATCH_OVERDUE_S
         deadline = self.loop.clock() + self.hold_s + overdue_s
         if self.sock is None or self.http is None:
             yield from self._connect(deadline)
--- a/snowwick/net/service.py
+++ b/snowwick/net/service.py
@@ -216,7 +216,7 @@
         in seconds on the loop's clock.
         """
         return (
-            (destination, timing.last_reply) for destination, timing in self.delay_monitor.timings.items()
+            (destination, timing.last_reply_at) for destination, timing in self.delay_monitor.timings.items()
         )
 
     def connection_counts(self) -> Iterator[dict[int, int]]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -57,7 +57,7 @@
         + pool.FIRST_CALL_EXTRA_S
         + pool.MAX_RETRY_PAUSE_S
         + pool.FIRST_CALL_EXTRA_S
-        <= pool.NEWS_DEADLINE_S
+        <= pool.LIST_UPDATE_DEADLINE_S
         == 6.0
     )
 
