--- a/snowwick/broker/admission.py
+++ b/snowwick/broker/admission.py
@@ -648,5 +648,5 @@
         yield from self.misplaced_leases
         for budget in (self.connection_budget, self.load_budget):
             share = budget.share_to_reclaim_from()
-            if share is not None and share.owner.movable_leases:
-                yield next(reversed(share.owner.movable_leases))
+            if share is not None and share.team_state.movable_leases:
+                yield next(reversed(share.team_state.movable_leases))
--- a/snowwick/broker/budget.py
+++ b/snowwick/broker/budget.py
@@ -33,14 +33,14 @@
         "draining",
         "guarantee",
         "in_use",
-        "owner",
         "ranked_level",
         "reserved",
+        "team_state",
         "weight",
     )
 
-    def __init__(self, owner: Any = None) -> None:
-        self.owner = owner
+    def __init__(self, team_state: Any = None) -> None:
+        self.team_state = team_state
         self.guarantee = self.ceiling = self.in_use = self.draining = self.reserved = 0.0
         self.weight = 1.0
         self.claimed = 0.0
@@ -164,19 +164,20 @@
             return free >= 0.0
         return free >= spare + self.lending_reserve() + self.reserved - share.reserved
 
-    def reserve_room(self, until: float, share: TeamShare, amount: float) -> bool:
+    def reserve_room(self, expires_at: float, share: TeamShare, amount: float) -> bool:
         """Reserve the room that is freed next for a share that was refused, if it is entitled to any."""
         new_reserved = share.reserved + amount
         if share.in_use + new_reserved > share.ceiling + ROUNDING_TOLERANCE or not (
-            self.within_guarantee(share, new_reserved) or self._entitled_to_borrowed(share, new_reserved)
+            self.within_guarantee(share, new_reserved)
+            or self._may_take_from_largest_borrower(share, new_reserved)
         ):
             return False
-        self.reservations.append((until, share, amount))
+        self.reservations.append((expires_at, share, amount))
         share.reserved += amount
         self.reserved += amount
         return True
 
-    def _entitled_to_borrowed(self, share: TeamShare, amount: float) -> bool:
+    def _may_take_from_largest_borrower(self, share: TeamShare, amount: float) -> bool:
         """Whether a share would not exceed the largest borrower's level if it got this amount from it."""
         largest = self.largest_borrower()
         if largest is None or largest is share:
--- a/snowwick/broker/contract.py
+++ b/snowwick/broker/contract.py
@@ -108,7 +108,8 @@
 
     Connections are divided with ``fair.round_robin_count``: the parts of all balancers sum exactly.
     """
-    first, team_parts = 0, {}
+    first_unit = 0
+    team_parts = {}
     for name in sorted(contracts.teams):
         team, fleet = contracts.teams[name], contracts.fleet
         guaranteed = team.guarantee.connections or 0
@@ -117,13 +118,13 @@
         load = team.ceiling.load if team.ceiling.load is not None else fleet.load or math.inf
         team_parts[name] = TeamPart(
             (
-                round_robin_count(first, guaranteed, balancers, index),
-                round_robin_count(first, ceiling, balancers, index),
+                round_robin_count(first_unit, guaranteed, balancers, index),
+                round_robin_count(first_unit, ceiling, balancers, index),
             ),
             ((team.guarantee.setups_per_s or 0.0) / balancers, setups_per_s / balancers),
             ((team.guarantee.load or 0.0) / balancers, load / balancers),
         )
-        first += guaranteed
+        first_unit += guaranteed
     return round_robin_count(0, contracts.fleet.connections, balancers, index), team_parts
 
 
--- a/snowwick/broker/fair.py
+++ b/snowwick/broker/fair.py
@@ -39,15 +39,16 @@
     return shares
 
 
-def round_robin_count(first: int, count: int, balancers: int, index: int) -> int:
-    """How many of the units ``first`` to ``first + count - 1`` a balancer gets if all are dealt round robin.
+def round_robin_count(first_unit: int, count: int, balancers: int, index: int) -> int:
+    """The number of units from a range that one balancer gets if all units are dealt round robin.
 
-    With consecutive units for each team, a team's parts sum to its units exactly, and at each balancer the
-    teams' parts never sum to more than its part of all units.  Rounding each part by itself does not ensure
-    both.
+    The range starts with unit ``first_unit`` and has ``count`` units; ``index`` is the balancer's, from 0.
+    If the teams' ranges follow each other, the balancers' parts of a range sum to exactly ``count``, and a
+    balancer's parts of all ranges sum to no more than its part of all units.  Rounding each part by itself
+    does not ensure both.
     """
 
     def units_before(unit: int) -> int:
         return (unit - index + balancers - 1) // balancers
 
-    return units_before(first + count) - units_before(first)
+    return units_before(first_unit + count) - units_before(first_unit)
--- a/snowwick/toml_reader.py
+++ b/snowwick/toml_reader.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-NAME = re.compile(r"[A-Za-z0-9_.-]{1,64}")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9_.-]{1,64}")
 
 T = TypeVar("T")
 
@@ -72,7 +72,7 @@
             self.add_fault(path, "must be a table" if value is not None else "is missing")
             return {}
         for name in value:
-            if not NAME.fullmatch(name):
+            if not NAME_PATTERN.fullmatch(name):
                 self.add_fault(f"{path}.{name!r}", "not a name of letters, digits, '_', '.', '-'")
         return value
 
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -101,16 +101,16 @@
 ) -> None:
     total = sum(counts) + unassigned
     for index in range(balancers):
-        first = 0
+        first_unit = 0
         balancer_part = 0
         for count in counts:
-            balancer_part += round_robin_count(first, count, balancers, index)
-            first += count
+            balancer_part += round_robin_count(first_unit, count, balancers, index)
+            first_unit += count
         assert balancer_part <= round_robin_count(0, total, balancers, index)
-    first = 0
+    first_unit = 0
     for count in counts:
-        assert sum(round_robin_count(first, count, balancers, n) for n in range(balancers)) == count
-        first += count
+        assert sum(round_robin_count(first_unit, count, balancers, n) for n in range(balancers)) == count
+        first_unit += count
 
 
 @given(
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -15,7 +15,7 @@
 
 from snowwick.net.contracts import ContractStage
 
-TEAMS = {
+SETTINGS_WITH_TENANTS = {
     **SETTINGS,
     "tenants": [{"name": name} for name in ("n", "m", "free")],
     "limits": {**SETTINGS["limits"], "maxRetryAfter": 2000.0},  # type: ignore[dict-item]
@@ -38,7 +38,7 @@
 pool = "all"
 guarantee = { connections = 4 }
 """
-POOLS = CONTRACTS.replace(
+TWO_POOL_CONTRACTS = CONTRACTS.replace(
     "[pools.all]",
     """[pools.all]
 match = { kind = "k1" }
@@ -85,14 +85,14 @@
 
 @pytest.fixture
 def world() -> Iterator[World]:
-    world = World(CONTRACTS, settings=TEAMS)
+    world = World(CONTRACTS, settings=SETTINGS_WITH_TENANTS)
     yield world
     world.close()
 
 
 @pytest.fixture
 def world_with_pools() -> Iterator[World]:
-    world = World(POOLS, settings=TEAMS)
+    world = World(TWO_POOL_CONTRACTS, settings=SETTINGS_WITH_TENANTS)
     world.service.pool_deciders.apply_update(
         world.service.pool.config.apply(list_message(world, s_1="k1", s_2="k2"), None)
     )
@@ -288,7 +288,9 @@
 
 def test_reload_that_assigns_a_team_to_another_pool_moves_its_connections(world_with_pools: World) -> None:
     world_with_pools.play(established(1) + established(2, "m"))
-    world_with_pools.contracts_text = POOLS.replace('pool = "b"', 'pool = "c"').replace("pools.b", "pools.c")
+    world_with_pools.contracts_text = TWO_POOL_CONTRACTS.replace('pool = "b"', 'pool = "c"').replace(
+        "pools.b", "pools.c"
+    )
     world_with_pools.service.reload()
     for _ in range(30):
         world_with_pools.wait(60)
@@ -313,7 +315,7 @@
     servers, path, file = open_listener(), tmp_path / "config.json", tmp_path / "contracts.toml"
     servers.settimeout(5.0)
     known = {"version": 1, "full": True, "servers": [World.list_entry("s-1", servers)]}
-    path.write_text(json.dumps({**GOOD, "settings": TEAMS, "known": known}))
+    path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS, "known": known}))
     file.write_text(CONTRACTS)
     with program(path, SNOWWICK_CONTRACTS=str(file)) as process:
         host, port = address_in(process.stderr).split(":")
@@ -334,7 +336,7 @@
 
 def test_faulty_contracts_file_ends_the_start_and_names_its_key_path(tmp_path: Path) -> None:
     path, file = tmp_path / "config.json", tmp_path / "contracts.toml"
-    path.write_text(json.dumps({**GOOD, "settings": TEAMS}))
+    path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS}))
     file.write_text(CONTRACTS.replace('"m"', '"unheard-of"'))
     with program(path, SNOWWICK_CONTRACTS=str(file)) as process:
         _, stderr = process.communicate(timeout=20.0)
@@ -344,7 +346,7 @@
 
 def test_hangup_signal_reloads_the_contracts_of_the_running_process(tmp_path: Path) -> None:
     path, file = tmp_path / "config.json", tmp_path / "contracts.toml"
-    path.write_text(json.dumps({**GOOD, "settings": TEAMS}))
+    path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS}))
     file.write_text(CONTRACTS)
     with program(path, SNOWWICK_CONTRACTS=str(file)) as process:
         host, port = address_in(process.stderr).split(":")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from harness import BASE_SETTINGS, BalancerHarness, ready_entries
-from test_contracts_net import POOLS
+from test_contracts_net import TWO_POOL_CONTRACTS
 from wire import SETTINGS, World
 
 from crowgap import interface
@@ -22,7 +22,7 @@
 
 def test_reload_that_changes_the_tenants_of_a_pool_updates_its_quotas() -> None:
     """The pool's module kept the quotas of the old contract and so its estimate of the servers' capacity."""
-    world = World(POOLS, settings=QUOTAS)
+    world = World(TWO_POOL_CONTRACTS, settings=QUOTAS)
     servers = [
         world.list_entry("s-1", world.destination_listener, kind="k1"),
         world.list_entry("s-2", world.destination_listener, kind="k2"),
@@ -35,7 +35,7 @@
     assert {name: module.total_quota for name, module in modules.items()} == {"all": 100.0, "b": 30.0}
     capacity = modules["b"].capacity_per_weight
     assert capacity < math.inf
-    world.contracts_text = POOLS.replace('["m"]', '["m", "free"]')
+    world.contracts_text = TWO_POOL_CONTRACTS.replace('["m"]', '["m", "free"]')
     world.service.reload()
     world.run_turns()
     assert {name: module.total_quota for name, module in modules.items()} == {"all": 100.0, "b": 37.0}
