--- a/snowwick/fleet/clock.py
+++ b/snowwick/fleet/clock.py
@@ -20,18 +20,18 @@
     corrected.
     """
 
-    last: int = 0  # the highest timestamp issued or received
+    highest_timestamp: int = 0  # the highest timestamp issued or received
 
     def next_timestamp(self, wall_ms: float) -> int:
         """A timestamp for a local event, higher than all that were issued or received before."""
-        self.last = max(self.last + 1, int(wall_ms) << LOGICAL_BITS)
-        return self.last
+        self.highest_timestamp = max(self.highest_timestamp + 1, int(wall_ms) << LOGICAL_BITS)
+        return self.highest_timestamp
 
     def observe(self, timestamp: int, wall_ms: float) -> bool:
         """Advance the clock to a received timestamp; False where that is too far ahead to be used."""
         if timestamp >> LOGICAL_BITS > wall_ms + MAX_AHEAD_MS:
             return False
-        self.last = max(self.last, timestamp)
+        self.highest_timestamp = max(self.highest_timestamp, timestamp)
         return True
 
 
--- a/snowwick/fleet/rights.py
+++ b/snowwick/fleet/rights.py
@@ -27,7 +27,7 @@
 DRAIN_FRACTION = 0.5
 # Of the static share, that a balancer lends at most: its own next clients must not wait for a lease to end
 MAX_LENT_FRACTION = 0.9
-RENEW_S = 1.0  # between requests of a borrower; a lease outlasts several lost answers
+RENEW_INTERVAL_S = 1.0  # between requests of a borrower; a lease outlasts several lost answers
 RESERVE_FRACTION = 0.1  # of its own use, that a balancer keeps free or requests in addition
 # The highest demand within this time counts, so that a short pause does not move rights back and forth
 DEMAND_WINDOW_S = 3.0
@@ -38,7 +38,7 @@
 
     amount: float  # at most this much
     request_number: int  # the request that the grant answers
-    boot: int  # the lender's start
+    epoch: int  # the lender's start
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True):
@@ -53,7 +53,7 @@
 class Grant(msgspec.Struct, array_like=True, frozen=True):
     """A lender's register for one budget and borrower: the answer to one request."""
 
-    boot: int  # the borrower's start
+    epoch: int  # the borrower's start
     request_number: int
     amount: float  # that may be used
     target_amount: float  # to which the borrower should reduce its use
@@ -75,7 +75,7 @@
     amount: float
     target_amount: float
     request_number: int
-    boot: int  # the lender's start
+    epoch: int  # the lender's start
     expires_at: float
 
 
@@ -138,9 +138,9 @@
         )
 
     def confirm_start(
-        self, others: Mapping[str, Mapping[str, Holding]], boot: int, other_balancers: int
+        self, others: Mapping[str, Mapping[str, Holding]], epoch: int, other_balancers: int
     ) -> None:
-        """End ``assume_lent_until`` early once all other balancers have confirmed this start (``boot``).
+        """End ``assume_lent_until`` early once all other balancers have confirmed this start (``epoch``).
 
         ``others`` holds the holdings that each balancer reported, ``other_balancers`` is how many there are.
         A balancer that reports this start accepts no more grants of an earlier start, and holds none.
@@ -149,7 +149,7 @@
             self.assume_lent_until > 0.0
             and len(others) >= other_balancers
             and all(
-                self.name in holdings and holdings[self.name].boot == boot for holdings in others.values()
+                self.name in holdings and holdings[self.name].epoch == epoch for holdings in others.values()
             )
         ):
             self.assume_lent_until = 0.0
@@ -161,16 +161,16 @@
         if wanted >= self.peak_demand or now - self.peak_at > DEMAND_WINDOW_S:
             self.peak_demand, self.peak_at = wanted, now
 
-    def make_request(self, used: float, boots: Mapping[str, int], now: float) -> LeaseRequest:
+    def make_request(self, used: float, epochs: Mapping[str, int], now: float) -> LeaseRequest:
         """The next request; from now on this balancer uses no more than it says.
 
-        ``used`` is in use at this balancer, ``boots`` holds the start of each other member.
+        ``used`` is in use at this balancer, ``epochs`` holds the start of each other member.
         """
         own = self.own_amount(now)
         needed = (1.0 + RESERVE_FRACTION) * self.peak_demand - own
         wanted = max(0.0, float(math.ceil(needed - 1e-9)) if self.integral else needed)
         required, allowed = max(0.0, used - own), max(wanted, used - own, 0.0)
-        holdings = {name: Holding(0.0, 0, boot) for name, boot in boots.items()}
+        holdings = {name: Holding(0.0, 0, epoch) for name, epoch in epochs.items()}
         for name, lease in sorted(self.borrowed.items(), key=lambda item: (-item[1].expires_at, item[0])):
             if now >= lease.expires_at:
                 del self.borrowed[name]
@@ -178,7 +178,7 @@
             # What is in use is kept; the rest is given back unless it is wanted and the lender agrees.
             kept = min(lease.amount, max(required, min(allowed, lease.target_amount)))
             required, allowed, lease.amount = max(0.0, required - kept), max(0.0, allowed - kept), kept
-            holdings[name] = Holding(kept, lease.request_number, lease.boot)
+            holdings[name] = Holding(kept, lease.request_number, lease.epoch)
         self.last_request_number += 1
         self.request_times = {
             number: written_at
@@ -188,17 +188,17 @@
         self.request_times[self.last_request_number] = now
         return LeaseRequest(self.last_request_number, wanted, self.spare_amount(used, now), holdings)
 
-    def receive_grant(self, lender: str, lender_boot: int, grant: Grant, boot: int, now: float) -> None:
-        """Use a grant of a lender's start ``lender_boot`` to this balancer's start ``boot``."""
+    def receive_grant(self, lender: str, lender_epoch: int, grant: Grant, epoch: int, now: float) -> None:
+        """Use a grant of a lender's start ``lender_epoch`` to this balancer's start ``epoch``."""
         requested_at, old = self.request_times.get(grant.request_number), self.borrowed.get(lender)
-        if grant.boot != boot or requested_at is None:
+        if grant.epoch != epoch or requested_at is None:
             return
         expires_at = requested_at + self.lease_s * (1.0 - MAX_DRIFT_FRACTION)
-        if old is None or old.boot != lender_boot or grant.request_number > old.request_number:
-            if old is not None and old.boot != lender_boot and now < old.expires_at:
+        if old is None or old.epoch != lender_epoch or grant.request_number > old.request_number:
+            if old is not None and old.epoch != lender_epoch and now < old.expires_at:
                 return  # the lease of the lender's earlier start has to expire first, or both would be used
             self.borrowed[lender] = BorrowedLease(
-                grant.amount, grant.target_amount, grant.request_number, lender_boot, expires_at
+                grant.amount, grant.target_amount, grant.request_number, lender_epoch, expires_at
             )
 
     # -- as a lender -------------------------------------------------------------------------------------
@@ -220,18 +220,18 @@
         a request in proportion to what it can spare, so that lenders need not coordinate.
         """
         granted: dict[str, Grant] = {}
-        for name, (boot, request) in sorted(requests.items()):
-            self._settle_grants(name, boot, request)
+        for name, (epoch, request) in sorted(requests.items()):
+            self._settle_grants(name, epoch, request)
         spare = self.spare_amount(used, now)
         total_wanted = sum(request.wanted for _, request in requests.values())
         lent = {
-            name: max([grant.amount for grant in self.outstanding.get((name, boot), ())], default=0.0)
-            for name, (boot, _) in requests.items()
+            name: max([grant.amount for grant in self.outstanding.get((name, epoch), ())], default=0.0)
+            for name, (epoch, _) in requests.items()
         }
         # What this lender has lent and can still lend is shared among the borrowers by what they want
         lendable = spare + sum(lent.values())
-        for name, (boot, request) in sorted(requests.items()):
-            if self.answered_requests.get((name, boot), 0) >= request.number:
+        for name, (epoch, request) in sorted(requests.items()):
+            if self.answered_requests.get((name, epoch), 0) >= request.number:
                 continue
             elsewhere = sum(
                 holding.amount for lender, holding in request.holdings.items() if lender != self.name
@@ -250,16 +250,16 @@
             if amount <= 0.0 and lent[name] <= 0.0:
                 continue
             spare = max(0.0, spare - max(0.0, amount - lent[name]))
-            self.answered_requests[name, boot] = request.number
-            self.outstanding.setdefault((name, boot), []).append(
+            self.answered_requests[name, epoch] = request.number
+            self.outstanding.setdefault((name, epoch), []).append(
                 OutstandingGrant(request.number, amount, now + self.lease_s)
             )
-            granted[name] = Grant(boot, request.number, amount, min(target, amount))
+            granted[name] = Grant(epoch, request.number, amount, min(target, amount))
         return granted
 
-    def _settle_grants(self, name: str, boot: int, request: LeaseRequest) -> None:
+    def _settle_grants(self, name: str, epoch: int, request: LeaseRequest) -> None:
         """Drop grants older than the one that a borrower uses, and reduce that one to what it still uses."""
-        holding, grants = request.holdings.get(self.name), self.outstanding.get((name, boot))
+        holding, grants = request.holdings.get(self.name), self.outstanding.get((name, epoch))
         if holding is None or not grants:
             return
         for grant in grants:
@@ -289,18 +289,18 @@
             budget.static_share = share
 
     def requests_due(
-        self, used: Mapping[str, float], boots: dict[str, int], now: float
+        self, used: Mapping[str, float], epochs: dict[str, int], now: float
     ) -> dict[str, LeaseRequest]:
         """The requests to write now, by budget.
 
-        A request is written every ``RENEW_S`` while anything is wanted or borrowed, and when the members or
-        what this balancer can spare has changed.
+        A request is written every ``RENEW_INTERVAL_S`` while anything is wanted or borrowed, and when the
+        members, their epochs or what this balancer can spare have changed.
         """
         requests: dict[str, LeaseRequest] = {}
         for key, budget in self.budgets.items():
             last = self.last_requests.get(key)
             in_use = used.get(key, 0.0)
-            if last is not None and now - last[1] < RENEW_S:
+            if last is not None and now - last[1] < RENEW_INTERVAL_S:
                 continue
             wanting = (1.0 + RESERVE_FRACTION) * budget.peak_demand > budget.own_amount(now) or bool(
                 budget.borrowed
@@ -310,11 +310,11 @@
                 last is None
                 or wanting
                 or last[0].wanted > 0.0
-                or last[2] != boots
+                or last[2] != epochs
                 or abs(spare - last[0].spare) > RESERVE_FRACTION * budget.static_share
             ):
-                requests[key] = budget.make_request(in_use, boots, now)
-                self.last_requests[key] = requests[key], now, dict(boots)
+                requests[key] = budget.make_request(in_use, epochs, now)
+                self.last_requests[key] = requests[key], now, dict(epochs)
         return requests
 
     def targets(self, now: float) -> dict[str, float]:
--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -29,7 +29,7 @@
     """Everything that a step can change."""
 
     budgets: dict[str, Budget]
-    boots: dict[str, int]
+    epochs: dict[str, int]
     demand_indexes: dict[str, int]  # into DEMANDS
     now: float = 0.0
     crashes_left: int = 1
@@ -69,8 +69,8 @@
             if reader == writer or (register.startswith("grant") and register != f"grant {reader}"):
                 continue
             last_received = state.received.get((reader, writer, register), (0, -1))
-            for version, (boot, _) in enumerate(versions):
-                if (boot, version) > last_received:
+            for version, (epoch, _) in enumerate(versions):
+                if (epoch, version) > last_received:
                     yield "receive", (reader, writer, register, str(version))
 
 
@@ -85,29 +85,29 @@
         state.demand_indexes[name] = 1 - state.demand_indexes[name]
     elif action == "request":
         budget.peak_demand, budget.peak_at = DEMANDS[state.demand_indexes[name]], state.now
-        boots = {other: boot for other, boot in state.boots.items() if other != name}
-        request = budget.make_request(state.used_amount(name), boots, state.now)
-        state.written.setdefault((name, "request"), []).append((state.boots[name], request))
+        epochs = {other: epoch for other, epoch in state.epochs.items() if other != name}
+        request = budget.make_request(state.used_amount(name), epochs, state.now)
+        state.written.setdefault((name, "request"), []).append((state.epochs[name], request))
     elif action == "grant":
         budget.peak_demand, budget.peak_at = DEMANDS[state.demand_indexes[name]], state.now
         requests = {}
-        for (reader, writer, register), (boot, version) in state.received.items():
+        for (reader, writer, register), (epoch, version) in state.received.items():
             _, value = state.written[writer, register][version]
             if reader == name and isinstance(value, LeaseRequest):
-                requests[writer] = boot, value
+                requests[writer] = epoch, value
         for borrower, grant in budget.grant_requests(requests, state.used_amount(name), state.now).items():
-            state.written.setdefault((name, f"grant {borrower}"), []).append((state.boots[name], grant))
+            state.written.setdefault((name, f"grant {borrower}"), []).append((state.epochs[name], grant))
     elif action == "crash":
         state.crashes_left -= 1
-        state.boots[name] += 1
+        state.epochs[name] += 1
         state.budgets[name] = Budget(name, STATIC_SHARE, True, state.now + LEASE_S, LEASE_S)
         state.received = {key: version for key, version in state.received.items() if key[0] != name}
     else:
         reader, writer, register, version_text = arguments
-        boot, value = state.written[writer, register][int(version_text)]
-        state.received[reader, writer, register] = boot, int(version_text)
+        epoch, value = state.written[writer, register][int(version_text)]
+        state.received[reader, writer, register] = epoch, int(version_text)
         if isinstance(value, Grant):
-            budget.receive_grant(writer, boot, value, state.boots[reader], state.now)
+            budget.receive_grant(writer, epoch, value, state.epochs[reader], state.now)
     for each_budget in state.budgets.values():
         each_budget.lent_amount(state.now)  # removes expired grants, so that equal states are equal bytes
 
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -334,7 +334,7 @@
     return f"scale{number % workload.change_keys:04}"
 
 
-def request_value(workload: Workload, event: Event, lender: str, boot: int) -> bytes:
+def request_value(workload: Workload, event: Event, lender: str, epoch: int) -> bytes:
     """The value of a borrower's lease request register, which holds rights of one lender.
 
     The program lists all members in this register.  With more than about 35 members the list exceeds the size
@@ -342,13 +342,13 @@
     depend on the size of the fleet.
     """
     return registers.pack(
-        LeaseRequest(int(event.at), 10.0, 0.0, {lender: Holding(10.0, int(event.at), boot)})
+        LeaseRequest(int(event.at), 10.0, 0.0, {lender: Holding(10.0, int(event.at), epoch)})
     )
 
 
-def grant_value(event: Event, boot: int) -> bytes:
+def grant_value(event: Event, epoch: int) -> bytes:
     """The value of the lender's grant register."""
-    return registers.pack(Grant(boot, int(event.at), 10.0, 10.0))
+    return registers.pack(Grant(epoch, int(event.at), 10.0, 10.0))
 
 
 # -- the reference frame -------------------------------------------------------------------------------------
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -22,7 +22,7 @@
 from snowwick.fleet.members import STATE_NAMES, MemberChange
 from snowwick.fleet.node import CaughtUp, DuplicateName, Node
 from snowwick.fleet.registers import DiscoveryState, HealthTracker, RegisterView, Revision
-from snowwick.fleet.rights import RENEW_S, Leases
+from snowwick.fleet.rights import RENEW_INTERVAL_S, Leases
 from snowwick.net.decider import DestinationSilent, Outcome, PoolUpdate, RouteStepEnded, RouteStepEstablished
 from snowwick.net.loop import Actor, Coroutine, Wait
 from snowwick.net.pool import parse_address
@@ -73,7 +73,8 @@
         )
         # The verdicts in the own health registers, and when they were made
         self.published_verdicts: dict[int, tuple[int, float]] = {}
-        self.leaving: frozenset[int] = frozenset()  # destinations drained here by other members' newer lists
+        # Destinations drained at this balancer because another member's newer list drains them
+        self.leaving: frozenset[int] = frozenset()
         self.next_share = self.next_drop_log = 0.0
         self.logged_drops = 0  # frames dropped up to the last log line
         self.has_left = False  # has left the fleet; the balancer serves on its own
@@ -313,12 +314,12 @@
         leases.update_shares(stage.budgets(), now)
         if now >= self.next_demand_measurement:
             self.budget_usage, wanted = stage.measure_demand(
-                max(SHARE_INTERVAL_S, now - self.next_demand_measurement + RENEW_S)
+                max(SHARE_INTERVAL_S, now - self.next_demand_measurement + RENEW_INTERVAL_S)
             )
-            self.next_demand_measurement = now + RENEW_S
+            self.next_demand_measurement = now + RENEW_INTERVAL_S
             for key, amount in wanted.items():
                 leases.budgets[key].record_demand(amount, now)
-        boots = {
+        epochs = {
             member.name: self.node.store.owners[member.name].epoch
             for member in self.node.members.alive()
             if member.name in self.node.store.owners
@@ -327,7 +328,7 @@
         for lender, lender_epoch, key, grant in grants:
             if key in leases.budgets:
                 leases.budgets[key].receive_grant(lender, lender_epoch, grant, epoch, now)
-        for key, request in leases.requests_due(self.budget_usage, boots, now).items():
+        for key, request in leases.requests_due(self.budget_usage, epochs, now).items():
             self._write_register(registers.RIGHTS, f"ask:{key}", request, now)
         for key, budget in leases.budgets.items():
             budget_requests = requests.get(key, {})
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -266,7 +266,7 @@
     net.run(net.now + 12.0)
     assert net.has_converged()
     assert all(
-        machine.node.hybrid_clock.last >> LOGICAL_BITS < 1_700_000_000_000 + 60_000
+        machine.node.hybrid_clock.highest_timestamp >> LOGICAL_BITS < 1_700_000_000_000 + 60_000
         for machine in net.running_machines()
         if machine.name != "m1"
     )
@@ -358,11 +358,11 @@
     """
     rng = random.Random(seed)
     names, share = ["a", "b", "c"], 20.0
-    boots = dict.fromkeys(names, 1)
+    epochs = dict.fromkeys(names, 1)
     budgets = {name: Budget(name, share, True, 0.0) for name in names}
     requests: dict[str, tuple[int, object]] = {}
     read_requests: dict[tuple[str, str], tuple[int, object]] = {}  # by (reader, writer)
-    grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # by (lender, borrower): lender's boot and grant
+    grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # by (lender, borrower): lender's epoch and grant
     read_grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # the same, as read by the borrower
     used = dict.fromkeys(names, 0.0)
     highest_limit, now = 0.0, 0.0
@@ -378,7 +378,7 @@
             }
         if rng.random() < 0.004:
             name = rng.choice(names)  # crashes and restarts without any state
-            boots[name] += 1
+            epochs[name] += 1
             budgets[name], used[name] = Budget(name, share, True, now + LEASE_S), 0.0
             read_requests = {key: row for key, row in read_requests.items() if key[0] != name}
             read_grants = {key: row for key, row in read_grants.items() if key[1] != name}
@@ -399,14 +399,14 @@
                         read_grants[other, name] = grants[other, name]
             for lender in names:
                 if (lender, name) in read_grants:
-                    boot, grant = read_grants[lender, name]
-                    budget.receive_grant(lender, boot, grant, boots[name], now)
+                    epoch, grant = read_grants[lender, name]
+                    budget.receive_grant(lender, epoch, grant, epochs[name], now)
             if rng.random() < 0.1:
-                other_boots = {other: boots[other] for other in names if other != name}
-                requests[name] = boots[name], budget.make_request(used[name], other_boots, now)
+                other_epochs = {other: epochs[other] for other in names if other != name}
+                requests[name] = epochs[name], budget.make_request(used[name], other_epochs, now)
             known = {other: row for (reader, other), row in read_requests.items() if reader == name}
             for borrower, grant in budget.grant_requests(known, used[name], now).items():  # type: ignore[arg-type]
-                grants[name, borrower] = boots[name], grant
+                grants[name, borrower] = epochs[name], grant
         limits = [budgets[name].limit(now) for name in names]
         assert sum(limits) <= 3 * share + 1e-6, (now, limits)
         highest_limit = max(highest_limit, max(limits))
@@ -436,11 +436,11 @@
 
 
 def lease_from_arrival(
-    budget: Budget, lender: str, lender_boot: int, grant: Grant, boot: int, now: float
+    budget: Budget, lender: str, lender_epoch: int, grant: Grant, epoch: int, now: float
 ) -> None:
     """Counts the lease from when its grant arrived, not from when it was requested."""
     budget.request_times[grant.request_number] = now
-    receive_grant(budget, lender, lender_boot, grant, boot, now)
+    receive_grant(budget, lender, lender_epoch, grant, epoch, now)
 
 
 receive_grant = Budget.receive_grant
@@ -450,7 +450,7 @@
     "method, replacement",
     [
         ("receive_grant", lease_from_arrival),
-        ("_settle_grants", lambda budget, name, boot, request: budget.outstanding.pop((name, boot), None)),
+        ("_settle_grants", lambda budget, name, epoch, request: budget.outstanding.pop((name, epoch), None)),
         (
             "lent_amount",
             lambda budget, now: (
