--- a/crowgap/benchlink.py
+++ b/crowgap/benchlink.py
@@ -1,6 +1,7 @@
 """Adapter between the simulator's JSON messages and the decision module: it translates and decides nothing.
 
-It reads one JSON batch a line from standard input and writes one reply a line to standard output.
+It reads batches of events from standard input, one JSON object a line, and writes the reply to each, also one
+line, to standard output.
 """
 
 from __future__ import annotations
@@ -35,10 +36,13 @@
     "restored": interface.ListKind.RESTORED,
     "unavailable": interface.ListKind.FAILED,
 }
-# How the settings describe the report's field with the load over the capacity, see `Settings.load_reported`.
+# Text by which the settings' description of a probe report's field shows that the field is the backend's load
+# over its capacity; see ``Settings.load_reported``.
 LOAD_FIELD_DESCRIPTION = "over what it can do"
-MIDFLOW_BIT = 8  # in the field "bitmap" of a request
-LOAD_CHANGED_CODE = 1  # values of the field "what" of an update of a connection
+# Bit of a request's field "bitmap" that marks a midflow request.
+MIDFLOW_BIT = 8
+# Values of the field "what" in an update of an open connection.
+LOAD_CHANGED_CODE = 1
 MESSAGE_DELAY_CODE = 2
 JsonObject = dict[str, Any]
 
@@ -47,39 +51,42 @@
     """The input is not in the simulator's format; the text says why."""
 
 
-def settings_from(setup: JsonObject) -> interface.Settings:
-    """Translate the simulator's settings; unknown keys are ignored, missing ones take defaults."""
-    family, limits = setup.get("familyInfo", {}), setup.get("limits", {})
-    invariants = setup.get("invariants", {})
-    target_message_delays = family.get("messageAim") or []
-    quotas = family.get("tenantQuotaConnections") or []
+def settings_from(raw_settings: JsonObject) -> interface.Settings:
+    """Translate the simulator's settings.
+
+    Unknown keys are ignored; missing ones get defaults, except for names and a class's deadline.
+    """
+    family_info, limits = raw_settings.get("familyInfo", {}), raw_settings.get("limits", {})
+    invariants = raw_settings.get("invariants", {})
+    target_message_delays = family_info.get("messageAim") or []
+    quotas = family_info.get("tenantQuotaConnections") or []
     classes = tuple(
         interface.RequestClass(
-            name=class_setup["name"],
-            target_setup_time=class_setup.get("aim", class_setup["deadline"]),
-            deadline=class_setup["deadline"],
-            priority=class_setup.get("points", 1.0),
+            name=raw_class["name"],
+            target_setup_time=raw_class.get("aim", raw_class["deadline"]),
+            deadline=raw_class["deadline"],
+            priority=raw_class.get("points", 1.0),
             target_message_delay=target_message_delays[class_index]
             if class_index < len(target_message_delays)
             else 0.0,
-            effect=EFFECTS[class_setup.get("effect", "non_idempotent")],
-            deduplication_scope=interface.DeduplicationScope(class_setup.get("keyScope", "all")),
-            deduplication_window=class_setup.get("memorySpan", 0.0),
+            effect=EFFECTS[raw_class.get("effect", "non_idempotent")],
+            deduplication_scope=interface.DeduplicationScope(raw_class.get("keyScope", "all")),
+            deduplication_window=raw_class.get("memorySpan", 0.0),
         )
-        for class_index, class_setup in enumerate(setup.get("classes", []))
+        for class_index, raw_class in enumerate(raw_settings.get("classes", []))
     )
     tenants = tuple(
         interface.Tenant(tenant["name"], quota)
-        for tenant, quota in zip(setup.get("tenants") or [], quotas, strict=False)
+        for tenant, quota in zip(raw_settings.get("tenants") or [], quotas, strict=False)
         if quota is not None
     )
     return interface.Settings(
         classes=classes,
-        balancers=setup.get("nInstances", 1),
-        index=setup.get("selfIndex", 0),
-        zone=setup.get("zone", ""),
+        balancers=raw_settings.get("nInstances", 1),
+        index=raw_settings.get("selfIndex", 0),
+        zone=raw_settings.get("zone", ""),
         tenants=tenants,
-        must_subscribe=setup.get("registryMode") == "on_request",
+        must_subscribe=raw_settings.get("registryMode") == "on_request",
         ask_every=invariants.get("askEvery", 10000.0),
         max_attempts=limits.get("mostTries", 1),
         connect_timeout=limits.get("connectTimeout", 250.0),
@@ -89,17 +96,17 @@
         fall_multiple=invariants.get("fallMultiple", 1.0),
         overload_for=invariants.get("overloadFor", 1000.0),
         drain_grace=invariants.get("drainGrace", 3000.0),
-        load_reported=load_field_index(setup) is not None,
-        live_weights=setup.get("weights") == "live",
+        load_reported=load_field_index(raw_settings) is not None,
+        live_weights=raw_settings.get("weights") == "live",
         probes_allowed=bool(limits.get("probes", False)),
-        tick=setup.get("tick", 1.0),
+        tick=raw_settings.get("tick", 1.0),
     )
 
 
-def load_field_index(setup: JsonObject) -> int | None:
-    """Return the index of the field in a load report that is the load over the capacity, if there is one."""
-    fields = setup.get("report", {}).get("fields") or []
-    descriptions = setup.get("familyInfo", {})
+def load_field_index(raw_settings: JsonObject) -> int | None:
+    """Return the index of the field of a probe report with the backend's load over its capacity, if any."""
+    fields = raw_settings.get("report", {}).get("fields") or []
+    descriptions = raw_settings.get("familyInfo", {})
     return next(
         (
             index
@@ -206,7 +213,7 @@
     "TICK_DUE": _timer_due,
     "PROBE_RESULT": _probe_result,
 }
-# Messages between balancers are never requested; any that still arrive are ignored.
+# Messages from other balancers: this module sends none and ignores any that arrive.
 IGNORED_EVENTS = frozenset({"MEMO"})
 
 ACTION_TRANSLATORS: dict[type, Callable[[Any], JsonObject]] = {
@@ -226,14 +233,17 @@
 
 
 class Adapter:
-    """The balancers of this process by instance, and the translation of their events and actions."""
+    """The balancers of this process, by the simulator's instance number, with their translation."""
 
     def __init__(self) -> None:
-        self.balancers: dict[int, Balancer | None] = {}  # None where the settings were refused
-        self.load_indexes: dict[int, int | None] = {}  # of the load in a report
+        self.balancers: dict[int, Balancer | None] = {}  # None if the settings were invalid
+        self.load_indexes: dict[int, int | None] = {}  # see ``load_field_index``
 
     def answer_batch(self, line: str) -> JsonObject:
-        """Handle the events of one line of input and return the reply; raises MalformedInput."""
+        """Handle the events of one line of input and return the reply.
+
+        Raises MalformedInput if the line is not in the simulator's format.
+        """
         try:
             message = json.loads(line)
         except ValueError as error:
@@ -242,7 +252,8 @@
             raise MalformedInput("a batch must be an object")
         reply: list[JsonObject] = []
         try:
-            now, events = float(message["moment"]), message["input"]
+            now = float(message["moment"])
+            events = message["input"]
             for event in events:
                 self._handle_event(now, event, reply)
         except KeyError as error:
@@ -252,12 +263,14 @@
         return {"out": reply}
 
     def _handle_event(self, now: float, event: JsonObject, reply: list[JsonObject]) -> None:
-        verb, instance = event["verb"], event["i"]
+        verb = event["verb"]
+        instance = event["i"]
         if verb == "ATTACH":
-            setup, salt = event["setup"], int(event["salt"])
+            raw_settings = event["setup"]
+            salt = int(event["salt"])
             try:
-                self.balancers[instance] = Balancer(settings_from(setup), salt)
-                self.load_indexes[instance] = load_field_index(setup)
+                self.balancers[instance] = Balancer(settings_from(raw_settings), salt)
+                self.load_indexes[instance] = load_field_index(raw_settings)
             except ValueError as error:
                 self.balancers[instance] = None
                 reply.append(crash_report(instance, error))
@@ -266,7 +279,7 @@
             raise MalformedInput(f"instance {instance} never attached")
         balancer = self.balancers[instance]
         if balancer is None:
-            return  # its settings were refused; the reply to ATTACH reported that
+            return  # its settings were invalid, as the reply to ATTACH has reported
         if verb == "CRASH_NOW":
             del self.balancers[instance]
         elif verb in EVENT_TRANSLATORS:
@@ -291,12 +304,12 @@
 
 
 def crash_report(instance: int, error: Exception) -> JsonObject:
-    """Return the message for an exception in the decision module, as opposed to malformed input."""
+    """Return the message that reports an exception in the decision module, or invalid settings."""
     return {"verb": "CRASH", "i": instance, "bodyText": f"{type(error).__name__}: {error}"}
 
 
 def main(source: IO[str] = sys.stdin, sink: IO[str] = sys.stdout) -> int:
-    """Answer batches until the input ends; return the exit status."""
+    """Answer batches until the input ends; return the exit status, 2 after malformed input."""
     adapter = Adapter()
     for line in source:
         if not line.strip():
--- a/crowgap/interface.py
+++ b/crowgap/interface.py
@@ -22,8 +22,8 @@
     """Which backends recognise and drop the repeats of a keyed request."""
 
     ALL = "all"
-    ZONE = "zone"  # those in the zone of the backend that got the request first
-    CELL = "cell"  # those in its cell
+    ZONE = "zone"  # backends in the zone of the one that received the request first
+    CELL = "cell"  # backends in the cell of the one that received the request first
 
 
 class Outcome(Enum):
@@ -34,7 +34,7 @@
     FULL = "full"  # the backend refused the connection
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"  # the backend broke the connection off
+    RESET = "reset"  # the backend broke the connection
     CANCELLED = "cancelled"  # the client or the caller ended it
     UNSENT = "unsent"  # the caller never started the attempt
 
@@ -44,7 +44,7 @@
 
 
 class State(Enum):
-    """State of a backend according to the list of backends."""
+    """Lifecycle state of a backend in the list of backends."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -56,7 +56,7 @@
 
     CHANGES = "changes"  # the entries that have changed
     FULL = "full"  # all entries
-    RESTORED = "remembered"  # all entries as they were stored before a restart
+    RESTORED = "remembered"  # all entries, as stored before a restart
     FAILED = "failed"  # nothing: the call to the list service failed
 
 
@@ -79,7 +79,8 @@
     """A customer and its quota."""
 
     name: str
-    quota: float  # open connections over all balancers that count in full
+    # Number of open connections, summed over all balancers, up to which each of them counts in full.
+    quota: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,26 +89,27 @@
 
     classes: tuple[RequestClass, ...]
     balancers: int = 1  # number of balancers that share the backends
-    index: int = 0  # of this balancer, from 0
-    zone: str = ""  # of this balancer
-    tenants: tuple[Tenant, ...] = ()  # those with a quota
-    must_subscribe: bool = False  # lists are sent after a subscription only; else they are pushed
+    index: int = 0  # number of this balancer among them, from 0
+    zone: str = ""  # zone of this balancer
+    tenants: tuple[Tenant, ...] = ()  # tenants that have a quota
+    must_subscribe: bool = False  # whether the list service sends lists only to subscribers; else it pushes
     # Refresh interval of the list service in ms; scales the spread of first calls and the longest backoff.
     ask_every: float = 10000.0
-    max_attempts: int = 3  # for each request
+    max_attempts: int = 3  # highest number of attempts for one request
     connect_timeout: float = 250.0  # ms
-    max_retry_after: float = 0.0  # ms; longest wait that a refusal names; 0 where refusals name none
-    cold_time: float = 0.0  # ms of warm-up: from a backend's start until it reaches its full capacity
-    cold_from: float = 1.0  # fraction of its full capacity that a backend has at its start
+    max_retry_after: float = 0.0  # longest ``Refuse.retry_after`` in ms; 0 if refusals give no wait
+    cold_time: float = 0.0  # warm-up in ms: from a backend's start until it reaches its full capacity
+    cold_from: float = 1.0  # capacity of a backend at its start, as a fraction of its full capacity
     # A backend collapses when it is asked for ``fall_multiple`` times its present capacity for
     # ``overload_for`` ms.
     fall_multiple: float = 2.0
     overload_for: float = 1000.0
-    drain_grace: float = 3000.0  # ms after a backend is listed as draining in which it may still be sent to
-    load_reported: bool = False  # the answer to a probe contains the backend's load over its capacity
-    live_weights: bool = False  # the list's weights are live figures, which placement ignores
-    probes_allowed: bool = False
-    tick: float = 1.0  # ms by which a timer may fire late, the caller's timer resolution
+    # Time in ms after a backend is listed as draining in which new requests may still be sent to it.
+    drain_grace: float = 3000.0
+    load_reported: bool = False  # whether answers to probes contain the backend's load over its capacity
+    live_weights: bool = False  # whether the list's weights are live figures; placement then ignores them
+    probes_allowed: bool = False  # whether backends may be probed
+    tick: float = 1.0  # longest delay of a timer in ms: the caller's timer resolution
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -167,16 +169,19 @@
 
     request: int  # id; the other events and the actions refer to it
     class_name: str
-    patience: float  # how long the client waits for the final answer
+    patience: float  # time from now that the client waits for the final answer
     client_key: str = ""
     group_key: str = ""  # requests with the same key are placed together
     tenant: str = ""
-    midflow: bool = False  # continues work that has begun, so it needs no token of the throttle
+    midflow: bool = False  # whether it continues work that has begun, so that it needs no throttle token
 
 
 @dataclass(slots=True)
 class ExistingConnection:
-    """A connection that was open through this balancer before it started; its attempt is number 0."""
+    """A connection that was already open through this balancer when it started.
+
+    Its attempt has the number 0.
+    """
 
     request: int
     class_name: str
@@ -193,12 +198,12 @@
     request: int
     attempt: int  # number of the attempt, from 0
     backend: int
-    elapsed: float
+    elapsed: float  # time since the start of the attempt
 
 
 @dataclass(slots=True)
 class DelayReport:
-    """How long a message on an open connection takes at its backend now."""
+    """The present delay of messages on an open connection at its backend."""
 
     request: int
     backend: int
@@ -207,7 +212,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """The work a second that an open connection asks for now, in any unit that all reports share."""
+    """The present load of an open connection: its work a second, in any unit common to all reports."""
 
     request: int
     backend: int
@@ -216,7 +221,7 @@
 
 @dataclass(slots=True)
 class BackendSilent:
-    """A backend answers on none of its connections, although messages wait on several."""
+    """A backend answers on none of its connections although several have unanswered messages."""
 
     backend: int
 
@@ -229,13 +234,13 @@
     attempt: int
     backend: int
     outcome: Outcome
-    elapsed: float
-    client_answered: bool = False  # the client has its final answer, so no further attempt is needed
+    elapsed: float  # time since the start of the attempt; 0 if it was never started
+    client_answered: bool = False  # whether the client has its final answer, so that no retry is needed
 
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client has left."""
+    """The client has disconnected or given up."""
 
     request: int
 
@@ -304,7 +309,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send ``TimerDue`` with the token at the time ``at``."""
+    """Deliver ``TimerDue`` with this token at the time ``at``."""
 
     at: float
     token: int
@@ -312,7 +317,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Subscribe to the list service's changes from now on."""
+    """Subscribe to the list of backends at the list service, which then sends ``ListUpdate`` events."""
 
 
 @dataclass(slots=True)
