--- a/snowwick/__main__.py
+++ b/snowwick/__main__.py
@@ -48,7 +48,7 @@
     """Serve until SIGTERM, configured by GW_CONFIG and the other GW_ variables."""
     from snowwick.net.signals import SignalSockets
 
-    # Before the configuration is read, so that a SIGHUP during the start leads to a reload
+    # Created before the configuration is read, so that a SIGHUP during the start leads to a reload
     signal_sockets = SignalSockets()
     from snowwick.log import Log, as_json, as_text
     from snowwick.net.loop import Loop
@@ -132,6 +132,7 @@
 
 
 def _contracts_reader(path: Path, settings: config.Config | None) -> Callable[[], Contracts]:
+    """Return a function that reads the contracts file, checked against the settings if they are given."""
     try:
         from snowwick.broker.contract import load
     except ImportError as error:
@@ -142,6 +143,7 @@
 
 
 def _read_contracts(path: Path) -> Contracts:
+    """Read a contracts file; exits with a line for each fault."""
     settings = _load_config() if os.environ.get("GW_CONFIG") else None
     try:
         return _contracts_reader(path, settings)()
@@ -203,6 +205,7 @@
 
 
 def _load_fleet(path: Path) -> FleetFile:
+    """Read a fleet file. Raises ValueError with its faults."""
     try:
         from snowwick.fleet.file import load
     except ImportError as error:
@@ -211,6 +214,7 @@
 
 
 def _read_fleet(path: Path) -> FleetFile:
+    """Read a fleet file; exits with a line for each fault."""
     try:
         return _load_fleet(path)
     except ValueError as error:
@@ -231,6 +235,7 @@
 
 
 def _load_config() -> config.Config:
+    """Read the configuration; exits with one line if it is invalid."""
     try:
         return config.load()
     except config.BadConfig as error:
--- a/snowwick/config.py
+++ b/snowwick/config.py
@@ -17,12 +17,13 @@
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_MESSAGE_AIM_MS = 100.0
-# Applied on SIGHUP without a restart. `known` only matters at the start, so a change of it needs no warning.
+# A change of these on SIGHUP causes no warning that a restart is needed: `discovery` is applied at once, and
+# `known` is used at the start only.
 RELOADABLE_FIELDS = ("discovery", "known")
 
 
 class BadConfig(Exception):
-    """The configuration is invalid. The text names the faulty key."""
+    """The configuration is invalid; the message names the faulty key."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,10 +37,11 @@
     seed: int = 0
     sockets: int = DEFAULT_SOCKETS
     groups: bool = False
-    load_field: str = ""  # of a destination's report: its load over its capacity; empty if none
+    # Name of the load report's figure for a destination's load over its capacity; empty if none
+    load_field: str = ""
     tenants: frozenset[str] = frozenset()
-    message_aim_ms: float = DEFAULT_MESSAGE_AIM_MS
-    known: dict[str, Any] = field(default_factory=dict)
+    message_aim_ms: float = DEFAULT_MESSAGE_AIM_MS  # the shortest target delay of messages
+    known: dict[str, Any] = field(default_factory=dict)  # discovery's list as stored before the start
 
     @property
     def deadlines(self) -> dict[str, float]:
@@ -53,7 +55,10 @@
 
 
 def reload(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the file again while serving. GW_DISCOVERY only applies to the start, so the file's counts."""
+    """Read the file again while serving.
+
+    GW_DISCOVERY only applies to the start; a reload uses discovery's address from the file.
+    """
     return _read(environment, {"GW_NAME": "name", "GW_LISTEN": "listen"})
 
 
--- a/snowwick/log.py
+++ b/snowwick/log.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import IO, Any, Protocol
 
-MAX_LINES_PER_S = 100.0  # sustained
+MAX_LINES_PER_S = 100.0  # sustained rate
 MAX_BURST_LINES = 500.0
 
 
@@ -29,6 +29,7 @@
 
 
 def as_text(event: str, text: str, fields: dict[str, Any]) -> str:
+    """The text format: the line is the text itself."""
     return text
 
 
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -16,20 +16,19 @@
 
 
 class CheckLimits:
-    """Sent to the reclaimer: connections may have to be reclaimed."""
+    """Sent to the reclaimer: check whether connections have to be reclaimed."""
 
 
 class Reclaimer(Actor):
-    """Moves clients away, at the pace that admission control sets, until nothing more is to be reclaimed."""
+    """Moves clients away, at the rate that admission control sets, until none is left to be reclaimed."""
 
     restart_after_fault = True
 
     def __init__(self, loop: Loop, admission: AdmissionController) -> None:
         super().__init__(loop)
         self.admission = admission
-        self.next_reclaim_at: float | None = (
-            None  # s on the loop's clock; None while there is nothing to reclaim
-        )
+        # In s on the loop's clock; None while there is nothing to reclaim
+        self.next_reclaim_at: float | None = None
 
     def run(self) -> Coroutine:
         self.next_reclaim_at = None
@@ -46,13 +45,16 @@
                 self.next_reclaim_at = None if delay_s is None else now + delay_s
 
     def check(self) -> None:
-        """Start reclaiming if it is needed and not under way."""
+        """Start to reclaim connections if that is needed and not in progress."""
         if self.next_reclaim_at is None and self.admission.needs_reclaim():
             self.post(CheckLimits())
 
 
 class ContractStage(Stage):
-    """Assigns each request to its team and pool, admits it, and releases its lease once when it has ended."""
+    """Assigns each request to its team and pool, and admits or rejects it by the team's limits.
+
+    The lease of an admitted request is released once, when the request has ended.
+    """
 
     def __init__(
         self,
@@ -66,16 +68,16 @@
         retry_after_ms: Callable[[], float],
     ) -> None:
         self.loop, self.contracts, self.pool_deciders = loop, contracts, pool_deciders
+        # Number of balancers that divide the limits among them, and the index of this one
         self.balancers, self.index = balancers, index
         self.max_retry_after_ms, self.retry_after_ms = max_retry_after_ms, retry_after_ms
         self.admission = AdmissionController(
             balancer_limits(contracts, balancers, index), seed, max_retry_after_ms / 1000.0
         )
         self.reclaimer = Reclaimer(loop, self.admission)
-        self.rights: dict[str, float] | None = (
-            None  # by budget; None if rights are not moved between balancers
-        )
-        # Fractions of budgets that are usable where other balancers' contracts allow less
+        # This balancer's rights by budget; None if balancers do not transfer rights
+        self.rights: dict[str, float] | None = None
+        # By budget, for budgets that are smaller in other balancers' contracts: the usable fraction
         self.stricter_shares: dict[str, float] = {}
         # Requests since the last measurement of demand
         self.refused: Counter[tuple[str, str]] = Counter()  # by team and resource
@@ -110,9 +112,9 @@
     def measure_demand(self, seconds: float) -> tuple[dict[str, float], dict[str, float]]:
         """Return, by budget, the amount in use and the amount wanted over the last ``seconds``.
 
-        The amount wanted includes refused requests. Refused clients retry, so that one client may be counted
-        several times. The amount wanted is therefore limited to twice the amount in use, and grows with each
-        measurement while requests are refused.
+        The amount wanted includes refused requests. A refused client retries and may be counted several
+        times, so the refused part counts at most as much as the amount in use (or 1 if that is more). While
+        requests are refused, the amount wanted thus grows over several measurements.
         """
         used: dict[str, float] = {"fleet.connections": 0.0, "fleet.setups": 0.0}
         wanted = dict(used)
@@ -132,6 +134,7 @@
         return used, wanted
 
     def _apply_pools(self, running: bool) -> None:
+        """Replace the pools, and look up the team of each tenant; new deciders are started if ``running``."""
         tenants_by_pool = {
             pool: frozenset(
                 tenant
@@ -147,6 +150,10 @@
         }
 
     def _busy_rejection(self, reason: str, detail: str = "", wait_ms: float | None = None) -> Rejection:
+        """Return a busy reply with a retry delay of ``wait_ms``, at least 1 ms and at most the maximum.
+
+        Without ``wait_ms`` the service chooses the retry delay.
+        """
         delay_ms = self.retry_after_ms() if wait_ms is None else wait_ms
         return Rejection(lines.busy_line(min(max(1.0, delay_ms), self.max_retry_after_ms)), reason, detail)
 
--- a/snowwick/net/decider.py
+++ b/snowwick/net/decider.py
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client closed before the decider's answer, or its side answered it without waiting for the decider.
+    """The client closed before the decider's answer, or was answered without waiting for the decider.
 
     If ``step_active``, a ``RouteStepEnded`` still follows for the route step in progress.
     """
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """The load, in work per second, that a connection puts on its destination now."""
+    """The present load of a connection on its destination, in units of work per second."""
 
     client: Client
     destination: int
@@ -145,7 +145,7 @@
 
 @dataclass(slots=True)
 class MoveAway:
-    """Sent to the client's side: tell the client to reconnect."""
+    """Sent to the client's side: tell the client to reconnect; ``reason`` is the reason code for the log."""
 
     reason: str
 
@@ -171,14 +171,14 @@
         super().__init__(loop)
         self.balancer = Balancer(settings, seed)
         self.now_ms, self.watch_pool, self.probe = now_ms, watch_pool, probe
-        # If there is a fleet, receives each message before the module does.
+        # Called with each message before the module handles it; set if there is a fleet
         self.observer: Callable[[object], None] | None = None
         self.timers: list[tuple[float, int]] = []  # heap of (due time in ms, token)
         self.request_numbers: dict[Client, int] = {}
         self.clients: dict[int, Client] = {}  # by request number
         self.attempt_counts: dict[int, int] = {}  # route steps started, by request number
         self.active_steps: dict[int, int] = {}  # destination of the route step in progress, by request number
-        self.last_request_number = 0  # of the last request
+        self.last_request_number = 0
 
     def run(self) -> Coroutine:
         while True:
@@ -201,9 +201,10 @@
                 self._handle(interface.TimerDue(heapq.heappop(self.timers)[1]))
 
     def _unsent_step(self, message: object) -> interface.Ended | None:
-        """Return the end of a route step that never started, since its client left in the turn of its order.
+        """Return the end of a route step that was ordered but not started, as its client had left already.
 
-        Without this event the module would keep the step forever and count it at its backend.
+        The client left in the turn of the loop in which the route step was ordered. Without this event the
+        module would keep the attempt forever and count it at its backend.
         """
         number = (
             self.request_numbers.get(message.client)
@@ -217,6 +218,7 @@
         )
 
     def _translate(self, message: object) -> interface.Event | None:
+        """Return the module's event for a message; None if it is about a request that has ended."""
         if isinstance(message, PoolUpdate):
             return message
         if isinstance(message, ConnectionRequested):
@@ -279,6 +281,7 @@
         }
 
     def _assign_number(self, client: Client, attempt_count: int) -> int:
+        """Add a request, with the number of route steps that it has had, and return its number."""
         self.last_request_number += 1
         (
             self.request_numbers[client],
@@ -292,30 +295,32 @@
         return self.last_request_number
 
     def _forget(self, number: int) -> None:
+        """Remove a request; does nothing if it has been removed already."""
         client = self.clients.pop(number, None)
         if client is not None:
             del self.request_numbers[client], self.attempt_counts[number]
             self.active_steps.pop(number, None)
 
     def _handle(self, event: interface.Event) -> None:
+        """Pass an event to the module and carry out the actions that it returns."""
         try:
             actions = self.balancer.handle(self.now_ms(), event)
         except Exception as error:
-            # A fault in the module must not end all established connections.
+            # An exception in the module must not end all established connections.
             self.loop.log.event(
                 "fault",
                 "fault: {where}: {error}",
                 where=f"decision on {type(event).__name__}",
                 error=f"{type(error).__name__}: {error}",
             )
-            # Actions decided before the fault still count: without its timer the module's periodic check
-            # would never run again.
+            # Actions decided before the exception are carried out: without its timer the module's periodic
+            # check would never run again.
             actions = list(self.balancer.pending_actions)
             if isinstance(event, interface.Request) and not any(
                 getattr(action, "request", None) == event.request for action in actions
             ):
                 self._handle(interface.ClientLeft(event.request))
-                actions.append(interface.Fail(event.request))  # abandoned, so answered at once
+                actions.append(interface.Fail(event.request))  # the module did not answer the request
         for action in actions:
             self._carry_out(action)
 
--- a/snowwick/net/delay_monitor.py
+++ b/snowwick/net/delay_monitor.py
@@ -14,14 +14,14 @@
 from snowwick.net.decider import Client, DestinationSilent, MessageDelay
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 
-# Interval between reports on one destination; also how long the delay of an answered line counts
+# Interval between reports on one destination; also the age up to which the delay of an answered line is used
 REPORT_INTERVAL_S = 1.0
 # Interval between checks for silence; short, so that a hang is reported well before the next delay report
 SILENCE_CHECK_INTERVAL_S = 0.25
-# A destination counts as silent after this time without an answer while several connections wait for one
+# A destination is silent after this time without an answer while several connections wait for one
 SILENCE_S = 0.5
-SILENCE_SINGLE_S = 1.5  # the same time while only one connection waits
-MAX_PENDING_LINES = 1024  # unanswered lines of one connection that are timed
+SILENCE_SINGLE_S = 1.5  # the same while only one connection waits
+MAX_PENDING_LINES = 1024  # at most this many unanswered lines of one connection are timed
 
 
 class DestinationTiming:
@@ -35,9 +35,10 @@
         self.connection_count = 0
         # Time of the last line that came back, or of the last connection added; in s on the loop's clock
         self.last_reply_at = 0.0
-        # Connections that have sent since the last line came back, in the order of sending
+        # Connections that have sent lines since the destination's last line, in the order of sending
         self.awaiting_reply: dict[ConnectionTiming, None] = {}
-        # Connections that were answered within the report interval, the latest last
+        # Connections that were answered within the report interval, the latest last; older ones are removed
+        # by ``message_delay``
         self.recently_answered: dict[ConnectionTiming, None] = {}
 
 
@@ -49,15 +50,17 @@
     destination: int
     destination_timing: DestinationTiming
     pending: deque[float] = field(default_factory=deque)  # when each unanswered line was sent, oldest first
-    last_reply_at: float = 0.0
-    last_delay_s: float = 0.0
+    last_reply_at: float = 0.0  # when the last line came back, or when the connection was added
+    last_delay_s: float = 0.0  # between the last answered line and its answer
 
     def record_sent(self, now: float, count: int) -> None:
+        """Record that ``count`` lines were sent to the destination."""
         # Bounded, since a client may send at full speed to a destination that answers nothing.
         self.pending.extend([now] * min(count, MAX_PENDING_LINES - len(self.pending)))
         self.destination_timing.awaiting_reply[self] = None
 
     def record_reply(self, now: float) -> None:
+        """Record a line from the destination; it counts as the answer to the oldest unanswered line."""
         self.last_reply_at = self.destination_timing.last_reply_at = now
         self.destination_timing.awaiting_reply.clear()
         if self.pending:
@@ -69,8 +72,9 @@
 def message_delay(timing: DestinationTiming, now: float) -> tuple[float, Client] | None:
     """Return a destination's message delay in s and a client that observes it, or None if unknown.
 
-    This is the median delay of recently answered lines, unless a line has waited for longer and none was
-    answered since it was sent. Counted among the others, a hang would show only once half of them were old.
+    This is the median delay of recently answered lines, or the longest wait of an unanswered line if that is
+    longer. A line only counts as unanswered if the destination has sent nothing since the line was sent. If
+    unanswered lines were part of the median, a hang would raise it only once they were half of all lines.
     """
     for connection in list(
         takewhile(
@@ -95,7 +99,10 @@
 
 
 def is_silent(timing: DestinationTiming, now: float) -> bool:
-    """Return whether lines are waiting at the destination and no connection was answered for too long."""
+    """Return whether lines wait for an answer and the destination has answered none for ``SILENCE_S``.
+
+    If only one connection waits, the time is ``SILENCE_SINGLE_S``.
+    """
     waiting = [connection.pending[0] for connection in timing.awaiting_reply if connection.pending]
     return bool(waiting) and now - max(timing.last_reply_at, min(waiting)) >= (
         SILENCE_S if len(waiting) > 1 else SILENCE_SINGLE_S
@@ -103,9 +110,9 @@
 
 
 class Gauge(Actor):
-    """Reports destinations whose message delay is high or that do not answer, once per second.
+    """Reports destinations whose message delay is high or that do not answer, each once per second.
 
-    A destination that recovers is reported once more.
+    When the message delay of a destination is no longer high, it is reported once more.
     """
 
     restart_after_fault = True
@@ -114,13 +121,14 @@
         self, loop: Loop, report: Callable[[MessageDelay | DestinationSilent], None], shortest_aim_ms: float
     ) -> None:
         super().__init__(loop)
-        # Delays above a third of the shortest target delay are reported.
+        # Delays above a third of the shortest target delay are reported; the 3000 includes ms to s.
         self.report, self.report_threshold_s = report, shortest_aim_ms / 3000.0
         self.timings: dict[int, DestinationTiming] = {}
-        self.slow_destinations: set[int] = set()
+        self.slow_destinations: set[int] = set()  # with a delay above the threshold in the last report
         self.silence_reported_at: dict[int, float] = {}  # silent destinations and when each was last reported
 
     def add(self, client: Client, destination: int) -> ConnectionTiming:
+        """Start to time an established connection."""
         timing = self.timings.setdefault(destination, DestinationTiming())
         timing.connection_count += 1
         timing.last_reply_at = self.loop.clock()
@@ -152,7 +160,7 @@
     def report_silent(self) -> None:
         """Report silent destinations.
 
-        If most destinations are silent, none is reported: probably this process was held up itself.
+        If most destinations are silent, none is reported: this process itself was probably delayed.
         """
         now = self.loop.clock()
         silent = [number for number, timing in self.timings.items() if is_silent(timing, now)]
@@ -168,7 +176,7 @@
                 self.report(DestinationSilent(destination))
 
     def report_delays(self) -> None:
-        """Report the delay of each slow destination, and once that of one that is no longer slow."""
+        """Report the delay of each slow destination, and once more when it is no longer slow."""
         now = self.loop.clock()
         for destination, timing in self.timings.items():
             delay_and_client = message_delay(timing, now)
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -14,17 +14,18 @@
 from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
 from snowwick.net.peer import LinePeer, PeerEnded, RelayedLines, configure_socket, connect
 
-SILENCE_TIMEOUT_S = 5.5  # a client that gets no line back is moved after this time; the protocol allows 7 s
-MIN_UNANSWERED_S = 3.0  # silence counts only once a line has been unanswered for this long
-# Outcome of an established connection by the last line from the destination
+# A client with unanswered lines is moved after this time without an answer; the protocol allows 7 s
+SILENCE_TIMEOUT_S = 5.5
+MIN_UNANSWERED_S = 3.0  # but not before a line has been unanswered for this time
+# Outcome of an established connection by the last line from the destination; RESET for all other lines
 OUTCOME_BY_LAST_LINE = {Reply.BYE: Outcome.OK, Reply.MOVE: Outcome.CANCELLED}
-# Outcome of a route step by the destination's answer to the opening line
+# Outcome of a route step by the destination's answer to the opening line; ERROR for all other answers
 OUTCOME_BY_ANSWER = {**OUTCOME_BY_LAST_LINE, Reply.BUSY: Outcome.FULL}
 
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """To the front: the connection is established; ``line`` is the destination's UP line."""
+    """Sent to the front: the connection is established; ``line`` is the destination's UP line."""
 
     line: bytes
     elapsed_ms: float
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class ConnectionEnded:
-    """To the front: the route step, or the connection established by it, has ended."""
+    """Sent to the front: the route step, or the connection established by it, has ended."""
 
     outcome: Outcome
     elapsed_ms: float
@@ -77,7 +78,7 @@
                 self.other_side = self.front
                 yield from self.relay()
         except OSError:
-            # The last line from the destination decides, however the connection was closed.
+            # The last line from the destination determines the outcome, however the connection was closed.
             outcome = OUTCOME_BY_LAST_LINE.get(self.last_reply_kind, Outcome.RESET)
             self.notify_other_side(PeerEnded(reset=True))
         except lines.MalformedLine:
@@ -154,6 +155,7 @@
             del self.output_buffer[: self.sock.send(self.output_buffer)]
 
     def _establish(self, line: bytes) -> None:
+        """Report the connection to the front, start to time it and relay the lines after the UP line."""
         self.front.post(ConnectionEstablished(line, self._elapsed_ms()))
         self.timing = self.delay_monitor.add(self.front, self.destination_number)
         remaining_lines = lines.take_lines(self.input_buffer)
--- a/snowwick/net/host.py
+++ b/snowwick/net/host.py
@@ -34,7 +34,7 @@
     def last_reply_times(self) -> Iterable[tuple[int, float]]:
         """The destinations with connections, each with the time of its last reply.
 
-        This is the last line that came back, or the last connection established if that was later.  Times are
+        This is the last line that came back, or the last connection established if that was later. Times are
         in seconds on the loop's clock.
         """
 
@@ -42,7 +42,7 @@
         """The number of connections, including those being set up, by destination; one mapping per pool."""
 
     def apply_silence_report(self, message: DestinationSilent) -> None:
-        """Called when, according to other members, a destination answers no requests."""
+        """Called when, according to other members, a destination is silent."""
 
     def apply_pool_update(self, update: PoolUpdate) -> None:
         """Called when, according to other members, destinations are leaving or have returned."""
--- a/snowwick/net/lines.py
+++ b/snowwick/net/lines.py
@@ -9,10 +9,10 @@
 
 MAX_LINE_BYTES = 4096  # including the line end
 LINE_END = b"\r\n"
-# Commands without their line end
+# Commands to the balancer and to destinations, without their line end
 PING = b"PING"
 STATS = b"STATS"
-# Replies with their line end
+# Lines to clients, with their line end
 PONG = b"PONG\r\n"
 MOVE = b"MOVE\r\n"
 ERR = b"ERR\r\n"
@@ -21,7 +21,8 @@
 _UP_LINE = re.compile(rb"UP [ -~]*[!-~]\r\n")
 _WORD = re.compile(r"[!-~]+")
 _NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_.-]{0,31}")
-_VALUE_FORMATS = {  # of the known values; an opening line may have others, which are not checked
+# Formats of the known values; an opening line may have others, which are not checked
+_VALUE_FORMATS = {
     "d": re.compile(r"\d{1,10}"),
     "r": re.compile(r"[01]"),
     "again": re.compile(r"[01]"),
@@ -118,7 +119,8 @@
     """Raise MalformedLine for an opening line that no correct client sends.
 
     Destinations would reject such a line, and their rejections would count as failures of the destinations.
-    ``deadlines`` holds the deadline of each class in ms.  A resumed connection (``at``) may wait any time.
+    ``deadlines`` holds the deadline of each class in ms. The wait of a resumed connection (``at``) is not
+    limited.
     """
     values = opening.values
     deadline = deadlines.get(values.get("c", ""))
@@ -143,7 +145,7 @@
 
 
 def is_up_line(line: bytes) -> bool:
-    """Whether the line is a well-formed ``UP RECEIPT``; a damaged one must not count as an answer."""
+    """Whether the line is a well-formed ``UP RECEIPT``; a truncated or garbled one must not count as UP."""
     return _UP_LINE.fullmatch(line) is not None
 
 
--- a/snowwick/net/loop.py
+++ b/snowwick/net/loop.py
@@ -1,8 +1,8 @@
 """A single-threaded event loop: epoll for sockets, timers, and actors as generator-based coroutines.
 
-An actor is a generator with a mailbox.  It yields a ``Wait`` and is resumed with flags that say what
-happened: its socket is readable or writable, a message arrived, or the deadline passed.  Each wait has its
-own timer (net/timers.py), which is cancelled when the wait ends.
+An actor is a generator with a mailbox. It yields a ``Wait`` and is resumed with flags that say what happened:
+its socket is readable or writable, a message arrived, or the deadline passed. Each wait with a deadline has
+its own timer (net/timers.py), which is cancelled when the wait ends.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 MAIL = 4
 TIMED_OUT = 8
 
-# Rounds in which a turn resumes actors before it polls the sockets again: a line is relayed in two, and the
-# notice that its buffer is drained takes one more.  Bounded, so that actors that post to each other without
-# end do not starve the sockets.
+# Rounds in which a turn resumes actors before the loop polls the sockets again: a line is relayed in two
+# rounds, and the message that its output buffer is drained takes one more. Bounded, so that actors that post
+# to each other without end do not starve the sockets.
 MAX_MAIL_ROUNDS = 4
 
 
@@ -54,11 +54,11 @@
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.mailbox: deque[Any] = deque()
-        self.coroutine: Coroutine | None = None
-        self.timer: int | None = None
+        self.coroutine: Coroutine | None = None  # None before the start and after the end
+        self.timer: int | None = None  # the slot that ``Timers.cancel`` needs
         self.not_started = True
         self.waiting = False
-        self.wake_flags = 0
+        self.wake_flags = 0  # collected since the actor was last resumed
         self.registered_fd = -1
         self.registered_events = 0
 
@@ -73,7 +73,7 @@
         self.loop.ready.append(self)
 
     def post(self, message: object) -> None:
-        """Put a message into the mailbox; dropped if the actor has ended."""
+        """Put a message into the mailbox; dropped if the actor is not started or has ended."""
         if self.coroutine is not None:
             self.mailbox.append(message)
             self.loop.wake(self, MAIL)
@@ -99,7 +99,7 @@
         self.epoll = select.epoll()
         self.actors_by_fd: dict[int, Actor] = {}
         self.actors: set[Actor] = set()
-        self.ready: deque[Actor] = deque()
+        self.ready: deque[Actor] = deque()  # actors to resume, in order
         # Open sockets of connections (LinePeer), registered with epoll or not; the service limits them
         self.open_sockets = 0
         self.stopped = False
@@ -165,7 +165,7 @@
             self._remove(actor)
             return
         except Exception:
-            # A fault in one actor must not end the connections of all others.
+            # An exception in one actor must not end the connections of all others.
             self.log.event(
                 "fault",
                 "fault: {where}: {error}",
@@ -179,6 +179,7 @@
         self._suspend(actor, wait)
 
     def _suspend(self, actor: Actor, wait: Wait) -> None:
+        """Let the actor wait; it is woken at once if its mailbox has messages."""
         fd = wait.sock.fileno() if wait.sock is not None else -1
         events = (select.EPOLLIN if wait.read else 0) | (select.EPOLLOUT if wait.write else 0)
         self._update_registration(actor, fd, events if fd >= 0 else 0)
@@ -224,7 +225,7 @@
         self.actors.discard(actor)
 
     def close(self) -> None:
-        """Close the coroutine of each remaining actor, which runs its clean-up, and close epoll."""
+        """Close each remaining actor's coroutine, which runs its ``finally`` clauses, and close epoll."""
         for actor in list(self.actors):
             if actor.coroutine is not None:
                 actor.coroutine.close()
--- a/snowwick/net/path.py
+++ b/snowwick/net/path.py
@@ -1,8 +1,8 @@
 """The request path: a sequence of stages, each of which may reject the request.
 
 Each stage that a request has entered is notified when the connection is established, of each load that is
-reported for it, and exactly once when it has ended, for whatever reason.  Only the path keeps track of the
-stages that were entered, so that no stage is notified of the end twice.
+reported for it, and exactly once when it has ended, for whatever reason. Only ``RequestPath`` keeps track of
+the stages that a request has entered, so that no stage is notified of the end twice.
 """
 
 from __future__ import annotations
@@ -26,11 +26,12 @@
     tenant: str
     group: str
     wait_ms: float
-    resumed_destination: str = ""  # where the connection was established before this program started
-    decider: Decider | None = None
-    team: str = ""
+    # Name of the destination with which the connection existed before this program started; else empty
+    resumed_destination: str = ""
+    decider: Decider | None = None  # of the request's pool, once a stage has assigned it
+    team: str = ""  # set by the contract stage, as is the lease
     lease: object | None = None
-    stages_entered: int = 0
+    stages_entered: int = 0  # number of stages that have accepted the request; 0 after its end
 
     def post(self, message: object) -> None:
         """Pass a message to the request's decider; dropped as long as no decider is assigned."""
@@ -38,7 +39,7 @@
             self.decider.post(message)
 
     def report_resumed(self, destination: int) -> None:
-        """Report to the decider a connection that was placed before this program started."""
+        """Report to the decider a connection that existed before this program started."""
         self.post(
             ConnectionResumed(
                 self.client, self.class_name, destination, self.opening.key, self.group, self.tenant
@@ -93,6 +94,10 @@
         self.stages = list(stages)
 
     def enter(self, request: Request) -> Rejection | None:
+        """Pass the request to the stages in order; returns the rejection if a stage rejects it.
+
+        The stages entered before the rejection are notified of the end.
+        """
         for stage in self.stages:
             rejection = stage.enter(request)
             if rejection is not None:
@@ -110,6 +115,7 @@
             stage.on_load(request, load_per_s)
 
     def on_ended(self, request: Request) -> None:
+        """Notify the stages that the request has entered, in reverse order; later calls do nothing."""
         stages_entered, request.stages_entered = request.stages_entered, 0
         for stage in reversed(self.stages[:stages_entered]):
             stage.on_ended(request)
@@ -137,7 +143,10 @@
 
 
 class CapacityStage(Stage):
-    """Rejects requests while the program shuts down or is short of descriptors."""
+    """Rejects requests while the program shuts down or is short of descriptors.
+
+    ``rejection_reason`` returns the reason code for the log, or an empty string while requests are accepted.
+    """
 
     def __init__(self, rejection_reason: Callable[[], str], retry_after_ms: Callable[[], float]) -> None:
         self.rejection_reason, self.retry_after_ms = rejection_reason, retry_after_ms
@@ -148,7 +157,10 @@
 
 
 class DeciderStage(Stage):
-    """Passes the request to its decider; ``choose_decider`` picks one if no earlier stage has assigned it."""
+    """Passes the request to its decider; ``choose_decider`` picks one if no earlier stage has assigned it.
+
+    A resumed connection is only reported to the decider once it is established (see ``report_resumed``).
+    """
 
     def __init__(self, choose_decider: Callable[[Request], Decider]) -> None:
         self.choose_decider = choose_decider
--- a/snowwick/net/peer.py
+++ b/snowwick/net/peer.py
@@ -12,29 +12,29 @@
 from snowwick.net.loop import MAIL, READABLE, TIMED_OUT, WRITABLE, Actor, Coroutine, Loop, Wait
 
 READ_SIZE_BYTES = 16384
-HIGH_WATER_BYTES = 16384  # with this much unsent output on one side, the other side is no longer read
+HIGH_WATER_BYTES = 16384  # with this much unsent output on one side, the other side is not read
 CLOSE_GRACE_S = 0.5  # one side may stay open this long after the other has ended; the protocol allows 1 s
-# Extra time before closing while the last lines are unsent; with CLOSE_GRACE_S still within that second
+# Extra time before closing while the last lines are unsent; with CLOSE_GRACE_S still within the allowed 1 s
 UNSENT_GRACE_S = 0.4
-MAX_DRAIN_READS = 4  # reads of remaining input before a socket is closed; a peer may never stop sending
+MAX_DRAIN_READS = 4  # reads of remaining input before a socket is closed; bounded, as a peer may send forever
 
 
 @dataclass(slots=True)
 class RelayedLines:
-    """To the other side: whole lines to send."""
+    """Sent to the other side: whole lines to write to its socket."""
 
     data: bytes
 
 
 @dataclass(slots=True)
 class PeerEnded:
-    """To the other side: this side has ended, by a reset or in an orderly way."""
+    """Sent to the other side: this side has ended, by a reset or in an orderly way."""
 
     reset: bool = False
 
 
 class OutputDrained:
-    """To the other side: the output buffer is below the high-water mark again, so reading may resume."""
+    """Sent to the other side: this side's unsent output is below the high-water mark, so read again."""
 
 
 DISCARD_BUFFER = bytearray(65536)  # receives input that is discarded
@@ -49,8 +49,11 @@
         loop.open_sockets += 1
         self.input_buffer, self.output_buffer = bytearray(), bytearray()
         self.other_side: LinePeer | None = None
+        # closing: nothing more is relayed; the socket is shut down once the output buffer is written
+        # read_done, write_done: the input has ended, the sending direction is shut down
+        # write_failed: a write raised an error, so that unsent output was dropped
         self.closing = self.read_done = self.write_done = self.write_failed = False
-        self.close_deadline: float | None = None
+        self.close_deadline: float | None = None  # in s on the loop's clock; None until closing starts
         self.close_deadline_extended = False  # whether it was extended because of unsent output
 
     def receive(self) -> bool:
@@ -94,8 +97,9 @@
     def relay(self) -> Coroutine:
         """Relay lines until both directions of this socket have ended or the close deadline has passed.
 
-        A side that sends no more is still read: so a half-close is passed on as one, and input that a client
-        sends after a MOVE does not turn the close into a reset that discards the MOVE.
+        A socket is still read after its sending direction is shut down. Otherwise a half-close would close
+        both directions, and input that a client sends after a MOVE would turn the close into a reset, which
+        discards the MOVE.
         """
         while not (self.read_done and self.write_done):
             can_forward = self.other_side is None or not self.other_side.output_full()
@@ -112,7 +116,7 @@
             self.flush()
 
     def _extend_close_deadline(self) -> bool:
-        """Extend the close deadline once if output is unsent: without its MOVE a client is just cut off."""
+        """Extend the close deadline once if output is unsent, so that a slow client still gets its MOVE."""
         if self.close_deadline_extended or not self.output_buffer or self.close_deadline is None:
             return False
         self.close_deadline_extended, self.close_deadline = True, self.close_deadline + UNSENT_GRACE_S
@@ -145,8 +149,8 @@
     def discard_input(self) -> bool:
         """Read and discard input while closing; returns False at the end of the stream.
 
-        Closing with unread input would send a reset, which discards the last line sent: a client may send
-        far more than it should before it reads.
+        Closing with unread input would send a reset, which discards the last line sent. A client may send far
+        more than the protocol allows before it reads.
         """
         with contextlib.suppress(BlockingIOError):
             if not self.sock.recv_into(DISCARD_BUFFER):
@@ -161,7 +165,7 @@
         """Called with the input that this side is about to relay."""
 
     def on_input_ended(self) -> None:
-        """Called when the input of this side has ended; the other side may have ended before."""
+        """Called when the input of this side has ended, whether or not the other side has ended before."""
 
     def on_message(self, message: object) -> None:
         """Handle one message from the mailbox during the relay."""
@@ -171,7 +175,7 @@
         elif isinstance(message, PeerEnded):
             if message.reset:
                 self.flush()
-                # With a linger time of zero the close sends a reset, as the other side received.
+                # With a linger time of zero the close sends a reset, like the one on the other side.
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 self.read_done = self.write_done = True
             self.closing = True
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -19,33 +19,37 @@
 from snowwick.net.peer import READ_SIZE_BYTES, configure_socket
 
 # Time after which the protocol assumes that the balancer has a change of discovery's list, whether it arrived
-# or not. The five durations of the worst case add up to it: a held call stops responding as the change
-# occurs and times out, discovery refuses the first call on a new connection, and after a pause the next first
-# call succeeds.
+# or not. The worst case of five durations fits into it: a held call hangs just when the list changes and is
+# timed out (WATCH_HOLD_S + WATCH_OVERDUE_S), discovery refuses the first call on a new connection late
+# (FIRST_CALL_EXTRA_S), and after a pause (MAX_RETRY_PAUSE_S) the next first call succeeds
+# (FIRST_CALL_EXTRA_S).
 LIST_UPDATE_DEADLINE_S = 6.0
-# Discovery may hold a call for this time until there is a change; held calls cost it little
+# Discovery may hold a call this long until the list changes (long polling); a held call costs it little
 WATCH_HOLD_S = 1.0
-# A held call times out this long after the hold time; answers come some ms after it
+# A held call times out this long after the hold time; discovery answers a few ms after the hold time
 WATCH_OVERDUE_S = 0.25
-# Additional time for the first call on a connection, to connect and wait in the queue. It is longer than the
-# 2 s after which discovery refuses a waiting call, since a call abandoned earlier costs discovery as much.
+# Additional time for the first call on a connection, to connect and to wait in discovery's queue. It is
+# longer than the 2 s after which discovery refuses a queued call: a call that the balancer abandons earlier
+# costs discovery as much as an answered one.
 FIRST_CALL_EXTRA_S = 2.125
 MAX_RETRY_PAUSE_S = 0.5  # pause after a failed call; randomized down to half of it, so that calls are spread
+# The module's state for each state in discovery's list
 STATES = {
     "in_service": interface.State.READY,
     "terminating": interface.State.DRAINING,
     "terminated": interface.State.GONE,
 }
-# Interval between calls if an answer has no changes and was not held. Discovery continues a watch if the next
-# call comes within 0.2 s of the answer.
+# Shortest interval between the starts of calls while answers bring no change. Discovery continues a watch if
+# the next call comes within 0.2 s of the answer.
 POLL_INTERVAL_S = 0.1
-MAX_BODY_BYTES = 1 << 20  # room for some thousands of entries; parsed, they take ten times that in memory
+# Enough for several thousand entries; a parsed list takes ten times as much memory as its text
+MAX_BODY_BYTES = 1 << 20
 # Exceptions that reading a malformed list may raise
 READ_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 class CallFailed(Exception):
-    """The call returned no usable list; the text says why."""
+    """The call returned no usable list; the message says why."""
 
 
 class TimedOut(CallFailed):
@@ -68,7 +72,10 @@
 
 
 def destination_number(name: str) -> int:
-    """Return the number that the decision module hashes; it is the same for a name at every balancer."""
+    """Return the number by which the decision module identifies and hashes the destination of this name.
+
+    Every balancer derives the same number from the same name.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
@@ -101,7 +108,8 @@
 
     def __init__(self, on_entry_left_out: Callable[[str], None]) -> None:
         self.on_entry_left_out, self.version = on_entry_left_out, 0
-        self.refused_errors: list[str] = []  # errors in the entries of the list that was refused last
+        # Errors in the entries of the list that was refused last; empty once a list has been applied
+        self.refused_errors: list[str] = []
         # By destination number
         self.addresses: dict[int, tuple[str, int]] = {}
         self.labels: dict[int, Labels] = {}  # decide to which pool a destination is assigned
@@ -110,9 +118,13 @@
     def apply(self, message: Any, kind: interface.ListKind | None = None) -> interface.ListUpdate:
         """Apply a list in discovery's format. Raises CallFailed and then changes nothing.
 
+        ``kind`` says how to apply the list; by default, its field ``full`` says whether it is the whole list
+        or only changes.
+
         A list with an unreadable entry is refused once, since an entry damaged in transit is correct the next
-        time. If the same errors come again, the entry is left out, so that it does not block changes of other
-        destinations. The destination of a left-out entry keeps its last known entry.
+        time. If the next list has the same errors, its unreadable entries are left out, so that they do not
+        block changes of other destinations. The destination of a left-out entry keeps its last known entry.
+        A restored list is never refused for its entries.
         """
         version = version_of(message)
         try:
@@ -142,7 +154,9 @@
         ]
         self.version, self.refused_errors = version, []
         if full:
-            self.addresses, self.labels, self.entries = {}, {}, {}
+            self.addresses = {}
+            self.labels = {}
+            self.entries = {}
         for address, entry, labels in rows:
             if entry.state is interface.State.GONE:
                 for table in (self.addresses, self.labels, self.entries):
@@ -170,7 +184,10 @@
 
 
 class Pool(Actor):
-    """Watches discovery on request and passes on each change of its list, in order."""
+    """Watches discovery once a decider subscribes, and passes on each change of its list, in order.
+
+    If lists are pushed to an agent (see ``__init__``), it calls the agent from the start.
+    """
 
     restart_after_fault = True
 
@@ -184,11 +201,11 @@
     ) -> None:
         """Create the watcher of discovery at ``address``.
 
-        ``drain_grace_s`` is given if lists are pushed to an agent that answers calls at once with its current
-        list. The protocol assumes that the balancer has what the agent has, and nothing may be sent to a
-        destination more than ``drain_grace_s`` after the agent's list says that it is leaving. Calls are
-        therefore frequent enough to leave half of that time, and none is held. An unanswered call is soon
-        repeated, since the agent does not answer while discovery is down.
+        ``drain_grace_s`` is given if discovery pushes its lists to an agent. The agent answers calls at once
+        with its current list, and the protocol assumes that the balancer has the same list. Nothing may be
+        sent to a destination later than ``drain_grace_s`` after the agent's list says that it is leaving.
+        Therefore no call is held, and the calls are so frequent that half of the drain grace remains. An
+        unanswered call is repeated soon, since the agent does not answer while discovery is down.
 
         ``random_fraction`` returns values from 0 to 1. It spreads the retries of balancers that lose
         discovery at the same time.
@@ -201,11 +218,9 @@
         )
         self.lists_pushed = drain_grace_s is not None
         self.random_fraction = random_fraction
-        self.hold_s, self.first_call_extra_s, self.poll_interval_s = (
-            WATCH_HOLD_S,
-            FIRST_CALL_EXTRA_S,
-            POLL_INTERVAL_S,
-        )
+        self.hold_s = WATCH_HOLD_S
+        self.first_call_extra_s = FIRST_CALL_EXTRA_S
+        self.poll_interval_s = POLL_INTERVAL_S
         if drain_grace_s is not None:
             self.hold_s, self.first_call_extra_s, self.poll_interval_s = (
                 0.0,
@@ -215,6 +230,8 @@
         self.sock: socket.socket | None = None
         self.http: h11.Connection | None = None
         self.full_list_needed = False  # the next call requests the whole list
+        # address_changed: set when discovery's address changes, to end the call in progress
+        # failing: lists are pushed and the last call failed, so further failures are not logged
         self.address_changed = self.failing = False
 
     def _log_left_out(self, error: str) -> None:
@@ -227,7 +244,8 @@
         return self.config.addresses.get(destination)
 
     def run(self) -> Coroutine:
-        due = self.loop.clock() if self.lists_pushed else None  # else wait until a decider subscribes
+        # Time of the next call; None: wait until a decider subscribes
+        due = self.loop.clock() if self.lists_pushed else None
         try:
             while True:
                 while not self.mailbox and (due is None or self.loop.clock() < due):
@@ -239,7 +257,7 @@
             self._disconnect()
 
     def _handle_message(self, message: object) -> None:
-        """Handle one message; each kind makes the pool call discovery."""
+        """Handle one message. The caller then calls discovery, whatever the message."""
         if isinstance(message, DiscoveryAddressChanged):
             self._disconnect()
             self.discovery_address, self.full_list_needed, self.address_changed = (
@@ -251,11 +269,13 @@
     def _watch_list(self) -> Generator[Wait, int, float]:
         """Call discovery, again after each answer, until a call fails. Returns the time of the next call.
 
-        The retry time does not depend on the decider, whose waits do not take the protocol's deadline into
-        account. A watch that timed out is opened again at once; other failures are followed by a pause.
-        Versions of different discovery services cannot be compared, so after a change of address the first
-        call requests the whole list. The same applies if the version has gone back, as after a restore:
-        changes are then not applied, and the whole list is requested and applied whatever its version.
+        The retry time does not depend on the decider, whose waits do not take ``LIST_UPDATE_DEADLINE_S`` into
+        account. A watch that timed out is repeated at once; other failures are followed by a pause.
+
+        Versions of different discovery services cannot be compared, so after a change of address the next
+        call requests the whole list. The same applies if the version is lower than before, as after a restore
+        of discovery's data: the answer is not applied, and the whole list is requested and applied whatever
+        its version.
         """
         while True:
             called_at, reused_connection = self.loop.clock(), self.sock is not None
@@ -271,14 +291,15 @@
                         before=before,
                     )
                     self.full_list_needed = True
-                    self._disconnect()  # else a late second answer might be taken for the whole list
+                    self._disconnect()  # a late second answer would be taken for the whole list
                     continue
                 update = self.config.apply(answer, interface.ListKind.FULL if self.full_list_needed else None)
                 self.full_list_needed = self.failing = False
             except CallSuperseded:
-                continue  # neither the answer nor a failure of the old discovery counts
+                continue  # an answer or a failure of the old discovery is ignored
             except (CallFailed, OSError, ValueError, RecursionError, h11.ProtocolError) as error:
-                if not self.failing:  # pushed lists are requested several times per second
+                # Pushed lists are requested several times per second, so only the first failure is logged.
+                if not self.failing:
                     self.loop.log.event(
                         "discovery-failed",
                         "pool config: call failed: {error}",
@@ -286,7 +307,7 @@
                     )
                 self.failing = self.lists_pushed
                 self._disconnect()
-                if self.lists_pushed:  # no decider has subscribed
+                if self.lists_pushed:  # no decider has subscribed, so none is notified
                     return self.loop.clock() + self.poll_interval_s
                 self.on_update(interface.ListUpdate(interface.ListKind.FAILED))
                 watch_timed_out = reused_connection and isinstance(error, TimedOut)
@@ -295,13 +316,18 @@
                 )
             self.on_update(update)
             if self.config.version == before:
-                # Limits the rate of calls if discovery does not hold them until there is a change.
+                # Limit the rate of calls in case discovery does not hold them until there is a change. An
+                # answer that came early may be a second answer to an earlier call, so reconnect.
                 if self.loop.clock() < called_at + 0.5 * self.hold_s:
-                    self._disconnect()  # a repeated answer to an earlier call
+                    self._disconnect()
                 yield from self.sleep_until(called_at + self.poll_interval_s)
 
     def _call(self) -> Generator[Wait, int, Any]:
-        # The first call is held too. If it were answered at once, each new watch would cost two calls.
+        """Call discovery and return the parsed body of its answer.
+
+        Raises CallFailed, CallSuperseded, OSError, ValueError, RecursionError or h11.ProtocolError.
+        """
+        # The first call on a connection is held too; answered at once, it would cost an extra call per watch.
         overdue_s = self.first_call_extra_s if self.sock is None or self.lists_pushed else WATCH_OVERDUE_S
         deadline = self.loop.clock() + self.hold_s + overdue_s
         if self.sock is None or self.http is None:
@@ -337,12 +363,13 @@
         ):
             self.http.start_next_cycle()
         else:
-            self._disconnect()  # else a second answer that came might be taken for the next call's
+            self._disconnect()  # further input, such as a second answer, would be taken for the next call's
         if status != 200:
             raise CallFailed(f"HTTP status {status}")
         return json.loads(body)
 
     def _connect(self, deadline: float) -> Coroutine:
+        """Open a new connection. Raises TimedOut, CallSuperseded or OSError."""
         self._disconnect()
         self.sock = configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
@@ -358,10 +385,11 @@
             raise OSError(error, "connect")
 
     def _receive(self, deadline: float) -> Generator[Wait, int, bytes]:
+        """Return the next bytes; empty at the end of the stream. Raises TimedOut or CallSuperseded."""
         assert self.sock is not None
         while True:
             wake_flags = yield Wait(self.sock, read=True, until=deadline)
-            # The mailbox comes first, since nothing from the old discovery counts after a change of address
+            # Check the mailbox first: after a change of address, input from the old discovery is ignored.
             self._check_mailbox()
             if wake_flags & READABLE:
                 try:
@@ -372,7 +400,7 @@
                 raise TimedOut("timed out")
 
     def _check_mailbox(self) -> None:
-        """Handle messages during a call, which a change of address ends by raising CallSuperseded."""
+        """Handle messages during a call. Raises CallSuperseded if discovery's address has changed."""
         self.address_changed = False
         for message in self.take_messages():
             self._handle_message(message)
--- a/snowwick/net/pool_deciders.py
+++ b/snowwick/net/pool_deciders.py
@@ -17,8 +17,8 @@
 class PoolDeciders:
     """Routes list updates and reports to the decider of each pool.
 
-    Without pools, one decider handles everything. A pool that a change of contracts removes accepts no new
-    requests, but its decider keeps running for the connections that it still has and stops with the last one.
+    Without contracts there is one decider for all destinations. A pool that a change of contracts removes
+    accepts no new requests, but its decider keeps running until its last connection has ended.
     """
 
     def __init__(
@@ -28,12 +28,13 @@
         labels: Callable[[], Mapping[int, Labels]],
     ) -> None:
         self.make_decider, self.settings_for, self.labels = make_decider, settings_for, labels
-        self.by_pool: dict[str, Decider] = {}
-        self.assignment: PoolAssignment | None = None
+        self.by_pool: dict[str, Decider] = {}  # including the deciders of removed pools that still run
+        self.assignment: PoolAssignment | None = None  # of destinations to pools; None without contracts
+        # The pools of the present contracts, without removed ones
         self.current_pools: frozenset[str] = frozenset([DEFAULT_POOL])
 
     def start(self) -> None:
-        """Start all deciders; without pools, create the one that handles everything."""
+        """Start all deciders; without contracts, create the only one first."""
         if not self.by_pool:
             self.by_pool[DEFAULT_POOL] = self.make_decider(DEFAULT_POOL, None)
         for decider in self.by_pool.values():
@@ -42,7 +43,10 @@
     def set_pools(
         self, matches: Mapping[str, Match], tenants: Mapping[str, frozenset[str]], running: bool
     ) -> None:
-        """Replace the pools; ``tenants`` lists, by pool, the tenants whose requests go there."""
+        """Replace the pools; ``tenants`` lists, by pool, the tenants whose requests go there.
+
+        Deciders of new pools are started if ``running``.
+        """
         from snowwick.broker.pools import PoolAssignment
 
         draining = {
@@ -93,7 +97,11 @@
             self.assignment.remove_pool(name)
 
     def forward(self, message: MessageDelay | DestinationSilent) -> None:
-        """Pass on a report of the delay monitor: silence to all deciders, a delay to its client's decider."""
+        """Pass on a report of the delay monitor.
+
+        A silent destination is reported to all deciders, a delay to the decider of the client on whose
+        connection it was measured.
+        """
         if isinstance(message, DestinationSilent):
             for decider in self.by_pool.values():
                 decider.post(message)
--- a/snowwick/net/probe.py
+++ b/snowwick/net/probe.py
@@ -34,7 +34,8 @@
             timeout_s,
             decider,
         )
-        self.load_field, self.elapsed_ms, self.load = load_field, -1.0, -1.0  # -1 while unknown
+        # elapsed_ms and load are -1 while unknown.
+        self.load_field, self.elapsed_ms, self.load = load_field, -1.0, -1.0
 
     def run(self) -> Coroutine:
         try:
@@ -48,15 +49,16 @@
                     if wake_flags & TIMED_OUT or (wake_flags & READABLE and not self.receive()):
                         break
         except (OSError, lines.MalformedLine):
-            pass  # connection refused, reset or malformed line: counts as no answer
+            pass  # connection refused or reset, or line too long: counts as no answer
         finally:
             self.close_socket()
             self.decider.post(ProbeAnswer(self.destination, self.elapsed_ms, self.load))
 
     def _answered(self, sent_at: float) -> bool:
-        """Return whether the whole answer has arrived.
+        """Read the lines that have arrived and return whether the answer is complete.
 
-        The load report follows the word PONG on the same line or on a line of its own.
+        The load report follows the word PONG on the same line or on a line of its own. An answer other than
+        PONG is complete too; ``elapsed_ms`` then stays -1.
         """
         while (line := lines.take_line(self.input_buffer)) is not None:
             words = line.split(None, 1)
--- a/snowwick/net/timers.py
+++ b/snowwick/net/timers.py
@@ -1,11 +1,11 @@
 """Timers whose cost to set, cancel and fire does not depend on how many are set.
 
 ``sched.scheduler`` searches and sorts its whole queue to cancel one event, and nearly every wait of a
-connection ends with a line rather than its timeout.  Therefore the scheduler holds one event per time slot,
-and a table holds the waiters of each slot, from which a cancelled one is removed.  A slot is a millisecond,
-the resolution of epoll, so no timer fires later than it otherwise would.  Slots far in the future are wider,
-as in the timer wheels of kernels: such waits detect silence, which the protocol limits in seconds, they
-rarely expire, and each slot that became empty still wakes the loop once.
+connection ends with a line rather than its timeout. Therefore the scheduler holds one event per time slot,
+and a table holds the waiters of each slot, from which a cancelled one is removed. A slot is a millisecond,
+the resolution of epoll, so no timer fires later than it otherwise would. Slots far in the future are wider,
+as in the timer wheels of kernels, since each slot wakes the loop once even if it has become empty. Such long
+waits detect silence, which the protocol limits in seconds, and they rarely expire.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 SLOTS_PER_S = 1000.0
 FAR_WAIT_S = 2.0  # longer waits use wide slots
-FAR_WAIT_SLOTS = 50  # slots that form a wide one
-EARLY_TOLERANCE_SLOTS = 0.001  # a wait may fire early by this fraction, because of float rounding
+FAR_WAIT_SLOTS = 50  # width of a wide slot, in slots
+EARLY_TOLERANCE_SLOTS = 0.001  # a timer may fire early by this part of a slot, because of float rounding
 
 T = TypeVar("T")
 
@@ -32,7 +32,7 @@
         self.slots: dict[int, dict[T, None]] = {}
 
     def set(self, deadline: float, waiter: T) -> int:
-        """Set a waiter's timer, one at a time per waiter; returns the slot that ``cancel`` needs."""
+        """Set a timer for a waiter that has none; returns the slot that ``cancel`` needs."""
         slot = math.ceil(deadline * SLOTS_PER_S - EARLY_TOLERANCE_SLOTS)
         if deadline - self.clock() > FAR_WAIT_S:
             slot += -slot % FAR_WAIT_SLOTS
