--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""Balancers under test with their timers: no servers and no network, only events and their actions."""
+"""Test harness for balancers: events, actions and timers on a simulated clock, without servers or network."""
 
 from __future__ import annotations
 
@@ -28,6 +28,7 @@
 
 
 def ready_entries(*backends: int, started: float = 0.0) -> list[interface.BackendEntry]:
+    """Return list entries of ready backends with these ids, in one zone and two cells."""
     return [
         interface.BackendEntry(backend, interface.State.READY, "east", backend % 2, 1.0, started)
         for backend in backends
@@ -35,7 +36,11 @@
 
 
 class BalancerHarness:
-    """One balancer with its timers, and a record of all its actions with their times."""
+    """One balancer with its timers, and a record of all its actions with their times.
+
+    ``backends`` is the number of backends in its first list, with ids from 1; at 0 it gets no list.  Further
+    arguments are fields of its settings.
+    """
 
     def __init__(self, seed: int = 7, backends: int = 8, now: float = 1000.0, **changes: Any) -> None:
         self.now = now
@@ -49,6 +54,7 @@
             )
 
     def handle_event(self, event: interface.Event) -> list[interface.Action]:
+        """Pass an event to the balancer; record and return its actions."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.actions.append((self.now, action))
@@ -59,7 +65,7 @@
         return actions
 
     def run_until(self, until: float) -> None:
-        """Fire the timers that are due up to this time."""
+        """Fire the timers that are due up to this time, and set the clock to it."""
         while self.timers and self.timers[0][0] <= until:
             at, token = heapq.heappop(self.timers)
             self.now = max(self.now, at)
@@ -67,9 +73,11 @@
         self.now = until
 
     def send_request(
-        self, request: int, key: str = "g1", patience: float = 1000.0, **fields: Any
+        self, request: int, group_key: str = "g1", patience: float = 1000.0, **fields: Any
     ) -> list[interface.Action]:
-        return self.handle_event(interface.Request(request, "feed", patience, f"c{request}", key, **fields))
+        return self.handle_event(
+            interface.Request(request, "feed", patience, f"c{request}", group_key, **fields)
+        )
 
     def end_attempt(
         self, send: interface.Send, outcome: interface.Outcome, client_answered: bool = False
@@ -84,15 +92,16 @@
             interface.Established(send.request, self.attempts[send.request], send.backend, 5.0)
         )
 
-    def actions_of_type(self, kind: type[Any], request: int | None = None) -> list[Any]:
+    def actions_of_type(self, action_type: type[Any], request: int | None = None) -> list[Any]:
         return [
             action
             for _, action in self.actions
-            if isinstance(action, kind) and (request is None or getattr(action, "request", None) == request)
+            if isinstance(action, action_type)
+            and (request is None or getattr(action, "request", None) == request)
         ]
 
     def overload(self, first_request: int = 100000) -> None:
-        """Let attempts at all backends time out until the throttle turns on."""
+        """Let attempts at all backends time out, and check that this turns the throttle on."""
         for n in range(60):
             for action in self.send_request(first_request + n, f"k{n}"):
                 if isinstance(action, interface.Send):
@@ -102,7 +111,7 @@
 
 
 class Fleet:
-    """Many balancers on one clock that do not communicate, and the connections that all of them open."""
+    """Balancers on one clock that do not communicate, and the connections that they open together."""
 
     def __init__(
         self, balancers: int, entries: list[interface.BackendEntry], seed: int = 1, **changes: Any
@@ -117,13 +126,16 @@
         # Uneven traffic: some balancers get several times as many clients as others.
         self.weights = [self.random.gammavariate(2.0, 1.0) for _ in self.harnesses]
         self.connections: dict[tuple[str, str], tuple[BalancerHarness, interface.Send]] = {}
-        # By backend.  The time that a probe takes grows with its square.
+        # Open connections by backend; the time that a probe takes grows with the square of this number.
         self.connection_counts: Counter[int] = Counter()
 
     def connect_client(
         self, group: str, client: str, load: Callable[[int], float] = lambda backend: -1.0
     ) -> None:
-        """Connect or reconnect a client through a random balancer; backends report ``load``, -1 for none."""
+        """Connect or reconnect a client through a random balancer.
+
+        ``load`` returns the load over capacity with which a backend answers a probe, or -1 for no load.
+        """
         if (previous := self.connections.pop((group, client), None)) is not None:
             previous[0].end_attempt(previous[1], interface.Outcome.CANCELLED, client_answered=True)
             self.connection_counts[previous[1].backend] -= 1
@@ -134,11 +146,11 @@
         for action in actions:  # the list grows as probes are answered
             if isinstance(action, interface.Probe):
                 backend = harness.balancer.backends[action.backend]
-                utilization = self.connection_counts[backend.id] / harness.balancer._capacity_fraction(
+                relative_load = self.connection_counts[backend.id] / harness.balancer._capacity_fraction(
                     backend
                 )
                 actions += harness.handle_event(
-                    interface.ProbeResult(backend.id, 2.0 + 0.01 * utilization**2, load(backend.id))
+                    interface.ProbeResult(backend.id, 2.0 + 0.01 * relative_load**2, load(backend.id))
                 )
             elif isinstance(action, interface.Send):
                 harness.establish(action)
@@ -146,5 +158,5 @@
                 self.connection_counts[action.backend] += 1
 
     def backend_group_pairs(self) -> int:
-        """Return the number of pairs of a backend and a group of which it holds a connection."""
+        """Return the number of distinct pairs of a backend and a group that has a connection there."""
         return len({(send.backend, group) for (group, _), (_, send) in self.connections.items()})
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -20,12 +20,13 @@
 )
 
 
-def sends(actions: list[interface.Action]) -> list[interface.Send]:
+def send_actions(actions: list[interface.Action]) -> list[interface.Send]:
     return [action for action in actions if isinstance(action, interface.Send)]
 
 
-def placement(harness: BalancerHarness, n: int, key: str) -> int:
-    (send,) = sends(harness.send_request(n, key))
+def placement(harness: BalancerHarness, request: int, group_key: str) -> int:
+    """Make a request and return the backend of its first attempt."""
+    (send,) = send_actions(harness.send_request(request, group_key))
     return send.backend
 
 
@@ -44,9 +45,9 @@
         interface.ListUpdate(interface.ListKind.CHANGES, [interface.BackendEntry(5, interface.State.GONE)])
     )
     changed.handle_event(interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(5)))
-    homes = [placement(unchanged, n, f"g{n}") for n in range(200)]
+    before = [placement(unchanged, n, f"g{n}") for n in range(200)]
     after = [placement(changed, 1000 + n, f"g{n}") for n in range(200)]
-    moved = [new for old, new in zip(homes, after, strict=True) if old != new]
+    moved = [new for old, new in zip(before, after, strict=True) if old != new]
     assert set(moved) == {21} and len(moved) < 30
 
 
@@ -74,7 +75,7 @@
 def test_throttle_stays_off_when_one_backend_fails() -> None:
     harness = BalancerHarness()
     for n in range(300):
-        for send in sends(harness.send_request(n, f"g{n}")):
+        for send in send_actions(harness.send_request(n, f"g{n}")):
             if send.backend == 1:
                 harness.end_attempt(send, interface.Outcome.TIMEOUT)
             else:
@@ -101,7 +102,7 @@
     throttle.waiting = []
     before = len(harness.actions_of_type(interface.Refuse))
     for n in range(int(BANK_AND_BUFFER_SLOTS - BANK_AT_TURN_ON_TOKENS)):
-        assert not sends(harness.send_request(n, f"w{n}"))
+        assert not send_actions(harness.send_request(n, f"w{n}"))
     assert len(harness.actions_of_type(interface.Refuse)) == before
     for n in range(100, 110):
         harness.send_request(n, f"w{n}")
@@ -118,42 +119,42 @@
 
 
 def test_retries_take_tokens_in_overload() -> None:
-    """In a recorded incident immediate retries after errors led to 70 attempts per request."""
+    """Retries without a token add to an overload: in one incident they led to 70 attempts per request."""
     harness = BalancerHarness()
     harness.overload()
     harness.balancer.throttle.refill_rate = 0.0
     harness.balancer.throttle.tokens = 1.0
-    (send,) = sends(harness.send_request(1))
-    assert not sends(harness.end_attempt(send, interface.Outcome.ERROR))
+    (send,) = send_actions(harness.send_request(1))
+    assert not send_actions(harness.end_attempt(send, interface.Outcome.ERROR))
 
 
 def test_failing_backend_is_skipped_and_tried_again_later() -> None:
     harness = BalancerHarness()
-    (send,) = sends(harness.send_request(1))
-    (again,) = sends(harness.end_attempt(send, interface.Outcome.CONNECT_FAILED))
-    assert again.backend != send.backend
+    (send,) = send_actions(harness.send_request(1))
+    (retry,) = send_actions(harness.end_attempt(send, interface.Outcome.CONNECT_FAILED))
+    assert retry.backend != send.backend
     assert send.backend not in {placement(harness, n, f"g{n}") for n in range(10, 60)}
     harness.run_until(harness.now + 20000.0)
     assert send.backend in {placement(harness, n, f"g{n}") for n in range(100, 150)}
 
 
 def test_skipped_backends_do_not_turn_the_throttle_on() -> None:
-    """Two of five backends dropped all connections, and clients were refused although three had room."""
+    """Guards against refusals when two of five backends drop all connections and three have room."""
     harness = BalancerHarness(backends=5)
     for n in range(60):
         for action in harness.send_request(n, f"k{n}"):
             if isinstance(action, interface.Send):
                 harness.establish(action)
-    sends = {action.request: action for action in harness.actions_of_type(interface.Send)}
-    lost = [action for action in sends.values() if action.backend in (1, 2)]
-    for action in lost:
+    send_by_request = {action.request: action for action in harness.actions_of_type(interface.Send)}
+    lost_sends = [action for action in send_by_request.values() if action.backend in (1, 2)]
+    for action in lost_sends:
         harness.end_attempt(action, interface.Outcome.RESET, client_answered=True)
     harness.run_until(harness.now + 800.0)
-    assert lost and not harness.balancer.throttle.active
+    assert lost_sends and not harness.balancer.throttle.active
 
 
 def test_clients_of_a_leaving_backend_are_moved_over_two_seconds() -> None:
-    """Not every draining server asks its clients to reconnect: some cut them off seconds later."""
+    """The balancer moves the clients itself, since some draining servers just cut them off seconds later."""
     harness = BalancerHarness(backends=3)
     for n in range(60):
         for action in harness.send_request(n, f"k{n}"):
@@ -161,23 +162,26 @@
                 harness.establish(action)
     sends = harness.actions_of_type(interface.Send)
     leaving = sends[0].backend
-    held = {action.request for action in sends if action.backend == leaving}
+    connected = {action.request for action in sends if action.backend == leaving}
     harness.handle_event(
         interface.ListUpdate(
             interface.ListKind.CHANGES, [interface.BackendEntry(leaving, interface.State.DRAINING)]
         )
     )
     harness.run_until(harness.now + 999.0)
-    first = {action.request for action in harness.actions_of_type(interface.Move)}
+    moved_early = {action.request for action in harness.actions_of_type(interface.Move)}
     harness.run_until(harness.now + 1001.0)
-    assert first < held == {action.request for action in harness.actions_of_type(interface.Move)}
-    for request in held:  # connections that a leaving backend cuts off do not count as failures
+    assert moved_early < connected == {action.request for action in harness.actions_of_type(interface.Move)}
+    for request in connected:  # connections that a leaving backend cuts off do not count as failures
         harness.handle_event(interface.Ended(request, 0, leaving, interface.Outcome.RESET, 5.0, True))
     assert harness.balancer.backends[leaving].failure_count == 0
 
 
 def test_backend_that_answers_some_requests_with_errors_stays_in_use() -> None:
-    """A backend that refused every other request was skipped ever longer, so the others took all its load."""
+    """Guards against skipping a backend for ever longer when it answers every other request with an error.
+
+    The other backends would then take all its load.
+    """
     harness = BalancerHarness(backends=5, max_attempts=3, tenants=(interface.Tenant("t", 100.0),))
     served = 0
     for n in range(200):
@@ -199,18 +203,18 @@
         for action in harness.send_request(n, f"k{n}"):
             if isinstance(action, interface.Send):
                 harness.establish(action)
-    held = {action.request for action in harness.actions_of_type(interface.Send) if action.backend == 1}
+    connected = {action.request for action in harness.actions_of_type(interface.Send) if action.backend == 1}
     harness.run_until(harness.now + 3000.0)
     harness.actions.clear()
     harness.handle_event(interface.BackendSilent(1))
-    assert held and {action.request for action in harness.actions_of_type(interface.Move)} == held
+    assert connected and {action.request for action in harness.actions_of_type(interface.Move)} == connected
     for n in range(100, 140):
         harness.send_request(n, f"k{n}")
     assert all(action.backend != 1 for action in harness.actions_of_type(interface.Send))
 
 
 def test_two_quick_resets_do_not_turn_the_throttle_on_and_health_turns_it_off() -> None:
-    """Two connects that broke within a millisecond once made a balancer refuse clients for 15 s."""
+    """Guards against a throttle that two resets within a millisecond turn on: it refused clients for 15 s."""
     harness = BalancerHarness(backends=5)
     for n, action in enumerate([action for m in range(10) for action in harness.send_request(m, f"k{m}")]):
         assert isinstance(action, interface.Send)
@@ -222,15 +226,18 @@
     assert not harness.balancer.throttle.active
     harness.overload()
     for m in range(200, 400):  # healthy again, while clients arrive faster than the throttle admits them
-        for other in harness.send_request(m, f"k{m}"):
-            if isinstance(other, interface.Send):
-                harness.establish(other)
+        for send in harness.send_request(m, f"k{m}"):
+            if isinstance(send, interface.Send):
+                harness.establish(send)
         harness.run_until(harness.now + 50.0)
     assert not harness.balancer.throttle.active
 
 
 def test_errors_alone_do_not_turn_the_throttle_on() -> None:
-    """A malformed request, tried at three backends, made them look faulty and throttled other requests."""
+    """Guards against a malformed request that fails at three backends and makes them count as faulty.
+
+    Other requests would then be throttled.
+    """
     harness = BalancerHarness(max_attempts=3)
     for n in range(30):
         actions = harness.send_request(n, f"k{n}")
@@ -243,43 +250,44 @@
 
 
 def test_mild_delay_moves_only_some_connections() -> None:
-    """One move per delay report emptied a backend on which each of 100 balancers held one connection."""
-    gone = 0
+    """Each of 100 balancers may hold one connection to a backend: a move per delay report would empty it."""
+    moved = 0
     for seed in range(200):
         harness = BalancerHarness(seed=seed, backends=30)
-        (send,) = sends(harness.send_request(1))
+        (send,) = send_actions(harness.send_request(1))
         harness.establish(send)
         harness.run_until(harness.now + 3000.0)
         harness.balancer.backends[send.backend].avoid_until = harness.now + 1000.0
         harness.handle_event(interface.DelayReport(1, send.backend, 100.0))
-        gone += len(harness.actions_of_type(interface.Move))
-    assert 20 < gone < 100
+        moved += len(harness.actions_of_type(interface.Move))
+    assert 20 < moved < 100
 
 
 def test_plan_spreads_large_groups_so_that_they_do_not_share_a_backend() -> None:
-    """Hashing alone put several large groups on one of nine backends while others were empty."""
-    homes: dict[int, dict[str, set[int]]] = {}
+    """Hashing alone puts several large groups on one of nine backends while others stay empty."""
+    seeds_by_backend_and_group: dict[int, dict[str, set[int]]] = {}
     for seed in range(40):
         harness = BalancerHarness(
             seed=seed, backends=9, balancers=40, index=seed, tenants=(interface.Tenant("t", 450.0),)
         )
         for n in range(20):  # a few clients of eight groups
             key = f"g{min(7, (n * 37 + seed * 11) % 128 * 8 // 128)}"
-            for send in sends(harness.send_request(n, key)):
+            for send in send_actions(harness.send_request(n, key)):
                 harness.establish(send)
-                homes.setdefault(send.backend, {}).setdefault(key, set()).add(seed)
-    loads = [sum(len(seeds) for seeds in groups.values()) for groups in homes.values()]
-    assert len(homes) >= 8 and max(loads) < 2.2 * sum(loads) / 9  # eight groups, most of them undivided
+                seeds_by_backend_and_group.setdefault(send.backend, {}).setdefault(key, set()).add(seed)
+    loads = [sum(len(seeds) for seeds in groups.values()) for groups in seeds_by_backend_and_group.values()]
+    # Most of the eight groups stay undivided.
+    assert len(seeds_by_backend_and_group) >= 8 and max(loads) < 2.2 * sum(loads) / 9
 
 
 def test_hot_group_is_spread_over_several_backends() -> None:
     harness = BalancerHarness(backends=40, tenants=(interface.Tenant("t", 400.0),))
-    homes = [placement(harness, n, "hot" if n % 2 else f"g{n}") for n in range(400)]
-    assert len(set(homes[201::2])) >= 6
+    placements = [placement(harness, n, "hot" if n % 2 else f"g{n}") for n in range(400)]
+    assert len(set(placements[201::2])) >= 6
 
 
 def test_remembered_keys_and_backends_are_bounded() -> None:
-    """Keys and ids come and go with clients and machines; memory must stay bounded over a long run."""
+    """Group keys and backend ids change over time; the memory for them must stay bounded."""
     harness = BalancerHarness(backends=3)
     for n in range(3000):
         harness.send_request(n, f"k{n}")
@@ -287,41 +295,41 @@
     waiting = BalancerHarness(backends=0)
     waiting.send_request(1, "k1")
     for n in range(500):
-        for one in (harness, waiting):
-            one.handle_event(
+        for each_harness in (harness, waiting):
+            each_harness.handle_event(
                 interface.ListUpdate(interface.ListKind.FULL, ready_entries(*range(10 * n + 10, 10 * n + 13)))
             )
-            for action in one.send_request(5000 + n, "again"):
+            for action in each_harness.send_request(5000 + n, "again"):
                 if isinstance(action, interface.Send):
-                    one.end_attempt(action, interface.Outcome.OK, client_answered=True)
+                    each_harness.end_attempt(action, interface.Outcome.OK, client_answered=True)
     assert len(harness.balancer.groups) <= 1000 and len(harness.balancer.backends) < 100
 
 
 def test_calls_to_the_list_service_are_spread_and_back_off_after_failures() -> None:
-    probed_backends = []
+    call_times = []
     for seed in range(20):
         harness = BalancerHarness(seed=seed, must_subscribe=True, ask_every=10000.0)
         harness.run_until(harness.now + 5000.0)
-        probed_backends += [at for at, action in harness.actions if isinstance(action, interface.Subscribe)]
-    # The spread grows with the number of balancers: few balancers should not wait long with an old list.
-    assert len(probed_backends) == 20 and 300.0 < max(probed_backends) - min(probed_backends) <= 400.0
-    waits: list[list[float]] = [[], [], []]
+        call_times += [at for at, action in harness.actions if isinstance(action, interface.Subscribe)]
+    # The spread grows with the number of balancers, so that a few do not keep an old list for long.
+    assert len(call_times) == 20 and 300.0 < max(call_times) - min(call_times) <= 400.0
+    waits_by_failure: list[list[float]] = [[], [], []]
     for seed in range(20):
         harness = BalancerHarness(seed=seed, must_subscribe=True)
-        for row in waits:
+        for waits in waits_by_failure:
             (timer,) = [
                 action
                 for action in harness.handle_event(interface.ListUpdate(interface.ListKind.FAILED))
                 if isinstance(action, interface.SetTimer)
             ]
-            row.append(timer.at - harness.now)
-    # The backoff is bounded: changes made while the service was down are seen only after the wait.
-    assert sum(waits[-1]) > 1.5 * sum(waits[0]) and max(waits[-1]) <= 3000.0
+            waits.append(timer.at - harness.now)
+    # The backoff is bounded, since changes of the list during a failure are seen only after the wait.
+    assert sum(waits_by_failure[-1]) > 1.5 * sum(waits_by_failure[0]) and max(waits_by_failure[-1]) <= 3000.0
 
 
 @pytest.mark.parametrize("balancers", [1, 2, 10, 40])
 def test_new_backend_of_a_fleet_is_neither_left_empty_nor_overloaded(balancers: int) -> None:
-    """When balancers took turns, the backend stayed empty: the one in turn often had no client to send."""
+    """Balancers must not take turns with a new backend: the one in turn often has no client to send there."""
     fleet = [
         BalancerHarness(
             seed=n,
@@ -346,7 +354,7 @@
                     interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(10, started=member.now))
                 )
         harness.run_until(1000.0 + 50.0 * n)  # 20 setups a second over the fleet
-        for send in sends(harness.send_request(n, f"g{n * 7 % 13}")):
+        for send in send_actions(harness.send_request(n, f"g{n * 7 % 13}")):
             harness.establish(send)
             if n >= 800:
                 sent["old" if send.backend != 10 else "early" if n < 860 else "late"] += 1
@@ -355,7 +363,7 @@
 
 
 def test_new_backend_gets_the_clients_that_the_ranking_places_there() -> None:
-    """New backends stayed empty beside full ones for half a minute, because no client was moved to them."""
+    """Guards against a new backend that stays empty beside full ones because no client is moved to it."""
     harness = BalancerHarness(
         backends=9,
         cold_time=8800.0,
@@ -364,12 +372,12 @@
         tenants=(interface.Tenant("t", 4500.0),),
     )  # far from full, so that there are no other moves
     for n in range(200):
-        harness.establish(sends(harness.send_request(n, f"g{n * 7 % 13}"))[0])
+        harness.establish(send_actions(harness.send_request(n, f"g{n * 7 % 13}"))[0])
     harness.run_until(harness.now + 5000.0)
     harness.handle_event(
         interface.ListUpdate(interface.ListKind.CHANGES, ready_entries(10, started=harness.now))
     )
-    moves, seconds = [], []
+    sends_after_move, move_seconds = [], []
     for second in range(20):
         harness.run_until(harness.now + 1000.0)
         for request in {move.request for move in harness.actions_of_type(interface.Move)} & set(
@@ -379,29 +387,29 @@
             harness.handle_event(
                 interface.Ended(request, 0, flow.backend_id, interface.Outcome.CANCELLED, 5.0, True)
             )
-            moves.append(
-                sends(
+            sends_after_move.append(
+                send_actions(
                     harness.handle_event(
                         interface.Request(1000 + request, "feed", 1000.0, f"c{request}", key)
                     )
                 )[0]
             )
-            harness.establish(moves[-1])
-            seconds.append(second)
-    targets = [send.backend for send in moves]
-    assert 10 <= len(moves) <= 50 and targets.count(10) >= 0.8 * len(moves), targets
-    assert max(seconds) >= 3, "as it warms up, not all at once"
+            harness.establish(sends_after_move[-1])
+            move_seconds.append(second)
+    targets = [send.backend for send in sends_after_move]
+    assert 10 <= len(sends_after_move) <= 50 and targets.count(10) >= 0.8 * len(sends_after_move), targets
+    assert max(move_seconds) >= 3, "as it warms up, not all at once"
 
 
 def test_evenly_loaded_fleet_of_forty_moves_almost_no_clients() -> None:
-    """When one connection was counted as forty, 290 clients were moved 734 times in 30 s."""
+    """Guards against counting one connection as forty, which moved 290 clients 734 times in 30 s."""
     moved = 0
     for index in range(40):
         harness = BalancerHarness(
             seed=index, backends=9, balancers=40, index=index, tenants=(interface.Tenant("t", 450.0),)
         )
         for n in range(5):  # 200 connections in 40 groups
-            for send in sends(harness.send_request(5 * index + n, f"g{(5 * index + n) * 7 % 40}")):
+            for send in send_actions(harness.send_request(5 * index + n, f"g{(5 * index + n) * 7 % 40}")):
                 harness.establish(send)
                 harness.handle_event(interface.LoadReport(send.request, send.backend, 1000.0 + n))
         harness.run_until(harness.now + 30000.0)
@@ -410,7 +418,10 @@
 
 
 def test_load_that_cold_backends_cannot_take_yet_is_spread_evenly_over_the_others() -> None:
-    """When it went to the next of each ranking, one backend had 1.21 of its capacity and another 0.45."""
+    """Guards against passing this load to the next backend of each ranking.
+
+    One backend then has a load of 1.21 of its capacity and another of 0.45.
+    """
     harness = BalancerHarness(
         backends=4,
         balancers=40,
@@ -425,15 +436,17 @@
     for n in range(130):  # arrivals from before, so that the plan contains the groups
         harness.balancer._create_flow(interface.Request(9000 + n, "feed", 1000.0, "", f"g{n % 13}"), 0.0)
     for n in range(200):
-        harness.establish(sends(harness.send_request(n, f"g{n * 7 % 13}"))[0])
-    held = [len(harness.balancer.backends[backend].flows) for backend in range(1, 10)]
-    assert max(held[:4]) <= 1.15 * sum(held[:4]) / 4 and max(held[4:]) < min(held[:4]), held
+        harness.establish(send_actions(harness.send_request(n, f"g{n * 7 % 13}"))[0])
+    connection_counts = [len(harness.balancer.backends[backend].flows) for backend in range(1, 10)]
+    assert max(connection_counts[:4]) <= 1.15 * sum(connection_counts[:4]) / 4 and max(
+        connection_counts[4:]
+    ) < min(connection_counts[:4]), connection_counts
 
 
-def probed_backends(harness: BalancerHarness, n: int, key: str = "g") -> list[int]:
+def probed_backends(harness: BalancerHarness, request: int, group_key: str = "g") -> list[int]:
     """Make a request and return the backends that are probed for it before its first attempt."""
-    actions = harness.send_request(n, key)
-    assert not sends(actions)
+    actions = harness.send_request(request, group_key)
+    assert not send_actions(actions)
     return [action.backend for action in actions if isinstance(action, interface.Probe)]
 
 
@@ -443,19 +456,19 @@
         backends=9, balancers=200, probes_allowed=True, tenants=(interface.Tenant("t", 450.0),)
     )
     first, second, third = probed_backends(harness, 1)
-    assert not sends(
+    assert not send_actions(
         harness.handle_event(interface.ProbeResult(first, 2.7))
         + harness.handle_event(interface.ProbeResult(third, 2.0))
     )
-    (send,) = sends(harness.handle_event(interface.ProbeResult(second, 2.4)))
+    (send,) = send_actions(harness.handle_event(interface.ProbeResult(second, 2.4)))
     assert send.backend == second, "the first in the ranking that is not clearly slower than the quickest"
-    (again,) = sends(harness.send_request(2, "g"))
-    assert again.backend == second, "fresh probe results are used again"
+    (second_send,) = send_actions(harness.send_request(2, "g"))
+    assert second_send.backend == second, "fresh probe results are used again"
     harness.run_until(harness.now + 2000.0)
-    own, *others = probed_backends(harness, 3)
-    for n in (*others, own):
-        actions = harness.handle_event(interface.ProbeResult(n, 2.0))
-    assert sends(actions)[0].backend == own, "the first of the group's ranking, if it is no slower"
+    best, *others = probed_backends(harness, 3)
+    for backend_id in (*others, best):
+        actions = harness.handle_event(interface.ProbeResult(backend_id, 2.0))
+    assert send_actions(actions)[0].backend == best, "the first of the group's ranking, if it is no slower"
 
 
 def test_setup_does_not_wait_for_unanswered_probes() -> None:
@@ -472,64 +485,78 @@
         for action in harness.end_attempt(send, interface.Outcome.CONNECT_FAILED)
         if isinstance(action, interface.Probe)
     ]
-    (retry,) = sends(harness.handle_event(interface.ProbeResult(probe.backend, 2.0)))
+    (retry,) = send_actions(harness.handle_event(interface.ProbeResult(probe.backend, 2.0)))
     assert retry.backend == third, "a retry sends probes too, but not to backends with a fresh result"
-    gone = probed_backends(harness, 2, "other")
+    probed = probed_backends(harness, 2, "other")
     harness.handle_event(interface.ClientLeft(2))
     assert (
-        not sends([action for n in gone for action in harness.handle_event(interface.ProbeResult(n, 2.0))])
+        not send_actions(
+            [
+                action
+                for backend_id in probed
+                for action in harness.handle_event(interface.ProbeResult(backend_id, 2.0))
+            ]
+        )
         and not harness.balancer.flows_awaiting_probes
     )
 
 
 def test_probes_are_sent_only_if_allowed_and_with_several_backends_and_enough_time() -> None:
     for harness in (BalancerHarness(backends=9), BalancerHarness(backends=1, probes_allowed=True)):
-        assert sends(harness.send_request(1)) and not harness.actions_of_type(interface.Probe)
+        assert send_actions(harness.send_request(1)) and not harness.actions_of_type(interface.Probe)
     late = BalancerHarness(backends=9, probes_allowed=True)
-    assert sends(late.send_request(1, patience=90.0)), "a setup near its deadline starts at once"
+    assert send_actions(late.send_request(1, patience=90.0)), "a setup near its deadline starts at once"
 
 
-@pytest.mark.parametrize("balancers,most", [(1, 1), (10, 10), (40, 16), (200, 70)])
-def test_first_list_calls_of_a_fleet_that_restarts_together_are_spread(balancers: int, most: int) -> None:
-    """The list service needs 0.13 s for a new watch, so simultaneous calls would exceed their timeout."""
-    first = []
+@pytest.mark.parametrize("balancers,max_calls_per_second", [(1, 1), (10, 10), (40, 16), (200, 70)])
+def test_first_list_calls_of_a_fleet_that_restarts_together_are_spread(
+    balancers: int, max_calls_per_second: int
+) -> None:
+    """The list service needs 0.13 s for each subscription: simultaneous calls would exceed their timeout."""
+    first_calls = []
     for index in range(balancers):
         harness = BalancerHarness(
             seed=index, backends=9, balancers=balancers, index=index, must_subscribe=True
         )
-        began = harness.now
-        harness.run_until(began + 4100.0)
-        first.append(
-            min(at for at, action in harness.actions if isinstance(action, interface.Subscribe)) - began
+        start = harness.now
+        harness.run_until(start + 4100.0)
+        first_calls.append(
+            min(at for at, action in harness.actions if isinstance(action, interface.Subscribe)) - start
         )
-    assert max(sum(at <= call < at + 1000.0 for call in first) for at in first) <= most
-    assert max(first) <= 4000.0, "before changes of the list count as known to each balancer"
+    assert (
+        max(sum(at <= call < at + 1000.0 for call in first_calls) for at in first_calls)
+        <= max_calls_per_second
+    )
+    assert max(first_calls) <= 4000.0, (
+        "every balancer must call before changes of the list count as known to it"
+    )
 
 
 def report_loads(harness: BalancerHarness, loads: dict[int, float]) -> None:
+    """Answer a probe of each backend with its load over capacity."""
     for backend, load in loads.items():
         harness.handle_event(interface.ProbeResult(backend, 2.0, load))
 
 
 def test_reported_load_decides_and_a_group_is_split_only_for_clearly_less_load() -> None:
-    """Without quotas the hash alone placed clients: the busiest server had 4.5 times the mean load."""
+    """Without quotas the hash alone would place clients, up to 4.5 times the mean load on one backend."""
     harness = BalancerHarness(load_reported=True, probes_allowed=True)
     report_loads(harness, {backend: 0.9 for backend in range(1, 9)} | {4: 0.0})
     (send,) = [action for action in harness.send_request(1) if isinstance(action, interface.Send)]
     assert send.backend == 4
     harness.establish(send)
     report_loads(harness, {backend: 0.5 for backend in range(1, 9)} | {4: 0.49 + GROUP_SPLIT_LOAD})
-    first = harness.balancer.flows[1].group.top_ranks[0][1]
+    first_rank = harness.balancer.flows[1].group.top_ranks[0][1]
     (send,) = [action for action in harness.send_request(2) if isinstance(action, interface.Send)]
-    assert send.backend in (4, first), (
-        "another backend would cost more; all balancers share the first of the ranking"
+    assert send.backend in (4, first_rank), (
+        "any other backend would cost a split of the group; all balancers share the first rank"
     )
     report_loads(harness, {backend: 1.5 for backend in range(1, 9)} | {7: 0.0})
     assert [action.backend for action in harness.send_request(3) if isinstance(action, interface.Send)] == [7]
 
 
 def test_balancers_without_contact_place_a_group_on_the_same_backend() -> None:
-    """Each of 200 balancers has too few clients to see where a group is: the group was spread everywhere."""
+    """Each of 200 balancers has too few clients to see where a group is served, and must not scatter it."""
     chosen = set()
     for seed in range(20):
         harness = BalancerHarness(seed=seed, load_reported=True, probes_allowed=True)
@@ -539,12 +566,15 @@
 
 
 def test_a_setup_probes_once() -> None:
-    """Oldest results were probed again after each answer: 35 probes a request, 260 ms before an attempt."""
+    """Guards against probing the backends with the oldest results again after each answer.
+
+    That took 35 probes a request, and 260 ms before its first attempt.
+    """
     harness = BalancerHarness(load_reported=True, probes_allowed=True, backends=40)
     actions = harness.send_request(1)
-    probed_backends = [action.backend for action in actions if isinstance(action, interface.Probe)]
-    assert 3 <= len(probed_backends) <= 5
-    for backend in probed_backends:
+    probed = [action.backend for action in actions if isinstance(action, interface.Probe)]
+    assert 3 <= len(probed) <= 5
+    for backend in probed:
         actions = harness.handle_event(interface.ProbeResult(backend, 2.0, 0.3))
     assert [type(action) for action in actions] == [interface.Send]
 
@@ -563,26 +593,26 @@
     report_loads(harness, {1: 0.3, 2: 0.3 - GROUP_SPLIT_LOAD - CROSS_ZONE_LOAD / 2 + 0.1})
     keys = [f"g{n}" for n in range(40)]
 
-    def placed(first: int) -> list[int]:
-        """Place each key alone, without connections of the others."""
+    def place_each(first_request: int) -> list[int]:
+        """Place each group while no other has a connection, and return the chosen backends."""
         sends = []
         for n, key in enumerate(keys):
             sends += [
                 action
-                for action in harness.send_request(first + n, key)
+                for action in harness.send_request(first_request + n, key)
                 if isinstance(action, interface.Send)
             ]
             harness.end_attempt(sends[-1], interface.Outcome.CANCELLED, client_answered=True)
         return [send.backend for send in sends]
 
-    near = placed(0)
+    slightly_less = place_each(0)
     report_loads(harness, {1: 0.8, 2: 0.7 - GROUP_SPLIT_LOAD - CROSS_ZONE_LOAD})
-    far = placed(50)
-    assert 0 < near.count(2) < len(keys) and far.count(2) == len(keys)
+    clearly_less = place_each(50)
+    assert 0 < slightly_less.count(2) < len(keys) and clearly_less.count(2) == len(keys)
 
 
 def test_every_backend_that_reports_its_load_is_probed_in_turn() -> None:
-    """Backends far down all rankings were never probed and stayed empty all day beside full ones."""
+    """Guards against backends low in all rankings that are never probed and stay empty beside full ones."""
     harness = BalancerHarness(load_reported=True, probes_allowed=True, backends=20)
     for n in range(30):
         for probe in [
@@ -628,7 +658,10 @@
 
 
 def test_simultaneous_clients_are_not_all_sent_to_the_backend_with_an_old_low_report() -> None:
-    """After a restart all clients came to the other balancer at once: one of 11 backends got 19 of 40."""
+    """Guards against placing all clients of a restarted balancer by the same old reports.
+
+    They reach the other balancer at once, and one of 11 backends then got 19 of 40 clients.
+    """
     harness = BalancerHarness(load_reported=True, probes_allowed=True, balancers=2)
     report_loads(harness, {backend: 0.4 for backend in range(1, 9)})
     for n in range(40):
@@ -637,25 +670,25 @@
         ]:
             harness.establish(send)
         harness.now += 10.0
-    held = [len(backend.flows) for backend in harness.balancer.backends.values()]
-    assert sum(held) == 40 and max(held) <= 12
+    connection_counts = [len(backend.flows) for backend in harness.balancer.backends.values()]
+    assert sum(connection_counts) == 40 and max(connection_counts) <= 12
 
 
 def test_next_backends_of_the_ranking_are_probed_if_too_few_have_room() -> None:
     harness = BalancerHarness(load_reported=True, probes_allowed=True, backends=40)
-    probed_backends = [
-        action.backend for action in harness.send_request(1) if isinstance(action, interface.Probe)
-    ]
+    probed = [action.backend for action in harness.send_request(1) if isinstance(action, interface.Probe)]
     rounds = 1
     while not harness.actions_of_type(interface.Send):
         probes = [
             action.backend
-            for n in probed_backends
-            for action in harness.handle_event(interface.ProbeResult(n, 2.0, 0.9 if rounds < 3 else 0.2))
+            for backend_id in probed
+            for action in harness.handle_event(
+                interface.ProbeResult(backend_id, 2.0, 0.9 if rounds < 3 else 0.2)
+            )
             if isinstance(action, interface.Probe)
         ]
-        assert not set(probes) & set(probed_backends)
-        probed_backends, rounds = probes, rounds + 1
+        assert not set(probes) & set(probed)
+        probed, rounds = probes, rounds + 1
     assert (
         rounds == 4
         and harness.balancer.backends[harness.actions_of_type(interface.Send)[0].backend].probed_load == 0.2
@@ -664,11 +697,11 @@
 
 def test_probe_rounds_are_bounded_if_all_backends_are_full() -> None:
     harness = BalancerHarness(load_reported=True, probes_allowed=True, backends=40)
-    probed_backends = [action for action in harness.send_request(1) if isinstance(action, interface.Probe)]
+    probes = [action for action in harness.send_request(1) if isinstance(action, interface.Probe)]
     while not harness.actions_of_type(interface.Send):
-        probed_backends = [
+        probes = [
             action
-            for probe in probed_backends
+            for probe in probes
             for action in harness.handle_event(interface.ProbeResult(probe.backend, 2.0, 0.9))
             if isinstance(action, interface.Probe)
         ]
