--- a/snowwick/broker/budget.py
+++ b/snowwick/broker/budget.py
@@ -1,11 +1,14 @@
 """Usage and lending of one resource: connections, or the load that they cause.
 
 Every team has a guarantee, a ceiling and a weight.  Room that a team does not use is lent to any other team,
-except for the lending reserve.  A refused team that is within its guarantee, or that has borrowed less for
-its weight than another, gets a reservation of the room that is freed next by moving the newest connections of
-the largest borrower.  Moving from the largest borrower until no refused team has less by a unit is weighted
-max-min fairness.  It is reached step by step and never computed as a whole, so the cost of a request does
-not grow with the number of teams.
+except for the lending reserve.  A team's level is what it borrows beyond its guarantee in proportion to its
+weight.  A refused team that is within its guarantee, or whose level is below that of the largest borrower,
+gets a reservation: the newest connections of the largest borrower are moved, and the room that they free is
+kept for the refused team.
+
+Repeating this until no refused team is more than one unit below the largest borrower's level gives weighted
+max-min fairness.  The shares are approached step by step and never computed as a whole, so the cost of a
+request does not grow with the number of teams.  Amounts are connections, or load in work a second.
 """
 
 from __future__ import annotations
@@ -16,15 +19,16 @@
 from itertools import count
 from typing import Any
 
-ROUNDING_TOLERANCE = 1e-9  # loads are summed and subtracted for hours
+ROUNDING_TOLERANCE = 1e-9  # for the rounding errors of sums that are updated for hours
 
 
 class TeamShare:
     """One team's part of one resource at this balancer.
 
-    ``draining`` is the part in use whose clients have been asked to move.  ``claimed`` is what the team has
-    taken out of reservations that have not expired yet.  ``ranked_level`` is the level of its valid entry in
-    the budget's heap of borrowers.
+    ``team_state`` is the caller's object for the team and is not used here.  ``draining`` is the part in use
+    whose clients have been asked to move.  ``reserved`` is the room that is reserved for the team, and
+    ``claimed`` is what it has taken up of reservations that have not expired yet.  ``ranked_level`` is the
+    level of its valid entry in the budget's heap of borrowers.
     """
 
     __slots__ = (
@@ -53,19 +57,25 @@
 
     @property
     def borrowed_per_weight(self) -> float:
-        """Use beyond the guarantee in proportion to the weight; negative below the guarantee."""
+        """The share's level: use beyond the guarantee in proportion to the weight, negative below it."""
         return (self.retained - self.guarantee) / self.weight
 
     @property
     def unused_guarantee(self) -> float:
+        """The part of the guarantee that is not in use; draining connections count as used."""
         return max(0.0, self.guarantee - self.in_use)
 
     def exceeds_ceiling(self) -> bool:
+        """Whether the part that is not draining is over the ceiling."""
         return self.retained > self.ceiling + ROUNDING_TOLERANCE
 
 
 class Budget:
-    """This balancer's part of one resource of the fleet, and how the teams share it."""
+    """This balancer's part of one resource of the fleet, and how the teams share it.
+
+    ``lending_reserve_fraction`` is the part of the unused guarantees that is not lent.  With ``whole_units``
+    the reserve is rounded up, as for connections.
+    """
 
     def __init__(self, limit: float, lending_reserve_fraction: float, whole_units: bool) -> None:
         self.limit, self.lending_reserve_fraction, self.whole_units = (
@@ -73,27 +83,27 @@
             lending_reserve_fraction,
             whole_units,
         )
-        # Up to this total there is room whatever the reserve is, as long as there are no reservations: most
-        # requests need no other check.
+        # While no more than this is in use and nothing is reserved, there is room however large the lending
+        # reserve is.  Most requests need no other check.
         self.uncontended_total = limit
         self.total_guaranteed = 0.0
         self.total_in_use = self.draining = self.unused_guarantees = self.reserved = 0.0
-        # (expiry, share, amount), oldest first.
+        # (expiry time in seconds, share, amount), oldest first.
         self.reservations: deque[tuple[float, TeamShare, float]] = deque()
-        # A heap of (negated level, sequence number, share), in which no share has a level below its present
-        # one.  The valid entry of a share is the one at its ``ranked_level``.  A share whose level has fallen
-        # is corrected when its entry comes up; one whose level rises gets a new entry.
+        # A heap of (negated level, sequence number, share).  The valid entry of a share is the one at its
+        # ``ranked_level``, which is never below the share's present level: a share whose level rises gets a
+        # new entry at once, and one whose level has fallen gets it when its entry reaches the top.
         self._borrowers: list[tuple[float, int, TeamShare]] = []
         self._sequence = count()
-        self.share_count = 0  # bounds the size of the heap
+        self.share_count = 0  # set by the caller; bounds the size of the heap
 
     def lending_reserve(self) -> float:
-        """Room that is never lent: a team's first requests use it before any connection has been moved."""
+        """Room that is not lent, so that a team's first requests within its guarantee need no moves."""
         reserve = self.lending_reserve_fraction * self.unused_guarantees
         return math.ceil(reserve - ROUNDING_TOLERANCE) if self.whole_units else reserve
 
     def set_limits(self, share: TeamShare, guarantee: float, ceiling: float, weight: float) -> None:
-        """Change the limits of a share; what it uses stays."""
+        """Change the limits of a share; its usage stays."""
         self.unused_guarantees -= share.unused_guarantee
         self.total_guaranteed += guarantee - share.guarantee
         share.guarantee, share.ceiling, share.weight = guarantee, ceiling, weight
@@ -101,11 +111,11 @@
         self._rank_borrower(share)
 
     def update_uncontended_total(self) -> None:
-        """Has to be called after ``limit`` or the limits of shares have changed."""
+        """Recompute the total; has to be called after ``limit`` or the limits of shares have changed."""
         self.uncontended_total = self.limit - math.ceil(self.lending_reserve_fraction * self.total_guaranteed)
 
     def adjust_usage(self, share: TeamShare, amount: float) -> None:
-        """Add an amount to what a share uses; a negative amount is released."""
+        """Add an amount to the usage of a share; a negative amount is released."""
         before = share.in_use
         after = share.in_use = before + amount
         self.total_in_use += amount
@@ -118,7 +128,7 @@
             self._rank_borrower(share)
 
     def adjust_draining(self, share: TeamShare, amount: float) -> None:
-        """Add an amount to the draining part of a share; a negative amount has been released."""
+        """Add an amount to the draining part of a share; a negative amount is released."""
         share.draining += amount
         self.draining += amount
         self._rank_borrower(share)
@@ -129,12 +139,13 @@
         if level > share.ranked_level + ROUNDING_TOLERANCE:
             share.ranked_level = level
             heapq.heappush(self._borrowers, (-level, next(self._sequence), share))
+            # Outdated entries are removed once the heap is several times as large as the valid ones need.
             if len(self._borrowers) > 64 + 4 * self.share_count:
                 self._borrowers = [entry for entry in self._borrowers if -entry[0] == entry[2].ranked_level]
                 heapq.heapify(self._borrowers)
 
     def largest_borrower(self) -> TeamShare | None:
-        """The share with the most beyond its guarantee in proportion to its weight."""
+        """The share with the highest level, if any is above 0; corrects outdated heap entries."""
         heap = self._borrowers
         while heap:
             negated_level, _, share = heap[0]
@@ -152,11 +163,15 @@
         return None
 
     def within_guarantee(self, share: TeamShare, amount: float) -> bool:
-        """Whether a share is still within its guarantee with this amount more."""
+        """Whether a share that uses this amount more is within its guarantee."""
         return share.in_use + amount <= share.guarantee + ROUNDING_TOLERANCE
 
     def has_room(self, share: TeamShare, amount: float, spare: float = 0.0) -> bool:
-        """Whether there is room for this amount with ``spare`` left over.  Does not check the ceiling."""
+        """Whether a share may use this amount more; the ceiling is not checked.
+
+        Within the guarantee it needs only free room.  Beyond it, the lending reserve, the reservations of
+        other shares and ``spare`` have to stay free as well.
+        """
         if self.total_in_use + amount + spare <= self.uncontended_total and not self.reserved:
             return True
         free = self.limit + ROUNDING_TOLERANCE - self.total_in_use - amount
@@ -165,7 +180,11 @@
         return free >= spare + self.lending_reserve() + self.reserved - share.reserved
 
     def reserve_room(self, expires_at: float, share: TeamShare, amount: float) -> bool:
-        """Reserve the room that is freed next for a share that was refused, if it is entitled to any."""
+        """Reserve an amount for a share that was refused; False where it is not entitled to it.
+
+        Up to its ceiling, a share is entitled to room within its guarantee, and beyond the guarantee to room
+        that the largest borrower has to give up.
+        """
         new_reserved = share.reserved + amount
         if share.in_use + new_reserved > share.ceiling + ROUNDING_TOLERANCE or not (
             self.within_guarantee(share, new_reserved)
@@ -178,7 +197,7 @@
         return True
 
     def _may_take_from_largest_borrower(self, share: TeamShare, amount: float) -> bool:
-        """Whether a share would not exceed the largest borrower's level if it got this amount from it."""
+        """Whether a share could take this amount from the largest borrower and not exceed its level."""
         largest = self.largest_borrower()
         if largest is None or largest is share:
             return False
@@ -186,7 +205,7 @@
         return level <= (largest.retained - amount - largest.guarantee) / largest.weight + ROUNDING_TOLERANCE
 
     def claim_reservation(self, share: TeamShare, amount: float) -> None:
-        """Note that a share has taken up room, out of what is reserved for it as far as that goes."""
+        """Reduce what is reserved for a share after it has taken up this amount of room."""
         if not share.reserved:
             return
         amount = min(amount, share.reserved)
@@ -195,7 +214,7 @@
         self.reserved -= amount
 
     def expire_reservations(self, now: float) -> None:
-        """Drop expired reservations: a refused client may never retry."""
+        """Drop the part of expired reservations that was not claimed: a refused client may never retry."""
         while self.reservations and self.reservations[0][0] <= now:
             _, share, amount = self.reservations.popleft()
             claimed = min(amount, share.claimed)
@@ -207,15 +226,15 @@
             self.reserved = 0.0
 
     def share_to_reclaim_from(self) -> TeamShare | None:
-        """The share that has to give up a part now, if any.
-
-        The reserve is restored only once half of it is used: otherwise each connection that a team opens and
-        closes within its guarantee would move one of a borrower's.
-        """
+        """The share whose connections have to be moved now, if any: the largest borrower."""
         return self.largest_borrower() if self.is_short() else None
 
     def is_short(self) -> bool:
-        """Whether less is free than the reserve and the reservations need."""
+        """Whether connections have to be moved to restore the lending reserve or to serve reservations.
+
+        Without reservations the reserve is restored only once half of it is used: otherwise each connection
+        that a team opens and closes within its guarantee would move one of a borrower's.
+        """
         if self.total_in_use <= self.uncontended_total and not self.reserved:
             return False
         free = self.limit - self.total_in_use + self.draining + ROUNDING_TOLERANCE
--- a/snowwick/broker/fair.py
+++ b/snowwick/broker/fair.py
@@ -1,4 +1,4 @@
-"""Fair shares: weighted max-min fairness, and whole units divided among balancers."""
+"""Division by weighted max-min fairness, and division of whole units among balancers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """The limits of one participant; it gets no more than ``demand`` either."""
+    """What one participant may get: at most its ceiling, and at most what it demands."""
 
     guarantee: float
     ceiling: float
@@ -18,14 +18,16 @@
 
 
 def max_min_shares(total: float, claims: Sequence[Claim]) -> list[float]:
-    """Divide ``total``: first the guarantees, then the rest by weight, to none more than ceiling or demand.
+    """Divide ``total``: first the guarantees, then the rest by weight up to each claim's ceiling and demand.
 
-    Progressive filling (Bertsekas and Gallager, Data Networks, 6.5.2) of what lies beyond the guarantees.
+    The rest is divided by progressive filling (Bertsekas and Gallager, Data Networks, 6.5.2).  The guarantees
+    are given out even if they exceed ``total``.
     """
     maxima = [min(claim.ceiling, claim.demand) for claim in claims]
     shares = [min(claim.guarantee, maximum) for claim, maximum in zip(claims, maxima, strict=True)]
     remaining = max(0.0, total - sum(shares))
-    # In order of the level at which each claim is satisfied: every step satisfies one more.
+    # Claims that are satisfied at a lower share per weight come first, so that what each leaves unused is
+    # divided among the claims after it.
     order = sorted(
         (n for n, claim in enumerate(claims) if maxima[n] > shares[n] and claim.weight > 0),
         key=lambda n: (maxima[n] - shares[n]) / claims[n].weight,
--- a/snowwick/broker/pools.py
+++ b/snowwick/broker/pools.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Labels:
-    """The labels of a destination in discovery's list that pools match."""
+    """The labels of a destination in discovery's list by which pools select destinations."""
 
     kind: str = ""
     zone: str = ""
@@ -51,18 +51,18 @@
 class PoolAssignment:
     """Divides discovery's list into one list per pool.
 
-    A destination whose labels change is reported to its old pool as gone, so that the module there moves its
-    clients, and to its new pool in its present state.
+    If the labels of a destination change, its old pool's list reports it as gone, so that the module of that
+    pool moves its clients, and its new pool's list reports its present state.
     """
 
     def __init__(self, matches: Mapping[str, Match]) -> None:
         self.matches = dict(matches)
         self.entries: dict[int, tuple[BackendEntry, Labels]] = {}
         self.destinations: dict[str, set[int]] = {name: set() for name in matches}  # by pool
-        self.available_pools: set[str] = set()  # with a destination that takes new connections
+        self.available_pools: set[str] = set()  # pools with a destination that takes new connections
 
     def apply(self, update: ListUpdate, labels: Mapping[int, Labels]) -> dict[str, ListUpdate]:
-        """Apply an update, with the labels of its entries; returns each pool's part of it."""
+        """Apply an update; returns each pool's part.  ``labels`` are those of its entries, by number."""
         if update.kind is ListKind.FAILED:
             return dict.fromkeys(self.matches, update)
         full_list = update.kind is not ListKind.CHANGES
@@ -77,16 +77,17 @@
         return {name: self._pool_update(name, update.kind, changed) for name in self.matches}
 
     def replace_pools(self, matches: Mapping[str, Match]) -> dict[str, ListUpdate]:
-        """Use other pools from now on; returns each pool's full list, with the destinations that it lost.
+        """Replace the pools; returns each pool's full list, with destinations that left the pool as gone.
 
-        A pool that has been removed keeps its old match as long as the caller leaves it in ``matches``.
+        A pool that still serves connections after its removal from the contracts has to stay in ``matches``
+        until ``remove_pool`` is called.
         """
         self.matches = dict(matches)
         self.destinations = {name: self.destinations.get(name, set()) for name in matches}
         return {name: self._pool_update(name, ListKind.FULL, None) for name in matches}
 
     def remove_pool(self, name: str) -> None:
-        """Remove a pool; this changes no other pool's list."""
+        """Remove a pool; the lists of the other pools stay the same."""
         self.matches.pop(name, None)
         self.destinations.pop(name, None)
         self.available_pools.discard(name)
@@ -94,30 +95,38 @@
     def _pool_update(
         self, name: str, kind: ListKind, changed: Mapping[int, BackendEntry] | None
     ) -> ListUpdate:
-        """A pool's part of an update: of its full list where ``changed`` is None, else of these entries."""
-        match, before = self.matches[name], self.destinations[name]
+        """A pool's part of an update: its full list if ``changed`` is None, else the changes to it."""
+        match = self.matches[name]
+        previous_members = self.destinations[name]
         if changed is None:
             members = {number for number, (_, labels) in self.entries.items() if match.accepts(labels)}
             entries = [self.entries[number][0] for number in sorted(members)]
-            # Destinations that are in no list any more are left to the module, as without pools.
-            lost = [self.entries[number][0] for number in sorted(before - members) if number in self.entries]
+            # Destinations that are missing from discovery's list are left out: as without pools, the module
+            # handles their absence from a full list.
+            removed = [
+                self.entries[number][0]
+                for number in sorted(previous_members - members)
+                if number in self.entries
+            ]
         else:
-            members, entries, lost = set(before), [], []
+            members = set(previous_members)
+            entries = []
+            removed = []
             for number, entry in changed.items():
                 accepted = number in self.entries and match.accepts(self.entries[number][1])
                 if accepted:
                     members.add(number)
                     entries.append(entry)
-                elif number in before:
+                elif number in previous_members:
                     members.discard(number)
-                    lost.append(entry)
+                    removed.append(entry)
         self.destinations[name] = members
         self.available_pools.discard(name)
         if any(self.entries[number][0].state is State.READY for number in members):
             self.available_pools.add(name)
-        return ListUpdate(kind, entries + [_as_gone(entry) for entry in lost])
+        return ListUpdate(kind, entries + [_as_gone(entry) for entry in removed])
 
 
 def _as_gone(entry: BackendEntry) -> BackendEntry:
-    """The entry of a destination that has left a pool."""
+    """A destination's entry with the state gone, for a pool that it has left."""
     return BackendEntry(entry.backend, State.GONE, entry.zone, entry.cell, entry.weight, entry.started)
