--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: translation, malformed input, and the same actions in one process or several."""
+"""The simulator adapter: translation, malformed input, and equal actions in one process or several."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from crowgap.policy import Balancer
 
 ROOT = Path(__file__).parent.parent
-SETUP: dict[str, Any] = {
+RAW_SETTINGS: dict[str, Any] = {
     "classes": [{"name": "feed", "aim": 300.0, "deadline": 1200.0, "effect": "read_like", "points": 5.0}],
     "familyInfo": {"groups": True, "messageAim": [100.0], "tenantQuotaConnections": [9.0]},
     "invariants": {
@@ -33,7 +33,7 @@
     "weights": "rough",
     "zone": "a",
     "tick": 2.0,
-    "a key of tomorrow": {"x": 1},
+    "an unknown key": {"x": 1},
 }
 MEMBERS = [
     {"backend": backend, "rackZone": "a", "unitGroup": 0, "status": "active", "powerHint": 1.0}
@@ -42,13 +42,14 @@
 
 
 def attach_events(instance: int, **changes: Any) -> list[dict[str, Any]]:
+    """Return the events that start an instance: its settings, with ``changes``, and a restored list."""
     return [
-        {"verb": "ATTACH", "i": instance, "salt": 5 + instance, "setup": {**SETUP, **changes}},
+        {"verb": "ATTACH", "i": instance, "salt": 5 + instance, "setup": {**RAW_SETTINGS, **changes}},
         {"verb": "MEMBERSHIP", "i": instance, "rev": 1, "form": "restored", "members": MEMBERS},
     ]
 
 
-def request_event(instance: int, number: int, **more: Any) -> dict[str, Any]:
+def request_event(instance: int, number: int, **fields: Any) -> dict[str, Any]:
     return {
         "verb": "ORDER",
         "i": instance,
@@ -58,15 +59,17 @@
         "patienceLeft": 1000.0,
         "type": "feed",
         "party": "t",
-        **more,
+        **fields,
     }
 
 
 def batch(moment: float, *events: dict[str, Any]) -> str:
+    """Return a line of input with these events at the time ``moment``, in ms."""
     return json.dumps({"moment": moment, "input": events})
 
 
 def replies(lines: list[str]) -> list[list[dict[str, Any]]]:
+    """Run the adapter in this process and return its actions for each line."""
     sink = io.StringIO()
     assert benchlink.main(io.StringIO("\n".join(lines) + "\n"), sink) == 0
     return [json.loads(line)["out"] for line in sink.getvalue().splitlines()]
@@ -163,7 +166,8 @@
     assert actions[0]["verb"] == "CRASH" and "balancers" in actions[0]["bodyText"]
 
 
-def script(instances: list[int]) -> list[str]:
+def scripted_batches(instances: list[int]) -> list[str]:
+    """Return lines of input with requests, ends of attempts and timers for these instances."""
     lines = [
         batch(
             1.0, *[event for instance in instances for event in attach_events(instance, selfIndex=instance)]
@@ -193,6 +197,7 @@
 
 
 def run_process(lines: list[str], hash_seed: str) -> list[list[dict[str, Any]]]:
+    """Run the adapter in a new process and return its actions for each line."""
     command = [sys.executable, "-m", "crowgap.benchlink"]
     result = subprocess.run(
         command,
@@ -207,10 +212,14 @@
 
 
 def test_same_actions_under_other_hash_seeds_and_in_several_processes() -> None:
-    together = run_process(script([0, 1, 2]), "1")
-    assert together == run_process(script([0, 1, 2]), "4242")
-    apart = [run_process(script([instance]), str(instance)) for instance in (0, 1, 2)]
-    for index, actions in enumerate(together):
+    from_one_process = run_process(scripted_batches([0, 1, 2]), "1")
+    assert from_one_process == run_process(scripted_batches([0, 1, 2]), "4242")
+    from_separate_processes = [
+        run_process(scripted_batches([instance]), str(instance)) for instance in (0, 1, 2)
+    ]
+    for index, actions in enumerate(from_one_process):
         for instance in (0, 1, 2):
-            assert [action for action in actions if action["i"] == instance] == apart[instance][index]
-    assert any(action["verb"] == "HAND_OFF" for actions in together for action in actions)
+            assert [action for action in actions if action["i"] == instance] == from_separate_processes[
+                instance
+            ][index]
+    assert any(action["verb"] == "HAND_OFF" for actions in from_one_process for action in actions)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -10,7 +10,7 @@
 from crowgap import interface
 
 KEYED_CLASS = replace(SAFE_CLASS, effect=interface.Effect.KEYED, deduplication_window=1000.0)
-CONNECT_TIMEOUT_MS = 250.0  # the request of a repeat is sent only after its connect
+CONNECT_TIMEOUT_MS = 250.0  # a repeat is sent only once its connection is open
 
 
 def first_attempt(harness: BalancerHarness) -> interface.Send:
@@ -21,18 +21,18 @@
 @pytest.mark.parametrize(
     "outcome", [interface.Outcome.RESET, interface.Outcome.TIMEOUT, interface.Outcome.ERROR]
 )
-@pytest.mark.parametrize("after,repeated", [(700.0, True), (760.0, False), (990.0, False)])
+@pytest.mark.parametrize("elapsed_ms,repeated", [(700.0, True), (760.0, False), (990.0, False)])
 def test_no_repeat_whose_connect_may_outlast_the_deduplication_window(
-    outcome: interface.Outcome, after: float, repeated: bool
+    outcome: interface.Outcome, elapsed_ms: float, repeated: bool
 ) -> None:
-    """A repeat decided within the window was sent after it, since the connect may take its full timeout."""
+    """A repeat must be sent within the window even if its connect takes the full connect timeout."""
     harness = BalancerHarness(
         classes=(replace(KEYED_CLASS, deadline=3000.0),), connect_timeout=CONNECT_TIMEOUT_MS
     )
     (send,) = [
         action for action in harness.send_request(1, patience=3000.0) if isinstance(action, interface.Send)
     ]
-    harness.run_until(harness.now + after)
+    harness.run_until(harness.now + elapsed_ms)
     assert (
         bool([action for action in harness.end_attempt(send, outcome) if isinstance(action, interface.Send)])
         is repeated
@@ -46,7 +46,7 @@
 def test_request_fails_if_a_repeat_by_the_client_may_take_effect_twice(
     outcome: interface.Outcome, effect: interface.Effect
 ) -> None:
-    """A refusal promises that a repeat is harmless, also after the wait that it names."""
+    """A refusal promises that the client may repeat the request, also after the wait that it asks for."""
     harness = BalancerHarness(
         classes=(replace(KEYED_CLASS, effect=effect),), max_retry_after=600.0, max_attempts=1
     )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,5 +1,8 @@
-"""Rules that each balancer keeps by itself: one answer in time, no second effect, no overload of cold or
-leaving backends; and events that are late or unknown."""
+"""Rules that each balancer keeps without contact to the others, and events that are late or unknown.
+
+Each request gets one final answer in time and takes effect at most once; no cold backend is overloaded, and
+nothing new is sent to a leaving one.
+"""
 
 from __future__ import annotations
 
@@ -32,11 +35,11 @@
 
 def pending_attempts(harness: BalancerHarness) -> list[interface.Send]:
     """Return the attempts that have not ended."""
-    last = {action.request: action for action in harness.actions_of_type(interface.Send)}
+    last_sends = {action.request: action for action in harness.actions_of_type(interface.Send)}
     return [
         action
-        for n, action in last.items()
-        if n in harness.balancer.flows and harness.balancer.flows[n].is_pending
+        for request_id, action in last_sends.items()
+        if request_id in harness.balancer.flows and harness.balancer.flows[request_id].is_pending
     ]
 
 
@@ -46,29 +49,31 @@
     st.booleans(),
 )
 def test_each_request_gets_one_answer_in_time_whatever_backends_do(
-    script: list[tuple[interface.Outcome, float]], count: int, loaded: bool
+    failures: list[tuple[interface.Outcome, float]], request_count: int, overloaded: bool
 ) -> None:
     harness = BalancerHarness(backends=4)
-    if loaded:
+    if overloaded:
         harness.overload()
-    start, steps = harness.now, cycle(script)
-    for n in range(count):
+    start, next_failures = harness.now, cycle(failures)
+    for n in range(request_count):
         harness.send_request(n, f"g{n % 5}")
     while (
-        pending := [action for action in pending_attempts(harness) if action.request < count]
+        pending := [action for action in pending_attempts(harness) if action.request < request_count]
     ) or harness.now < start + 1000.0:
-        if not pending:  # all are waiting: one may still start an attempt, which must end too
+        if not pending:  # all requests wait, and one may still start an attempt, which must end too
             harness.run_until(min(harness.now + 50.0, start + 1000.0))
             continue
-        outcome, wait = next(steps)
+        outcome, wait = next(next_failures)
         harness.run_until(min(harness.now + min(wait, pending[0].timeout), start + 1000.0))
         for send in pending if harness.now >= start + 1000.0 else pending[:1]:
             harness.end_attempt(send, interface.Outcome.TIMEOUT if harness.now >= start + 1000.0 else outcome)
     harness.run_until(start + 1000.0)
-    for n in range(count):
+    for n in range(request_count):
         assert len(final_actions(harness, n)) == 1, n
     answered = [
-        at for at, action in harness.actions if isinstance(action, FINAL_ACTIONS) and action.request < count
+        at
+        for at, action in harness.actions
+        if isinstance(action, FINAL_ACTIONS) and action.request < request_count
     ]
     assert max(answered) <= start + 1000.0
 
@@ -93,13 +98,15 @@
 
 
 def test_timer_that_fires_early_by_rounding_is_not_lost() -> None:
-    """Times are rounded to microseconds: a timer that fired early by less left a waiting setup unanswered."""
+    """Times are rounded to microseconds; a timer that fires early by less must not leave a setup waiting."""
     harness = BalancerHarness(backends=0)
     harness.send_request(1, patience=500.0)
-    armed = [action for action in harness.actions_of_type(interface.SetTimer) if action.token == 0]
-    harness.now = armed[-1].at - 0.0004
+    armed_timers = [action for action in harness.actions_of_type(interface.SetTimer) if action.token == 0]
+    harness.now = armed_timers[-1].at - 0.0004
     harness.handle_event(interface.TimerDue(0))
-    assert [action for action in harness.actions_of_type(interface.SetTimer) if action.token == 0] != armed
+    assert [
+        action for action in harness.actions_of_type(interface.SetTimer) if action.token == 0
+    ] != armed_timers
 
 
 @pytest.mark.parametrize(
@@ -192,8 +199,8 @@
 
 
 def test_cold_backend_gets_only_its_budget_from_all_balancers_together() -> None:
-    """Forty balancers that all know a new backend together send it no more than a part of its capacity."""
-    total = 0
+    """Forty balancers that add a new backend at the same time do not overload it together."""
+    total_sends = 0
     for index in range(40):
         harness = BalancerHarness(seed=index, backends=10, balancers=40, index=index)
         for n in range(100):
@@ -209,9 +216,9 @@
             for action in harness.send_request(n, f"g{n}")
             if isinstance(action, interface.Send) and action.backend == 11
         ]
-        total += len(sent)
+        total_sends += len(sent)
     mean_connections = 40 * 100 / 10
-    assert 0 < total <= 0.2 * 2.5 * mean_connections
+    assert 0 < total_sends <= 0.2 * 2.5 * mean_connections  # ``cold_from`` times ``fall_multiple``
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
