--- a/snowwick/broker/contract.py
+++ b/snowwick/broker/contract.py
@@ -1,6 +1,6 @@
 """The operators' contracts file (format version 1): reading, checks, and each balancer's part of the limits.
 
-This module imports msgspec; the program imports it only where a file is given.
+This module needs msgspec, so the program imports it only if such a file is given.
 """
 
 from __future__ import annotations
@@ -36,12 +36,15 @@
 class Reclaim(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """How lent room is reclaimed."""
 
-    within_s: PositiveFloat = 10.0  # time in which a team that needs its guarantee gets it back
-    reserve: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.1  # part of the unused guarantees never lent
+    within_s: PositiveFloat = 10.0  # time in which a team gets its whole guarantee back
+    reserve: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.1  # part of the unused guarantees not lent
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The capacity that all balancers together may use; ``load`` is in the unit of the LOAD lines."""
+    """The capacity that all balancers together may use.
+
+    ``load`` is work a second in the unit of the destinations' LOAD lines; without it load is not limited.
+    """
 
     connections: Annotated[int, msgspec.Meta(gt=0)]
     setups_per_s: PositiveFloat
@@ -51,13 +54,13 @@
 
 
 class Pool(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The labels of a pool's destinations; without any key it contains every destination."""
+    """The label values that select a pool's destinations; an empty ``match`` selects every destination."""
 
     match: dict[str, Any] = {}
 
 
 class ResourceLimits(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A guarantee or a ceiling; a missing limit means 0 in a guarantee, the fleet's limit in a ceiling."""
+    """A team's guarantee or ceiling.  A missing value is 0 in a guarantee, the fleet's limit in a ceiling."""
 
     connections: NonNegativeInt | None = None
     setups_per_s: NonNegativeFloat | None = None
@@ -67,12 +70,12 @@
 class RequestClass(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """A request class of a team."""
 
-    max_deadline_ms: PositiveFloat | None = None
+    max_deadline_ms: PositiveFloat | None = None  # longest wait of a request; None sets no limit
     share: Fraction = 1.0  # part of the team's ceiling that the class may use
 
 
 class Team(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A team's contract.  Without ``classes`` it covers every class of the settings."""
+    """A team's contract.  Without ``classes`` the team may use every class of the settings."""
 
     tenants: Annotated[list[Name], msgspec.Meta(min_length=1)]
     pool: str
@@ -83,7 +86,7 @@
 
 
 class Contracts(msgspec.Struct, frozen=True):
-    """The contents of a file that has passed all checks."""
+    """The contents of a contracts file that has passed all checks."""
 
     fleet: Fleet
     pools: dict[str, Match]
@@ -91,7 +94,7 @@
 
     @property
     def tenants(self) -> dict[str, str]:
-        """The name of each tenant's team."""
+        """Team names by tenant."""
         return {tenant: name for name, team in self.teams.items() for tenant in team.tenants}
 
 
@@ -104,9 +107,10 @@
 
 
 def balancer_parts(contracts: Contracts, balancers: int, index: int) -> tuple[int, dict[str, TeamPart]]:
-    """One balancer's part of the fleet's connections and of each team's limits.
+    """One balancer's part of the fleet's connections, and its part of each team's limits.
 
-    Connections are divided with ``fair.round_robin_count``: the parts of all balancers sum exactly.
+    ``index`` is the balancer's, from 0.  Connections are divided with ``fair.round_robin_count``, so that the
+    parts of all balancers sum exactly to the contract.
     """
     first_unit = 0
     team_parts = {}
@@ -133,7 +137,7 @@
 ) -> Contracts:
     """Read and check a file's text; raises BadContracts with all faults.
 
-    ``classes`` and ``tenants`` are the names in the settings, or None where there are no settings to check.
+    ``classes`` and ``tenants`` are the names in the settings, or None to skip the check against settings.
     """
     reader = TomlReader()
     raw = reader.parse(text, {"fleet", "pools", "teams"})
@@ -152,7 +156,7 @@
 def load(
     path: str | Path, classes: Collection[str] | None = None, tenants: Collection[str] | None = None
 ) -> Contracts:
-    """Read and check a file; raises BadContracts with all faults, also where the file cannot be read."""
+    """Like ``parse`` for a file; raises BadContracts also if the file cannot be read."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -206,7 +210,7 @@
 def _check_consistency(
     reader: TomlReader, fleet: Fleet, pools: dict[str, Match], teams: dict[str, Team]
 ) -> None:
-    """Checks across several keys of the file."""
+    """Check the conditions that involve several keys of the file."""
     team_of_tenant: dict[str, str] = {}
     for name, team in teams.items():
         path = f"teams.{name}"
@@ -236,9 +240,9 @@
             reader.add_fault(f"fleet.{key}", f"the guarantees add up to {guaranteed}, which exceeds {limit}")
     names = list(pools)
     for n, name in enumerate(names):
-        for other in names[:n]:
-            if pools[name].overlaps(pools[other]):
-                reader.add_fault(f"pools.{name}.match", f"overlaps with pools.{other}.match")
+        for earlier_name in names[:n]:
+            if pools[name].overlaps(pools[earlier_name]):
+                reader.add_fault(f"pools.{name}.match", f"overlaps with pools.{earlier_name}.match")
         if all(team.pool != name for team in teams.values()):
             reader.add_fault(f"pools.{name}", "no team uses it")
 
@@ -260,9 +264,13 @@
 
 
 def explain(contracts: Contracts, balancers: int) -> list[dict[str, Any]]:
-    """Each team's limits at one balancer: guaranteed, alone, and its fair share while all teams are busy.
+    """Each team's limits at one balancer, as one row per team, for the command ``contracts explain``.
 
-    Connections are those of balancer 0; where they do not divide evenly, another balancer may have one less.
+    The three numbers per resource are the guarantee, the most that the team may use while the others are
+    idle, and its fair share while all teams use as much as they may.  ``guarantee_after_s`` is the time in
+    which the team gets its whole guarantee back: the reclaim time, or the time that its guaranteed
+    connections take at its guaranteed setups a second if that is longer.  Connections are those of balancer
+    0; if they do not divide evenly, another balancer may have one less.
     """
     connections, team_parts = balancer_parts(contracts, balancers, 0)
     setups_per_s, load = (
@@ -311,11 +319,12 @@
 
 
 def fleet_limits(contracts: Contracts) -> dict[str, float]:
-    """The limits of the contracts for the whole fleet, by budget name."""
+    """The upper limits of the whole fleet and of each team, in connections and setups a second, by budget."""
     fleet = contracts.fleet
     limits = {"fleet.connections": float(fleet.connections), "fleet.setups": fleet.setups_per_s}
     for name, team in contracts.teams.items():
-        max_connections, max_setups_per_s = team.ceiling.connections, team.ceiling.setups_per_s
+        max_connections = team.ceiling.connections
+        max_setups_per_s = team.ceiling.setups_per_s
         limits[f"{name}.connections"] = float(
             fleet.connections if max_connections is None else max_connections
         )
@@ -324,14 +333,17 @@
 
 
 def contracts_digest(contracts: Contracts) -> str:
-    """A digest of the contents: equal for equal contracts, however their files are written."""
+    """A digest of the contracts that does not depend on the layout of their file."""
     return blake2b(
         repr(msgspec.to_builtins(contracts, order="deterministic")).encode(), digest_size=6
     ).hexdigest()
 
 
 def balancer_budgets(contracts: Contracts, balancers: int, index: int) -> dict[str, tuple[float, bool]]:
-    """One balancer's static part of each budget of the fleet, and whether the budget counts whole units."""
+    """One balancer's static part of each budget, and whether the budget counts whole units.
+
+    The static part is what the balancer has before balancers transfer parts of budgets to each other.
+    """
     connections, team_parts = balancer_parts(contracts, balancers, index)
     budgets: dict[str, tuple[float, bool]] = {
         "fleet.connections": (connections, True),
@@ -348,30 +360,32 @@
 ) -> BalancerLimits:
     """The limits that one balancer enforces.
 
-    ``rights`` holds its present part of each budget, where balancers transfer parts.  A team's guarantee is
-    scaled with its part: over all balancers it is at most the contract's.
+    If balancers transfer parts of budgets to each other, ``rights`` has this balancer's present part by
+    budget.  A team's guarantee is scaled in proportion to this balancer's part of the team's budget, so that
+    the guarantees at all balancers sum to at most the contract's.
     """
     fleet = contracts.fleet
     _, team_parts = balancer_parts(contracts, balancers, index)
-    current = {key: part for key, (part, _) in balancer_budgets(contracts, balancers, index).items()}
-    static, current = (
-        current,
-        {**current, **{key: value for key, value in (rights or {}).items() if key in current}},
+    current_parts = {key: part for key, (part, _) in balancer_budgets(contracts, balancers, index).items()}
+    static_parts, current_parts = (
+        current_parts,
+        {**current_parts, **{key: value for key, value in (rights or {}).items() if key in current_parts}},
     )
 
     def scaled(guarantee: float, key: str) -> float:
-        return guarantee * current[key] / static[key] if static[key] > 0.0 else guarantee
+        return guarantee * current_parts[key] / static_parts[key] if static_parts[key] > 0.0 else guarantee
 
     teams = {}
     for name, team in contracts.teams.items():
         part = team_parts[name]
-        connections, setups = f"{name}.connections", f"{name}.setups"
+        connections = f"{name}.connections"
+        setups = f"{name}.setups"
         teams[name] = TeamLimits(
             (
-                min(current[connections], math.floor(scaled(part.connections[0], connections) + 1e-9)),
-                current[connections],
+                min(current_parts[connections], math.floor(scaled(part.connections[0], connections) + 1e-9)),
+                current_parts[connections],
             ),
-            (scaled(part.setups_per_s[0], setups), current[setups]),
+            (scaled(part.setups_per_s[0], setups), current_parts[setups]),
             part.load,
             team.weight,
             team.pool,
@@ -381,8 +395,8 @@
             },
         )
     return BalancerLimits(
-        current["fleet.connections"],
-        current["fleet.setups"],
+        current_parts["fleet.connections"],
+        current_parts["fleet.setups"],
         teams,
         (fleet.load or math.inf) / balancers,
         fleet.burst_s,
--- a/snowwick/rebalance/plan.py
+++ b/snowwick/rebalance/plan.py
@@ -1,12 +1,12 @@
-"""The rebalancing planner: few moves that level the load of one balancer's own connections.
+"""The rebalancing planner: levels the load of one balancer's own connections with few moves.
 
-Each balancer levels its own connections over the destinations' capacities.  Where every balancer's part is
-level, the whole is level too, and no balancer reacts to another's moves, so balancers that share no state
-cannot oscillate against each other.
+Each balancer distributes its own connections in proportion to the destinations' capacities.  If every
+balancer's connections are level, the total is level too.  No balancer reacts to the moves of another, so
+balancers that share no state cannot oscillate against each other.
 
-Each group of which a destination has any connection costs it ``group_cost`` mean loads, so groups are moved
-whole, and where possible to a destination that has a part of them already.  Times are seconds on the caller's
-clock; loads are in any one unit.
+A destination has an added cost for each group with at least one connection there: ``group_cost`` times the
+mean load of a connection.  Groups are therefore moved whole, and if possible to a destination that already
+has a part of them.  Times are seconds on the caller's clock; loads are in any one unit.
 """
 
 from __future__ import annotations
@@ -22,22 +22,24 @@
 
 @dataclass(slots=True, frozen=True)
 class RebalanceSettings:
-    """The settings of the planner; ``moves_per_s`` is this balancer's part of the fleet's rate."""
+    """The settings of the planner; both rates of moves are this balancer's parts of the fleet's rates."""
 
     moves_per_s: float = 2.0
-    start_ratio: float = 1.15  # highest utilization over the mean at which moves begin
-    stop_ratio: float = 1.05  # and at which they end; in between moves neither begin nor end
-    receive_moves_per_s: float = 2.0  # to one destination, where each move is a handshake
-    min_age_s: float = 5.0  # how long a connection is established before it may be moved
-    client_cooldown_s: float = 60.0  # after a move, until the same client may be moved again
-    group_cost: float = 3.0  # what any part of a group costs a destination, in mean loads
-    warm_up_s: float = 10.0  # until a destination has its full capacity
+    # Moves start while the ratio of the highest utilization to the mean exceeds ``start_ratio``, and go on
+    # until it is at most ``stop_ratio``.
+    start_ratio: float = 1.15
+    stop_ratio: float = 1.05
+    receive_moves_per_s: float = 2.0  # to one destination: each move costs it a handshake
+    min_age_s: float = 5.0  # how long a connection has to be established before it may be moved
+    client_cooldown_s: float = 60.0  # time after a move until the same client may be moved again
+    group_cost: float = 3.0  # added cost of a group at a destination, in mean loads of a connection
+    warm_up_s: float = 10.0  # time after its start until a destination has its full capacity
     initial_capacity_fraction: float = 0.3  # the part of its capacity that a destination starts with
 
 
 @dataclass(slots=True, frozen=True)
 class Connection:
-    """An established connection; ``client`` stays the same after a move."""
+    """An established connection; ``client`` identifies its client, also after a move."""
 
     number: int
     client: str
@@ -58,9 +60,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """A connection to move; ``number`` is the connection's.
+    """A connection to move; ``number`` is the connection's, ``source`` and ``target`` are destinations.
 
-    ``gain`` is by how much the higher of the two destinations' utilizations falls, in parts of the mean.
+    ``gain`` is the decrease of the higher of the two destinations' utilizations by the move of the whole
+    group, as a fraction of the mean utilization.
     """
 
     number: int
@@ -80,7 +83,7 @@
 
 
 class ConnectionTable:
-    """The established connections with running totals, so that a planning round does not read them all."""
+    """The established connections, with running totals so that a planning round need not read them all."""
 
     def __init__(self, connections: Iterable[Connection] = ()) -> None:
         self.connections: dict[int, Connection] = {}
@@ -92,7 +95,7 @@
             self.put(connection)
 
     def put(self, connection: Connection) -> None:
-        """Add a connection, or replace it where its load, destination or age has changed."""
+        """Add a connection, or replace the one with the same number."""
         self.remove(connection.number)
         self.connections[connection.number] = connection
         part = self.groups.setdefault(connection.destination, {}).setdefault(connection.group, _GroupPart())
@@ -115,7 +118,8 @@
         self.total_load -= connection.load
         if part.connections:
             return
-        # The last connection of its group there: groups that come and go must not make the table grow.
+        # The group has no connection left at this destination.  Its entries are deleted, as the table would
+        # grow with every new group otherwise.
         del groups[connection.group]
         self.group_destinations[connection.group].discard(connection.destination)
         if not self.group_destinations[connection.group]:
@@ -126,13 +130,14 @@
 
 @dataclass(slots=True)
 class _DestinationState:
-    """One destination in a planning round; ``load`` includes the cost of its groups."""
+    """One destination in a planning round; ``load`` includes the added cost of its groups."""
 
     destination: Destination
     capacity: float
     load: float
     groups: Mapping[str, _GroupPart]
-    changed_groups: dict[str, bool] = field(default_factory=dict)  # added (True) or removed in this round
+    # Groups that were added (True) or removed (False) in this round.
+    changed_groups: dict[str, bool] = field(default_factory=dict)
 
     @property
     def utilization(self) -> float:
@@ -149,13 +154,14 @@
     """
 
     def __init__(self, settings: RebalanceSettings) -> None:
+        # ``active`` is true from the start of moves until the load is level enough.
         self.settings, self.active = settings, False
         self.move_rate = Gcra(settings.moves_per_s, max(1.0, settings.moves_per_s))
         self.receive_rates: dict[int, Gcra] = {}  # by destination
-        self.moved_at: dict[str, float] = {}  # by client, oldest first, for the length of the cooldown
+        self.moved_at: dict[str, float] = {}  # by client, oldest first; dropped after the cooldown
 
     def capacity(self, destination: Destination, now: float) -> float:
-        """The present capacity of a destination, which is lower while it warms up."""
+        """The present capacity of a destination, which is reduced while it warms up."""
         settings = self.settings
         warm_fraction = (
             min(1.0, max(0.0, now - destination.started_at) / settings.warm_up_s)
@@ -167,7 +173,7 @@
         )
 
     def plan(self, now: float, destinations: Collection[Destination], table: ConnectionTable) -> list[Move]:
-        """The moves of one round; none while the destinations are level enough."""
+        """The moves of one round; none if the utilizations are level enough."""
         self._drop_expired(now, {destination.number for destination in destinations})
         group_load = self.settings.group_cost * table.total_load / max(1, len(table.connections))
         states = self._destination_states(now, destinations, table, group_load)
@@ -204,7 +210,10 @@
         return moves
 
     def _drop_expired(self, now: float, numbers: Collection[int]) -> None:
-        """Drop the clients whose cooldown is over, and the rates of destinations that have gone."""
+        """Drop clients after their cooldown, and the rate limiters of destinations that no longer exist.
+
+        ``numbers`` are those of the present destinations.
+        """
         while (
             self.moved_at
             and now - (oldest := next(iter(self.moved_at.items())))[1] >= self.settings.client_cooldown_s
@@ -217,7 +226,7 @@
     def _destination_states(
         self, now: float, destinations: Collection[Destination], table: ConnectionTable, group_load: float
     ) -> dict[int, _DestinationState]:
-        """The destinations before any move; ``group_load`` is what each group costs a destination."""
+        """The destinations before any move; ``group_load`` is the added cost of a group at a destination."""
         states = {}
         for destination in destinations:
             groups = table.groups.get(destination.number, {})
@@ -234,7 +243,10 @@
         targets: list[tuple[float, int]],
         mean: float,
     ) -> _DestinationState | None:
-        """The destination with the lowest utilization that may receive now; drops outdated heap entries."""
+        """The destination with the lowest utilization, below the mean, that may receive a move now.
+
+        Removes heap entries that are outdated or whose destination may not receive now.
+        """
         while targets:
             utilization, number = targets[0]
             if utilization == states[number].utilization < mean and self._may_receive(now, number):
@@ -252,7 +264,7 @@
         group_load: float,
         mean: float,
     ) -> tuple[str, _DestinationState, float] | None:
-        """The whole group to move off the source and the target that together gain most, if any."""
+        """The group to move off the source, the target, and the gain, of the move with the largest gain."""
         best: tuple[float, str, _DestinationState] | None = None
         least_utilized = self._least_utilized(now, states, targets, mean)
         if least_utilized is None:
@@ -263,9 +275,9 @@
             ):
                 continue
             load = part.load
-            # Destinations with a part of the group have no added group cost; of the others the least utilized
-            # is as good as any.
-            with_group = [
+            # At a destination that has a part of the group, the move adds no group cost.  Of the other
+            # destinations, it is enough to consider the one with the lowest utilization.
+            targets_with_group = [
                 state
                 for number in table.group_destinations[name]
                 if (state := states.get(number)) is not None
@@ -274,11 +286,11 @@
                 and state.utilization < mean
                 and self._may_receive(now, number)
             ]
-            for target in (*with_group, least_utilized):
+            for target in (*targets_with_group, least_utilized):
                 added_load = load + (0.0 if target.has_group(name) else group_load)
                 utilization = (target.load + added_load) / target.capacity
                 if utilization > mean * self.settings.stop_ratio:
-                    continue  # it would be the next source, or be overloaded while it warms up
+                    continue  # the target would become a source, or be overloaded while it warms up
                 gain = source.utilization - max(
                     (source.load - load - group_load) / source.capacity, utilization
                 )
@@ -305,7 +317,7 @@
         group_load: float,
         gain: float,
     ) -> list[Move]:
-        """Move a group whole, even beyond the rates: a split group would cost both destinations."""
+        """Move a whole group, even beyond the rates of moves: a split group would add its cost to both."""
         part, joins = source.groups[group], target.has_group(group)
         connections, load = list(part.connections.values()), part.load
         source.load -= load + group_load
@@ -333,7 +345,10 @@
 def utilization_ratios(
     destinations: Collection[Destination], connections: Iterable[Connection], group_cost: float
 ) -> tuple[dict[int, float], int]:
-    """Each destination's utilization over the mean, and how many groups are split between destinations."""
+    """Each destination's ratio of utilization to the mean, and the number of groups that are split.
+
+    A group is split if it has connections at several destinations.
+    """
     loads: dict[int, float] = defaultdict(float)
     groups: dict[str, set[int]] = defaultdict(set)
     rows = list(connections)
--- a/snowwick/toml_reader.py
+++ b/snowwick/toml_reader.py
@@ -1,6 +1,6 @@
 """Reads operators' TOML files and collects every fault with its full key path.
 
-This module imports msgspec; the program imports it only where such a file is given.
+This module needs msgspec, so the program imports it only if such a file is given.
 """
 
 from __future__ import annotations
@@ -19,7 +19,10 @@
 
 
 class TomlReader:
-    """Reads one file; ``faults`` holds one line per fault, starting with the full key path."""
+    """Reads one file.
+
+    ``faults`` holds one line per fault; a fault at a key starts with the key's full path.
+    """
 
     def __init__(self) -> None:
         self.faults: list[str] = []
@@ -28,9 +31,9 @@
         self.faults.append(f"{path}: {text}")
 
     def parse(self, text: str, keys: set[str]) -> dict[str, Any]:
-        """The top-level table of a file with the given keys.
+        """The top-level table of a file, whose keys may be ``version`` and ``keys``.
 
-        Where the text is not TOML or not of version 1, the table is empty and this is the only fault.
+        If the text is not TOML or its version is not 1, the table is empty and this is the only fault.
         """
         try:
             raw = tomllib.loads(text)
@@ -52,10 +55,11 @@
         return raw
 
     def read_struct(self, path: str, raw: Any, struct: type[T]) -> T | None:
-        """Convert a table to a struct; None, with a fault added, where it does not fit."""
+        """Convert a table to a struct; adds a fault and returns None if the table does not fit."""
         try:
             return msgspec.convert(raw, struct)
         except msgspec.ValidationError as error:
+            # msgspec writes a message like "Expected `int` - at `$.guarantee.connections`".
             message, _, location = str(error).partition(" - at `$")
             keys = [path, *(key or index for key, index in re.findall(r"\.([^.`\[]+)|\[(\d+)\]", location))]
             field = re.search(r"(?:unknown|required) field `([^`]+)`", message)
@@ -66,7 +70,10 @@
             return None
 
     def read_table(self, raw: dict[str, Any], path: str, required: bool = False) -> dict[str, Any]:
-        """The table under the last key of ``path``; each of its keys has to be a valid name."""
+        """The table under the last key of ``path``, whose keys have to be names; empty if it is missing.
+
+        Adds a fault for each invalid name, for a value that is no table, and for a missing required table.
+        """
         value = raw.get(path.rpartition(".")[2], None if required else {})
         if not isinstance(value, dict):
             self.add_fault(path, "must be a table" if value is not None else "is missing")
@@ -78,7 +85,7 @@
 
 
 def float_values(raw: Any, path: str = "") -> Iterator[tuple[str, float]]:
-    """All floats of a parsed file, each with its key path."""
+    """All floats of a parsed file, as (key path, number)."""
     items = raw.items() if isinstance(raw, dict) else enumerate(raw) if isinstance(raw, list) else ()
     for key, value in items:
         value_path = f"{path}.{key}" if path else str(key)
