--- a/crowgap/policy.py
+++ b/crowgap/policy.py
@@ -18,10 +18,10 @@
 
 Cold and warm: a backend is cold until its warm-up, ``Settings.cold_time``, is over.  Its capacity rises
 during the warm-up, and it collapses when it is asked for ``fall_multiple`` times its present capacity for
-``overload_for`` ms, the overload window.  The cold budget is the mean number of setups from all balancers
-that overload it within this time.  The balancers decide independently of each other, so the number of setups
-that arrive from all of them has about a Poisson distribution around its mean, and the square root of the
-mean covers its spread.  ``Balancer._within_cold_limit`` applies this budget.
+``overload_for`` ms, the overload window.  The cold budget is the mean number of setups within this time, from
+all balancers together, that overloads it.  The balancers decide independently of each other, so the number of
+setups that arrive from all of them has about a Poisson distribution around its mean, and the square root of
+the mean covers its spread.  ``Balancer._within_cold_limit`` applies this budget.
 """
 
 from __future__ import annotations
@@ -101,8 +101,8 @@
 # may go there.
 COLD_BUDGET_FRACTION = 0.5
 
-# Eligible backends, best first, that are probed in one round, and from which one is chosen by probe time.  A
-# backend among as many first ranks of a group counts as ranked high for it.
+# Eligible backends, best first, that are probed in one round, and from which one is chosen by probe time.
+# Also the number of first ranks of a group whose backends count as ranked high for it.
 PROBES_PER_ROUND = 3
 # Backends with the oldest probe results that the first round probes as well.
 OLDEST_PROBES = 2
@@ -176,20 +176,21 @@
         self.probed_at = -math.inf  # when the last probe was answered or given up
         self.probed_load = -1.0  # load over capacity in the last answer to a probe, -1 if it had none
         # No new setup goes to the backend before ``avoid_until``, after failures or when it is full.
-        # ``last_failure_at`` is the last failure that counts in ``failure_count``.  ``relieved_at`` is when
-        # connections were last moved away because the backend was overloaded.
+        # ``last_failure_at`` is the last failure that counts in ``failure_count``.  ``slow_at`` is when the
+        # backend was last seen slow or full, or timed out.  ``relieved_at`` is when connections were last
+        # moved away because the backend was overloaded.
         self.avoid_until = self.last_failure_at = self.slow_at = self.relieved_at = -math.inf
         # ``failure_count`` counts failures in a row.  ``slowness`` is from 0 to 1: the message delay when
         # last seen slow over the target delay, or 1 after a timeout or a refusal.  ``rounding_offset`` is
         # random in [0, 1) and is added to this balancer's limit while the backend is cold: where the limit is
         # below 1, some balancers may send a flow there and others none.
         self.failure_count, self.slowness, self.rounding_offset = 0, 0.0, rounding_offset
-        self.leaving_since = math.inf  # when the list first said that it drains or is gone
+        self.leaving_since = math.inf  # when the list first showed it as draining or gone
         self.flows: dict[int, Flow] = {}  # pending attempts and open connections of this balancer
 
 
 class Group:
-    """One hash key: the first ranks of its ranking, and how much of this balancer's traffic it draws."""
+    """The requests with one group key: their first ranks, their plan and their traffic at this balancer."""
 
     def __init__(self, key_hash: int) -> None:
         self.hash = key_hash
@@ -475,7 +476,7 @@
         return group.top_ranks
 
     def _group_for(self, key: str) -> Group:
-        """Return the remembered group of a key, or a new one; without a key a group of its own."""
+        """Return the group of a key, remembered or new; an empty key gets a new one each time."""
         if not key:
             return Group(self.random.getrandbits(64) | 1)
         if len(self.groups) >= MAX_GROUPS:
@@ -682,7 +683,7 @@
         After an attempt that may have run, a repeat must be safe, or must arrive in time at a backend that
         recognises its idempotency key and drops it.
         """
-        request_class, attribute = (
+        request_class, scope_attribute = (
             flow.request_class,
             {
                 interface.DeduplicationScope.ALL: "",
@@ -699,8 +700,9 @@
                     self.now + self.settings.connect_timeout + self.settings.tick
                     < sent_at + request_class.deduplication_window
                     and (
-                        not attribute
-                        or getattr(first_backend.entry, attribute) == getattr(backend.entry, attribute)
+                        not scope_attribute
+                        or getattr(first_backend.entry, scope_attribute)
+                        == getattr(backend.entry, scope_attribute)
                     )
                     for first_backend, sent_at in flow.possible_executions
                 )
@@ -738,7 +740,8 @@
     def _on_existing_connection(self, event: interface.ExistingConnection) -> None:
         """Take over a connection from before this balancer's start; the backend may be in no list so far."""
         flow = self._create_flow(event, math.inf)
-        flow.attempt_count, flow.backend_id = 1, event.backend
+        flow.attempt_count = 1
+        flow.backend_id = event.backend
         self.backends.setdefault(
             event.backend, Backend(interface.BackendEntry(event.backend, interface.State.GONE))
         )
@@ -955,11 +958,9 @@
         """
         if backend := self.backends.get(event.backend):
             elapsed = event.elapsed if event.elapsed >= 0.0 else self.settings.connect_timeout
-            backend.weighted_probe_time, backend.probed_at, backend.probed_load = (
-                elapsed * backend.weight,
-                self.now,
-                event.load,
-            )
+            backend.weighted_probe_time = elapsed * backend.weight
+            backend.probed_at = self.now
+            backend.probed_load = event.load
         for flow in list(self.flows_awaiting_probes.values()):
             flow.awaited_probes.pop(event.backend, None)
             if not flow.awaited_probes:
