--- a/snowwick/fleet/file.py
+++ b/snowwick/fleet/file.py
@@ -19,7 +19,7 @@
 
 
 class FleetFileError(ValueError):
-    """The file cannot be used; ``faults`` has one line for each fault, which starts with its key path."""
+    """The file cannot be used; ``faults`` has one line per fault, which begins with a key path."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -31,21 +31,21 @@
 
     listen: Address
     key_file: str
-    seeds: list[Address]
-    address: Address | None = None  # at which others reach this balancer, if it is not ``listen``
-    old_key_file: str | None = None  # accepted from others as well, while keys are replaced
+    seeds: list[Address]  # members to join
+    address: Address | None = None  # where others reach this balancer, if not at ``listen``
+    old_key_file: str | None = None  # its key is also accepted from others, while keys are replaced
     period_ms: Annotated[float, msgspec.Meta(ge=20.0, le=5000.0)] = 200.0
-    routes: dict[str, Address] = {}  # member's address to the address that reaches it from here
+    routes: dict[str, Address] = {}  # by a member's address: the address to use instead from here
 
 
 class Share(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What this balancer publishes to the fleet and takes over from it."""
+    """What this balancer publishes to the other members and applies from them."""
 
     health: bool = True
     list: bool = True
     load: bool = True
     rights: bool = True
-    discovery: str = "discovery"  # list versions are compared between balancers with the same name here
+    discovery: str = "discovery"  # balancers with the same name here compare their list versions
 
 
 class FleetFile(msgspec.Struct, frozen=True):
@@ -53,12 +53,15 @@
 
     links: Links
     share: Share
-    keys: tuple[bytes, ...]  # the first one is for sending, all are accepted
-    digest: str  # of the settings that should be the same at all balancers; a difference is logged
+    keys: tuple[bytes, ...]  # frames are sent under the first one and accepted under any
+    digest: str  # of the settings that should be the same at all balancers, where differences are logged
 
 
 def _read_key(reader: TomlReader, path: str, name: str, folder: Path) -> bytes | None:
-    """Read a key file, which only its owner may be able to access; None where there is a fault."""
+    """Read a key file, which only this user may have access to; None where a fault was added.
+
+    ``path`` is the key path of the setting that names the file.
+    """
     file_path = folder / name
     try:
         with file_path.open("rb") as file:
@@ -79,9 +82,9 @@
 
 
 def parse(text: str, folder: Path) -> FleetFile:
-    """Validate a file's text; paths of key files are relative to ``folder``.
+    """Validate a file's text; the names of key files are relative to ``folder``.
 
-    Raises FleetFileError with every fault found.
+    Raises FleetFileError with all faults found.
     """
     reader = TomlReader()
     raw = reader.parse(text, {"links", "share"})
@@ -106,8 +109,9 @@
             reader.add_fault("links.old_key_file", "holds the same key as links.key_file")
     if reader.faults or links is None or share is None:
         raise FleetFileError(reader.faults)
-    common = repr((links.period_ms, msgspec.structs.astuple(share)))  # addresses differ between balancers
-    return FleetFile(links, share, tuple(keys), blake2b(common.encode(), digest_size=6).hexdigest())
+    # Without addresses and key files, which differ between balancers
+    common_settings = repr((links.period_ms, msgspec.structs.astuple(share)))
+    return FleetFile(links, share, tuple(keys), blake2b(common_settings.encode(), digest_size=6).hexdigest())
 
 
 def load(path: str | Path) -> FleetFile:
--- a/snowwick/fleet/members.py
+++ b/snowwick/fleet/members.py
@@ -21,36 +21,37 @@
 DEAD = 2
 LEFT = 3
 STATE_NAMES = ("alive", "suspect", "dead", "left")
-INDIRECT_PROBES = 3  # members that are asked to probe a silent one (SWIM's k)
+INDIRECT_PROBES = 3  # members that are asked to ping a member that did not answer (SWIM's k)
 ACK_TIMEOUT_FRACTION = 0.4  # of a probe period, after which a missing ack starts the indirect probes
-# Lifeguard's alpha: the shortest suspicion timeout is this many periods times log10 of the number of members
+# Lifeguard's alpha: the shortest suspicion timeout is this many probe periods, times log10 of the number of
+# members
 SUSPICION_FACTOR = 4.0
-# A process that is stopped for two seconds resumes in time to refute the suspicion
+# Long enough that a process that was stopped for two seconds can refute the suspicion
 MIN_SUSPICION_S = 3.0
 MAX_SUSPICION_FACTOR = 3.0  # Lifeguard's beta: the longest suspicion timeout over the shortest
-MAX_CONFIRMATIONS = 3  # confirmations that shorten the suspicion timeout from the longest to the shortest
-# Upper limit of the local health score; the probe period grows by up to this factor plus one
+MAX_CONFIRMATIONS = 3  # after this many at the latest, the suspicion timeout is the shortest one
+# Upper limit of the local health score; the probe period is multiplied by the score plus one
 MAX_LOCAL_HEALTH = 8
-# Pings to dead members by the whole fleet in a period, so that a healed partition is found soon
+# Pings that the whole fleet sends to dead members in a probe period, to detect a healed partition soon
 DEAD_PINGS_PER_PERIOD = 4.0
-DEAD_RETENTION_S = 600.0  # dead members stay on record longer than any frame can be delayed
+DEAD_RETENTION_S = 600.0  # of records of dead and left members; longer than any frame can be delayed
 RETRANSMIT_FACTOR = 3.0  # each member sends a change this many times log2 of the number of members
 
 
 @dataclass(slots=True)
 class MemberRecord:
-    """What this member has on record of one member."""
+    """The state of one member as recorded at this balancer; ``boot`` identifies the member's start."""
 
     name: str
     address: str
     incarnation: int
     boot: int
     state: int = ALIVE
-    state_since: float = 0.0
-    suspected_by: set[str] = field(default_factory=set)  # members that reported the suspicion
+    state_since: float = 0.0  # when the state was recorded, in seconds
+    suspected_by: set[str] = field(default_factory=set)  # members that reported the current suspicion
 
     def member(self) -> Member:
-        """The record as it is sent in frames."""
+        """The record as a membership update, which is sent in frames."""
         return Member(self.name, self.address, self.incarnation, self.state, self.boot)
 
 
@@ -60,45 +61,45 @@
 
     name: str
     number: int
-    indirect_at: float  # when the indirect probes start
-    fails_at: float  # when the probe has failed
-    # Members that were asked for an indirect probe and have answered with neither ack nor nack
+    indirect_at: float  # when the indirect probes start; infinite once they have
+    fails_at: float  # when the probe fails unless an ack has come
+    # Members asked for an indirect probe that have sent neither ack nor nack
     pending_helpers: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class MemberChange:
-    """A change of a member's state on record; ``previous_state`` is -1 for a new member."""
+    """A recorded change of a member's state or start; ``previous_state`` is -1 for a new member."""
 
     member: Member
     previous_state: int
 
 
 class Membership:
-    """The members on record at one member, and its probes."""
+    """The membership as one member, the local one, has recorded it, and the probes of that member."""
 
     def __init__(
         self, name: str, address: str, incarnation: int, boot: int, period_s: float, rng: random.Random
     ) -> None:
-        """``boot`` is a random number of this start; ``period_s`` is the probe period."""
+        """``boot`` is a random number that identifies this start; ``period_s`` is the probe period."""
         self.rng, self.period_s = rng, period_s
         self.local = MemberRecord(name, address, incarnation, boot)
         self.records: dict[str, MemberRecord] = {}
-        self.probe_order: list[str] = []  # the rest of the current round, taken from the end
+        self.probe_order: list[str] = []  # members still to probe in this round, the next one last
         self.active_probe: ActiveProbe | None = None
-        self.next_probe = 0.0
-        self.local_health = 0  # Lifeguard's score: 0 is healthy, higher slows down the own probes
+        self.next_probe = 0.0  # when the next probe is due; 0 before the first one
+        self.local_health = 0  # Lifeguard's score: 0 is healthy, a higher one slows down probing
         self.last_probe_number = 0
-        # Members whose state is still to gossip, and how often it was sent
+        # Members whose state is queued for gossip, and how often it was sent
         self.gossip_queue: dict[str, int] = {}
         self.changes: list[MemberChange] = []
-        # Indirect probes made for others, by own number: the requester, its number, and the deadline
+        # Indirect probes made for others, by probe number: the requester, its probe number and the deadline
         self.relayed_probes: dict[int, tuple[str, int, float]] = {}
 
     # -- reading -----------------------------------------------------------------------------------------
 
     def alive(self) -> list[MemberRecord]:
-        """All other members that are neither dead nor gone; suspected ones are included."""
+        """All other members that are alive or suspected."""
         return [record for record in self.records.values() if record.state <= SUSPECT]
 
     def is_member(self, name: str) -> bool:
@@ -118,17 +119,19 @@
         return max(1.0, math.log2(2 + len(self.alive())))
 
     def suspicion_timeout(self, record: MemberRecord) -> float:
-        """Seconds until a suspicion declares its member dead; each confirmation shortens it."""
+        """Seconds from a suspicion until the member is declared dead; each confirmation shortens it."""
         size = len(self.alive()) + 1
         shortest = SUSPICION_FACTOR * max(1.0, math.log10(max(size, 1))) * self.period_s
         shortest, longest = (
             max(shortest, MIN_SUSPICION_S),
             max(MAX_SUSPICION_FACTOR * shortest, MIN_SUSPICION_S),
         )
-        expected = max(1, min(MAX_CONFIRMATIONS, size - 2))
-        confirmations = min(len(record.suspected_by) - 1, expected)
+        expected_confirmations = max(1, min(MAX_CONFIRMATIONS, size - 2))
+        confirmations = min(len(record.suspected_by) - 1, expected_confirmations)
         return max(
-            shortest, longest - (longest - shortest) * math.log(confirmations + 1) / math.log(expected + 1)
+            shortest,
+            longest
+            - (longest - shortest) * math.log(confirmations + 1) / math.log(expected_confirmations + 1),
         )
 
     # -- updates -----------------------------------------------------------------------------------------
@@ -159,7 +162,7 @@
             self._set_state(update, now, source)
 
     def _set_state(self, update: Member, now: float, source: str) -> None:
-        """Replace a member's record, gossip it and note the change."""
+        """Replace a member's record, queue it for gossip, and add a ``MemberChange``."""
         old = self.records.get(update.name)
         previous_state = old.state if old is not None else -1
         suspected_by = {source} if update.state == SUSPECT else set()
@@ -173,27 +176,28 @@
             self.changes.append(MemberChange(update, previous_state))
 
     def _receive_update_of_self(self, update: Member) -> None:
-        """Refute an update that says that the local member is suspected, dead or has another start."""
+        """Raise the local incarnation where an update contradicts the local member's state or start."""
         local = self.local
         if update.boot != local.boot:
-            # An earlier start of this balancer, or another process with its name.  In both cases the own
-            # incarnation has to be the higher one.  A ping finds out whether the other still runs (node.py).
+            # The update is about an earlier start of this balancer, or about another process with its name.
+            # In both cases the local incarnation has to be the higher one.  A ping shows whether the other
+            # process still runs (node.py).
             if update.state <= SUSPECT or update.incarnation >= local.incarnation:
                 local.incarnation = max(local.incarnation, update.incarnation + 1)
                 self.gossip_queue[local.name] = 0
             return
         if update.state != ALIVE and update.incarnation >= local.incarnation and local.state == ALIVE:
-            local.incarnation = update.incarnation + 1  # refuted
+            local.incarnation = update.incarnation + 1  # refutes the update
             self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
             self.gossip_queue[local.name] = 0
 
     def record_contact(self, name: str, address: str, incarnation: int, boot: int, now: float) -> None:
-        """Record that a frame came from a member, which proves that it is alive."""
+        """Record that a frame has come from a member, which shows that the member is alive."""
         if name != self.local.name:
             self.receive_update(Member(name, address, incarnation, ALIVE, boot), name, now)
 
     def leave(self) -> None:
-        """Mark the local member as left, and gossip it."""
+        """Mark the local member as left, and queue that for gossip."""
         self.local.state = LEFT
         self.gossip_queue[self.local.name] = 0
 
@@ -203,6 +207,7 @@
         """Yield the frames to send now as (action, receiver, probe number) and expire old states.
 
         The action ``ping`` pings the receiver; ``ask`` asks it for an indirect probe of the probed member.
+        The number 0 belongs to no probe.
         """
         self._expire_states(now)
         probe = self.active_probe
@@ -244,7 +249,7 @@
         return min(times)
 
     def _next_probe_target(self) -> str | None:
-        """The next member to probe: each once per round, in an order that is shuffled anew (SWIM 4.3)."""
+        """The next member to probe: each once per round, in random order (SWIM 4.3)."""
         while self.probe_order:
             name = self.probe_order.pop()
             if name in self.records and self.records[name].state <= SUSPECT:
@@ -254,7 +259,7 @@
         return self.probe_order.pop() if self.probe_order else None
 
     def _expire_states(self, now: float) -> None:
-        """Declare members dead whose suspicion has timed out, and remove dead members after a while."""
+        """Declare members dead whose suspicion has timed out, and remove old records of dead or left ones."""
         for record in list(self.records.values()):
             if record.state == SUSPECT and now >= record.state_since + self.suspicion_timeout(record):
                 self._set_state(
@@ -267,19 +272,19 @@
                 self.gossip_queue.pop(record.name, None)
 
     def probe_acked(self, number: int) -> None:
-        """Record the ack of the active probe, direct or through another member."""
+        """Record an ack of the active probe, from the probed member or through a helper."""
         if self.active_probe is not None and number == self.active_probe.number:
             self.active_probe = None
             self.local_health = max(0, self.local_health - 1)
 
     def probe_nacked(self, number: int, helper: str) -> None:
-        """Record that a helper got no ack either, which shows that the local member is not at fault."""
+        """Record that a helper got no ack either, so the local member's link is not the cause."""
         if self.active_probe is not None and number == self.active_probe.number:
             self.active_probe.pending_helpers.discard(helper)
 
     def _probe_failed(self, probe: ActiveProbe, now: float) -> None:
         """Suspect the probed member, or confirm its suspicion."""
-        # A helper that sent neither ack nor nack suggests that the local member is at fault (LHA-Probe)
+        # Where a helper sent neither ack nor nack, the local member may be at fault (Lifeguard's LHA-Probe)
         self.local_health = (
             min(MAX_LOCAL_HEALTH, self.local_health + 1) if probe.pending_helpers else self.local_health
         )
@@ -297,7 +302,10 @@
     # -- gossip ------------------------------------------------------------------------------------------
 
     def members_to_gossip(self) -> Iterable[Member]:
-        """The queued updates, the least often sent first; the caller counts with ``count_transmission``."""
+        """The queued updates, the least often sent first.
+
+        The caller takes what fits a frame and calls ``count_transmission`` for each update that it sends.
+        """
         max_transmissions = math.ceil(RETRANSMIT_FACTOR * self.log2_size())
         for name in [name for name, sent in self.gossip_queue.items() if sent >= max_transmissions]:
             del self.gossip_queue[name]
--- a/snowwick/fleet/registers.py
+++ b/snowwick/fleet/registers.py
@@ -1,7 +1,7 @@
-"""The kinds of registers, their values, and what follows from the registers of all balancers.
+"""The kinds of registers and their values, and functions that combine the registers of all balancers.
 
 Each register has one writer, so the reports of several members about one destination or limit are separate
-registers; the functions here combine them.  A value that cannot be decoded is ignored.
+registers.  A value that cannot be decoded is ignored.  Times are in seconds on the local clock.
 """
 
 from __future__ import annotations
@@ -28,35 +28,35 @@
 KIND_NAMES = {HEALTH: "health", LIST: "list", LOAD: "load", RIGHTS: "rights", REVISION: "revision"}
 
 # Verdicts on a destination, as they are sent in health registers
-HANGING = 1
-FAILING = 2
+HANGING = 1  # the destination does not answer
+FAILING = 2  # several route steps in a row have failed
 SERVING = 0  # contradicts another member's verdict: the destination serves clients of the writer
-VERDICT_LIFETIME_S = 6.0  # for which a verdict is acted on unless its writer renews it
-# This many failed route steps in a row within this time make a destination a failing one
-FAILURES_FOR_VERDICT = 3
-FAILURE_WINDOW_S = 5.0
-# A member that reports a larger fraction of the destinations as bad is taken to be at fault itself
+VERDICT_LIFETIME_S = 6.0  # how long a verdict is acted on unless its writer renews it
+FAILURES_FOR_VERDICT = 3  # failed route steps in a row, after which the verdict is ``FAILING``
+FAILURE_WINDOW_S = 5.0  # a failure this long after the one before begins a new series
+# The verdicts of a member that reports a larger fraction of the destinations as bad are ignored
 MAX_BAD_FRACTION = 0.25
-RECENTLY_SERVED_S = 0.5  # verdicts are ignored this long after the destination last served a client here
-LOAD_CHUNKS = 4  # registers that a balancer's counts are split over: a change sends only a quarter of them
-LIMITS_PER_REGISTER = 12  # limits of a revision in one register
-MAX_LEAVING = 100  # destinations named in the list register at most, the newest first
+# How long verdicts are ignored after the destination last served a client of this balancer
+RECENTLY_SERVED_S = 0.5
+LOAD_CHUNKS = 4  # registers that hold a balancer's connection counts; a change sends only one of them
+LIMITS_PER_REGISTER = 12  # contract limits in one revision register
+MAX_LEAVING = 100  # destinations in ``DiscoveryState.leaving``; the last ones of the list are kept
 
 
 class DiscoveryState(msgspec.Struct, array_like=True, frozen=True):
-    """What a member has of discovery's list."""
+    """A list register: the version of discovery's list at a member, and what it drains."""
 
     source: str  # the name of the discovery
     version: int
-    leaving: list[int]  # destinations that clients have to leave
+    leaving: list[int]  # ids of the destinations that are not ready, and that clients have to leave
 
 
 class Revision(msgspec.Struct, array_like=True, frozen=True):
-    """The digests of a member's fleet and contract files, and the contracts' limits."""
+    """A revision register: digests of a member's fleet file and contracts, and the contracts' limits."""
 
     fleet_digest: str
     contracts_digest: str = ""
-    limits: dict[str, float] = {}  # over the whole fleet, by name of the budget
+    limits: dict[str, float] = {}  # of the whole fleet, by name of the budget
 
 
 T = TypeVar("T")
@@ -76,13 +76,13 @@
 
 
 class RegisterView:
-    """Reads the registers of other members; registers of members that are gone are ignored."""
+    """Reads the registers of the other members, without those of members that have died or left."""
 
     def __init__(self, store: Store, members: Membership) -> None:
         self.store, self.members = store, members
 
     def valid_entries(self, kind: int, now: float) -> Iterator[tuple[Entry, bytes]]:
-        """The other members' registers of a kind that may be acted on, with their values."""
+        """The other members' registers of a kind that may still be acted on, with their encoded values."""
         for stored in self.store.live_entries(kind):
             entry = stored.entry
             if (
@@ -94,7 +94,7 @@
                 yield entry, entry.value
 
     def decoded(self, kind: int, value_type: type[T], now: float) -> Iterator[tuple[str, str, T]]:
-        """(owner, key, value) of the registers of a kind that can be decoded."""
+        """Yield (owner, key, value) for the other members' registers of a kind."""
         for entry, data in self.valid_entries(kind, now):
             value = unpack(data, value_type)
             if value is not None:
@@ -103,7 +103,7 @@
     # -- health ------------------------------------------------------------------------------------------
 
     def verdicts(self, destination_count: int, now: float) -> dict[int, tuple[set[str], set[str]]]:
-        """By destination, the members that report it as bad and those that it serves.
+        """By destination, the members that report it as hanging or failing, and those that it serves.
 
         A member that reports more than one destination and more than ``MAX_BAD_FRACTION`` of all
         ``destination_count`` is more likely cut off itself, and its verdicts are ignored.
@@ -127,7 +127,7 @@
     # -- list --------------------------------------------------------------------------------------------
 
     def leaving(self, source: str, version: int, now: float) -> set[int]:
-        """The destinations to leave by lists of the same discovery that are newer than this version."""
+        """The destinations drained by other members' lists of a discovery that are newer than ``version``."""
         return {
             destination
             for _, _, state in self.decoded(LIST, DiscoveryState, now)
@@ -138,7 +138,7 @@
     # -- load --------------------------------------------------------------------------------------------
 
     def connections_elsewhere(self, now: float) -> Counter[int]:
-        """The connections, established or in setup, of all other members at each destination."""
+        """The other members' connections, established or in setup, at each destination."""
         total: Counter[int] = Counter()
         for _, _, counts in self.decoded(LOAD, dict[int, int], now):
             total.update({destination: count for destination, count in counts.items() if 0 < count < 1 << 31})
@@ -151,8 +151,8 @@
     ) -> tuple[dict[str, dict[str, tuple[int, LeaseRequest]]], list[tuple[str, int, str, Grant]]]:
         """The other members' lease requests, and their grants to this balancer.
 
-        Requests are by budget and borrower, each with the borrower's start.  Grants are (lender, the lender's
-        start, budget, grant).
+        Requests are by budget and borrower, each with the borrower's epoch.  Grants are (lender, lender's
+        epoch, budget, grant).
         """
         requests: dict[str, dict[str, tuple[int, LeaseRequest]]] = defaultdict(dict)
         grants: list[tuple[str, int, str, Grant]] = []
@@ -169,18 +169,18 @@
     # -- revisions ---------------------------------------------------------------------------------------
 
     def revisions(self, now: float) -> dict[str, Revision]:
-        """The other members' revisions; the limits of a long one are merged from several registers."""
+        """The other members' revisions, each merged from all its registers."""
         revisions: dict[str, Revision] = {}
         for owner, _, part in sorted(self.decoded(REVISION, Revision, now), key=lambda row: row[1]):
-            merged = revisions.get(owner, part)
+            earlier_parts = revisions.get(owner, part)
             revisions[owner] = Revision(
-                part.fleet_digest, part.contracts_digest, {**merged.limits, **part.limits}
+                part.fleet_digest, part.contracts_digest, {**earlier_parts.limits, **part.limits}
             )
         return revisions
 
 
 def stricter_limits(own: Revision, others: Mapping[str, Revision]) -> dict[str, float]:
-    """The lowest limits of balancers with other contracts, where they are below this balancer's own.
+    """By budget, the lowest limit of balancers with other contracts, where it is below the own limit.
 
     Empty where all balancers have the same contracts.
     """
@@ -194,60 +194,64 @@
 
 
 def load_chunk(destination: int) -> int:
-    """The number of the load register that holds a destination's count."""
+    """The number of the load register that holds a destination's connection count."""
     return destination % LOAD_CHUNKS
 
 
 @dataclass(slots=True)
 class DestinationHealth:
-    """What this balancer's own traffic shows of a destination; times in seconds."""
+    """What this balancer's own traffic shows about a destination."""
 
     last_served: float = -math.inf  # when it last served a client of this balancer
-    last_failed: float = -math.inf
+    last_failed: float = -math.inf  # when a route step to it last failed
     first_failed: float = -math.inf  # when the current series of failures began
-    failures: int = 0  # in the current series
+    failures: int = 0  # number of failed route steps in the current series
 
 
 @dataclass(slots=True)
 class HealthTracker:
-    """This balancer's verdicts on destinations, and the destinations it avoids by others' verdicts.
-
-    All balancers act on one member's verdict, since otherwise each of them would lose a client to a hanging
-    destination before it finds out.  A verdict is ignored by a balancer whose clients the destination serves,
-    where at least as many members report that they are served, and where its writer reports a large part of
-    all destinations.  A member that is served publishes that, which ends the verdict everywhere.  Once a
-    verdict expires the balancers try the destination again at different times.
+    """This balancer's verdicts, and the destinations that it avoids on other members' verdicts.
+
+    All balancers act on one member's verdict, since otherwise each of them would route a client to a hanging
+    destination before it detects that.  A balancer ignores a verdict if the destination serves its own
+    clients, if at least as many members report that it serves theirs as report it as bad, or if the verdict's
+    writer reports a large part of all destinations.  A balancer whose clients are served publishes
+    ``SERVING``, which ends one member's verdict everywhere.  Once a verdict has expired, the balancers try
+    the destination again at different times.
     """
 
     name: str  # of this balancer
     destinations: dict[int, DestinationHealth] = field(default_factory=dict)
-    own_verdicts: dict[int, tuple[int, float]] = field(default_factory=dict)  # verdict and when it was made
-    avoided_until: dict[int, float] = field(default_factory=dict)
+    # The verdict on each destination, and when it was made
+    own_verdicts: dict[int, tuple[int, float]] = field(default_factory=dict)
+    avoided_until: dict[int, float] = field(default_factory=dict)  # by destination
 
     def record_served(self, destination: int, now: float) -> None:
-        """Record that a destination served a client of this balancer; ends an own verdict."""
+        """Record that a destination served a client of this balancer, and drop the own verdict on it."""
         health = self.destinations.setdefault(destination, DestinationHealth())
-        health.last_served, health.failures = now, 0
+        health.last_served = now
+        health.failures = 0
         self.own_verdicts.pop(destination, None)
 
     def record_hanging(self, destination: int, now: float) -> None:
-        """Record that a destination answers none of this balancer's requests."""
+        """Make the verdict ``HANGING``, as a destination answers none of this balancer's requests."""
         self.own_verdicts[destination] = HANGING, now
 
     def record_failure(self, destination: int, timed_out: bool, now: float) -> None:
-        """Record a failed route step."""
+        """Record a failed route step; makes a verdict after a time-out or several failures in a row."""
         health = self.destinations.setdefault(destination, DestinationHealth())
         if now - health.last_failed > FAILURE_WINDOW_S:
-            health.failures, health.first_failed = 0, now
+            health.failures = 0
+            health.first_failed = now
         health.last_failed, health.failures = now, health.failures + 1
         if timed_out and health.last_served < now - VERDICT_LIFETIME_S:
-            # One time-out is enough where the destination has served nobody for a while
+            # One time-out is enough where the destination has not served a client for a while
             self.own_verdicts[destination] = HANGING, now
         elif health.failures >= FAILURES_FOR_VERDICT:
             self.own_verdicts[destination] = FAILING, now
 
     def forget(self, known: Callable[[int], bool]) -> None:
-        """Forget destinations that are not in discovery's list any more."""
+        """Drop the state of destinations for which ``known`` returns False."""
         for table in (self.destinations, self.own_verdicts, self.avoided_until):
             for destination in [destination for destination in table if not known(destination)]:
                 del table[destination]
@@ -255,9 +259,9 @@
     def verdicts_to_publish(
         self, verdicts: Mapping[int, tuple[set[str], set[str]]], now: float
     ) -> dict[int, int]:
-        """Own verdicts that have not expired, and ``SERVING`` where others' verdicts are contradicted.
+        """The verdict to publish on each destination: own ones, and ``SERVING`` to contradict others'.
 
-        ``verdicts`` are those of the other members, as ``RegisterView.verdicts`` returns them.
+        ``verdicts`` are those of the other members, as returned by ``RegisterView.verdicts``.
         """
         self.own_verdicts = {
             destination: verdict
@@ -275,7 +279,7 @@
         return published
 
     def update_avoided(self, verdicts: Mapping[int, tuple[set[str], set[str]]], now: float) -> list[int]:
-        """Apply the other members' verdicts; returns the destinations to avoid now."""
+        """Apply the other members' verdicts; returns the destinations to avoid now, in order."""
         for destination, (bad, served) in verdicts.items():
             last_served = (
                 self.destinations[destination].last_served if destination in self.destinations else -math.inf
@@ -285,7 +289,7 @@
                 and len(bad) > len(served)
                 and now - last_served >= RECENTLY_SERVED_S
             ):
-                # Avoided for longer than the verdict by a time that differs between balancers
+                # Avoided beyond the verdict's end, for a time that differs between balancers
                 self.avoided_until[destination] = (
                     now + VERDICT_LIFETIME_S * (hash_text(self.name, destination) % 1000) / 1000.0
                 )
--- a/snowwick/fleet/wire.py
+++ b/snowwick/fleet/wire.py
@@ -1,8 +1,10 @@
 """The frames between balancers: msgpack messages with a keyed digest, one per UDP datagram.
 
 A datagram is one byte of version, 16 bytes of BLAKE2b keyed with the fleet's key, and the message.  The
-digest covers the version and the message.  A datagram that cannot be verified as a fresh frame of a member
-for this start of this balancer raises only ``FrameDropped``, with a reason code.
+digest covers the version and the message.  For a datagram that is not authentic, valid and fresh, the
+functions here raise ``FrameDropped`` with a reason code, and no other exception.
+
+See node.py for the terms boot number, epoch, incarnation and owner.
 """
 
 from __future__ import annotations
@@ -19,13 +21,13 @@
 # A frame fits one Ethernet packet: were it split, the loss of one fragment would lose the whole frame
 MAX_FRAME_BYTES = 1400
 REPLAY_WINDOW_FRAMES = 256  # how far frames of one sender may arrive out of order (RFC 4303, 3.4.3)
-# Senders with a replay window: far more than any fleet has, but a bound on the memory that a holder of the
-# key can use up with invented names
+# Senders with a replay window: far more than any fleet has, but it bounds the memory that a holder of the key
+# can use up with invented names
 MAX_SENDERS = 4096
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """A membership update; ``state`` as in members.py, ``boot`` is a random number of each start."""
+    """A membership update; ``state`` is one of the numbers in members.py, ``boot`` the boot number."""
 
     name: str
     address: str
@@ -38,8 +40,8 @@
     """One version of a register; only its owner writes it, and the highest (epoch, seq) wins.
 
     A ``value`` of None is a tombstone.  ``timestamp`` is from the owner's hybrid logical clock.
-    ``remaining_ms`` is how long the value may still be acted on (0: as long as its owner is a member); each
-    member subtracts the time that it held the entry before it sends it.
+    ``remaining_ms`` is how long the value may still be acted on (0: as long as its owner is a member); a
+    member that forwards the entry subtracts the time since it received it.
     """
 
     owner: str
@@ -55,7 +57,7 @@
 class Ping(msgspec.Struct, array_like=True, tag=1):
     """Asks the receiver for an ``Ack``.
 
-    ``suspected`` informs the receiver at once that it is suspected (Lifeguard's buddy system).
+    ``suspected`` states that the sender suspects the receiver (Lifeguard's buddy system).
     """
 
     number: int
@@ -63,7 +65,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, tag=2):
-    """Answers a ``Ping`` with the number of that ping."""
+    """Answers a ``Ping``, or a ``PingReq`` whose member answered, with its number."""
 
     number: int
 
@@ -71,7 +73,7 @@
 class PingReq(msgspec.Struct, array_like=True, tag=3):
     """Asks the receiver to ping the member ``name``.
 
-    The receiver sends an ``Ack`` when that member answers, or a ``Nack`` before the probe's time runs out.
+    The receiver sends an ``Ack`` when that member answers, or a ``Nack`` before the probe fails.
     """
 
     number: int
@@ -79,7 +81,7 @@
 
 
 class Nack(msgspec.Struct, array_like=True, tag=4):
-    """Answers a ``PingReq`` whose member was silent; it shows the requester that its own link works."""
+    """Answers a ``PingReq`` whose member did not answer; it shows the requester that its own link works."""
 
     number: int
 
@@ -108,8 +110,8 @@
 class VersionVector(msgspec.Struct, array_like=True, tag=7):
     """Summaries of some owners; ``wants_reply`` asks for the receiver's summaries of the same owners.
 
-    The summaries are all that the sender has in ``ranges``, of ``range_count`` ranges of owners.  ``ranges``
-    is empty where not all summaries had room.
+    Owners are split into ``range_count`` ranges.  The summaries include all owners that the sender has in
+    ``ranges``, which is empty where not all of them fit the frame.
     """
 
     summaries: list[OwnerSummary]
@@ -121,7 +123,7 @@
 class PullRequest(msgspec.Struct, array_like=True, tag=8):
     """Asks for an owner's entries above the sequence number ``after``.
 
-    In a ``full`` transfer the requester removes the entries that it does not receive.
+    After a ``full`` pull the requester removes the owner's entries that it did not receive.
     """
 
     owner: str
@@ -131,7 +133,10 @@
 
 
 class PullReply(msgspec.Struct, array_like=True, tag=9):
-    """All live entries of one owner in (``after``, ``up_to``], in the order of ``seq``."""
+    """The entries of one owner with sequence numbers in (``after``, ``up_to``], in order.
+
+    Removed and replaced entries are missing.  ``more`` states that further entries follow.
+    """
 
     summary: OwnerSummary
     after: int
@@ -142,18 +147,18 @@
 
 
 class Gossip(msgspec.Struct, array_like=True, tag=10):
-    """An empty body, for a frame that only carries membership updates and entries."""
+    """An empty body, for a frame that carries only membership updates and entries."""
 
 
 class StatusRequest(msgspec.Struct, array_like=True, tag=11):
-    """An operator's tool asks for one part of the status; the reply repeats ``number`` and ``part``."""
+    """Requests one part of the status, for an operator's tool; the reply repeats both fields."""
 
     number: int
     part: int
 
 
 class StatusReply(msgspec.Struct, array_like=True, tag=12):
-    """One of ``part_count`` parts of the status, a JSON text."""
+    """One of ``part_count`` parts of the status, which together are a JSON text."""
 
     number: int
     part: int
@@ -175,14 +180,15 @@
     | StatusRequest
     | StatusReply
 )
-# Bodies accepted from senders that do not know the receiver's boot yet; updates in such frames are ignored
+# Bodies accepted in frames without the receiver's boot number; updates in such frames are ignored
 BODIES_WITHOUT_BOOT = (Ping, Ack, StatusRequest)
 
 
 class Frame(msgspec.Struct, array_like=True):
-    """One message; ``receiver_boot`` is 0 where the sender does not know the receiver's boot yet.
+    """One message, with the sender's name, address, incarnation and boot number.
 
-    ``seq`` numbers the sender's frames against replays.  ``members`` and ``entries`` are gossip.
+    ``receiver`` is empty and ``receiver_boot`` is 0 where the sender does not have them yet.  ``seq`` counts
+    the sender's frames, so that replayed ones are detected.  ``members`` and ``entries`` are gossip.
     """
 
     sender: str
@@ -202,7 +208,7 @@
 
 
 class FrameDropped(Exception):
-    """The frame is invalid or not fresh; ``reason`` is the code under which it is counted."""
+    """The frame is not accepted; ``reason`` is the code under which it is counted."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -215,12 +221,12 @@
 
 
 def keyed_digest(key: bytes, data: bytes) -> bytes:
-    """The BLAKE2b digest of ``data`` under a key."""
+    """The digest of ``data``, keyed BLAKE2b."""
     return blake2b(data, digest_size=DIGEST_BYTES, key=key).digest()
 
 
 def seal(frame: Frame, key: bytes) -> bytes:
-    """Encode a frame as a datagram with its digest under a key."""
+    """Encode a frame as a datagram, with its digest under the key."""
     data = bytes([VERSION]) + ENCODER.encode(frame)
     return data[:1] + keyed_digest(key, data) + data[1:]
 
@@ -245,7 +251,7 @@
 class ReplayWindow:
     """The sequence numbers received from one start of a sender.
 
-    Holds the highest number and a bit for each of the last ``REPLAY_WINDOW_FRAMES`` numbers.
+    Bit n of ``seen_bits`` stands for the number ``highest - n``, up to ``REPLAY_WINDOW_FRAMES`` numbers.
     """
 
     boot: int
@@ -254,7 +260,7 @@
     seen_bits: int = 0
 
     def accept(self, seq: int) -> bool:
-        """Whether a number is new; numbers older than the window count as received."""
+        """Record a number; returns whether it is new.  Numbers below the window count as received."""
         if seq > self.highest:
             self.seen_bits = (self.seen_bits << min(seq - self.highest, REPLAY_WINDOW_FRAMES) | 1) & (
                 (1 << REPLAY_WINDOW_FRAMES) - 1
@@ -270,18 +276,20 @@
 
 @dataclass(slots=True)
 class ReplayFilter:
-    """Accepts each frame once.
+    """Accepts each frame at most once, and only at the start of the balancer that it was sent to.
 
-    A frame is valid only for the start of the balancer that it was sent to.  A sender that restarts has a
-    higher incarnation, so frames of its earlier starts are not accepted again.
+    A sender that restarts has a higher incarnation, so frames of its earlier starts are not accepted again.
     """
 
-    name: str
-    boot: int
-    windows: dict[str, ReplayWindow] = field(default_factory=dict)
+    name: str  # of this balancer
+    boot: int  # of this balancer
+    windows: dict[str, ReplayWindow] = field(default_factory=dict)  # by sender
 
     def check(self, frame: Frame) -> None:
-        """Raise FrameDropped for a frame that is for another receiver, replayed, or of too many senders."""
+        """Raise FrameDropped where a frame is for another receiver, replayed, or from one sender too many.
+
+        Clears the updates of a frame without the receiver's boot number.
+        """
         if frame.receiver not in (self.name, ""):
             raise FrameDropped("for-another")
         if frame.receiver_boot not in (0, self.boot):
@@ -292,7 +300,7 @@
             frame.members = []
             frame.entries = []
         if isinstance(frame.body, StatusRequest):
-            return  # sent by a tool, which is no member; a replayed request changes nothing
+            return  # sent by a tool, which is not a member; a replayed request does no harm
         window = self.windows.get(frame.sender)
         if window is None or frame.boot != window.boot:
             if window is not None and frame.incarnation <= window.incarnation:
--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -1,9 +1,9 @@
 """The fleet link: the actor that runs a fleet node on a UDP socket and connects it with the balancer.
 
-It publishes the balancer's health verdicts, list, loads, lease requests and revisions as registers, and
-applies those of the other members.  Loaded only where a fleet file is given.  UDP keeps a slow or stopped
-member from delaying others: a datagram that the socket does not accept at once is lost, and anti-entropy
-repairs the loss.
+It publishes the balancer's health verdicts, list version, connection counts, lease requests, grants and
+revision as registers, and applies those of the other members.  The module is loaded only where a fleet file
+is given.  UDP keeps a slow or stopped member from delaying others: a datagram that the socket does not accept
+at once is lost, and anti-entropy repairs the loss.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
     from snowwick.net.contracts import ContractStage
     from snowwick.net.host import FleetHost
 
-# After this many datagrams in one turn of the loop the socket is not read for a pause, which limits what a
-# flood of invalid datagrams costs
+# After this many datagrams in one turn of the loop the socket is not read for ``READ_PAUSE_S``, which limits
+# the cost of a flood of invalid datagrams
 DATAGRAMS_PER_TURN = 16
 READ_PAUSE_S = 0.005
-MAX_READ_BYTES = 2048  # of one datagram; frames are shorter, and longer datagrams are dropped in any case
-RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket; the replies of a full transfer come in bursts
-SHARE_INTERVAL_S = 0.25  # between updates of the own registers, which also apply those of other members
-DROP_LOG_INTERVAL_S = 10.0  # between log lines about dropped frames
+MAX_READ_BYTES = 2048  # of one datagram; longer than any frame, and longer datagrams are dropped in any case
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket; the replies of a full pull come in bursts
+SHARE_INTERVAL_S = 0.25  # between calls of ``share_state``
+DROP_LOG_INTERVAL_S = 10.0  # least time between log lines about dropped frames
 FAILED_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
 
 
@@ -75,15 +75,15 @@
         self.published_verdicts: dict[int, tuple[int, float]] = {}
         # Destinations drained at this balancer because another member's newer list drains them
         self.leaving: frozenset[int] = frozenset()
-        self.next_share = self.next_drop_log = 0.0
-        self.logged_drops = 0  # frames dropped up to the last log line
-        self.has_left = False  # has left the fleet; the balancer serves on its own
+        self.next_share = self.next_drop_log = 0.0  # times on the loop's clock
+        self.logged_drops = 0  # number of dropped frames up to the last log line about them
+        self.has_left = False  # has left the fleet; the balancer continues to serve on its own
         self.differing_members: frozenset[str] = frozenset()  # members with another revision
-        self.leases: Leases | None = None
+        self.leases: Leases | None = None  # None until rights are shared
         self.contracts: Contracts | None = None  # the contracts that ``revision`` describes
         self.revision, self.revision_part_count = Revision(file.digest), 0
-        self.next_demand_measurement = 0.0
-        self.budget_usage: dict[str, float] = {}
+        self.next_demand_measurement = 0.0  # time on the loop's clock
+        self.budget_usage: dict[str, float] = {}  # amount in use of each budget, as last measured
 
     @staticmethod
     def wall_ms() -> float:
@@ -125,24 +125,24 @@
                 self.sock.close()
 
     def read_datagrams(self) -> bool:
-        """Process the datagrams that have arrived; True where there may be more."""
+        """Process the datagrams that have arrived; returns True where there may be more."""
         now = self.loop.clock()
         for _ in range(DATAGRAMS_PER_TURN):
             try:
                 datagram, source = self.sock.recvfrom(MAX_READ_BYTES)
-            except OSError:  # no datagram, or the error report of one that was not delivered
+            except OSError:  # no datagram, or an error report about one that was sent earlier
                 return False
             self.node.receive(datagram, now, f"{source[0]}:{source[1]}")
         return True
 
     def send_datagrams(self) -> None:
-        """Send what the node has queued."""
+        """Send the datagrams that the node has queued."""
         routes = self.file.links.routes
         for address, datagram in self.node.take_datagrams():
             # A datagram that the socket does not accept is lost; invalid addresses of members are ignored
             with contextlib.suppress(OSError, ValueError):
                 host, port = parse_address(routes.get(address, address))
-                socket.inet_aton(host)  # rejects host names, as a look-up would block the loop
+                socket.inet_aton(host)  # rejects host names, since a look-up would block the loop
                 self.sock.sendto(datagram, (host, port))
 
     def handle_events(self) -> None:
@@ -183,19 +183,19 @@
             self.logged_drops = dropped
 
     def leave(self) -> None:
-        """Announce to the other members that this balancer ends."""
+        """Announce to other members that this balancer leaves the fleet."""
         if not self.has_left:
             self.node.leave(self.loop.clock())
             self.send_datagrams()
 
     def leave_without_notice(self) -> None:
-        """Leave the fleet at once; from here on nothing is received, published or applied."""
+        """Leave the fleet at once; from then on nothing is received, published or applied."""
         self.has_left = True
         self.node.store.owners = {self.node.name: self.node.store.owners[self.node.name]}
         self.node.members.records.clear()
 
     def apply_file(self, file: FleetFile) -> None:
-        """Apply a reloaded fleet file; keys and ``share`` change at once, ``links`` at the next start."""
+        """Apply a reloaded file: keys and ``share`` at once, the rest of ``links`` at the next start."""
         if file.links != self.file.links:
             self.log.event(
                 "reload-waits", "reload: {keys} changed, but only at the next start", keys="fleet links"
@@ -205,7 +205,7 @@
     # -- publishing --------------------------------------------------------------------------------------
 
     def share_state(self, now: float) -> None:
-        """Publish the state that the fleet file selects, and apply what other members published."""
+        """Publish what the fleet file's ``share`` selects, and apply what other members have published."""
         share, pool = self.file.share, self.host.pool_config
         if share.health:
             self._share_health(now, len(pool.addresses))
@@ -226,7 +226,7 @@
             self.node.write(kind, key, data, now, remaining_s)
 
     def _share_health(self, now: float, destination_count: int) -> None:
-        """Publish own verdicts, and report to the balancer the destinations that others found silent."""
+        """Publish own verdicts, and report to the balancer the destinations to avoid on others' verdicts."""
         health = self.health
         for destination, answered_at in self.host.last_reply_times():
             destination_health = health.destinations.setdefault(destination, registers.DestinationHealth())
@@ -237,7 +237,7 @@
         for destination, verdict in to_publish.items():
             made_at = health.own_verdicts[destination][1] if destination in health.own_verdicts else now
             published = self.published_verdicts.get(destination)
-            # Written again only where the verdict is another one or was made anew, not at every update
+            # Written again only where the verdict has changed or was renewed, not at every call
             if (
                 published is None
                 or published[0] != verdict
@@ -254,7 +254,7 @@
             self.host.apply_silence_report(DestinationSilent(destination))
 
     def _share_list(self, now: float) -> None:
-        """Publish discovery's list, and drain destinations that a newer list of another member drains."""
+        """Publish the list's version, and drain destinations that a newer list of another member drains."""
         pool = self.host.pool_config
         source = self.file.share.discovery
         leaving = [
@@ -264,25 +264,25 @@
             registers.LIST, "", DiscoveryState(source, pool.version, leaving[-registers.MAX_LEAVING :]), now
         )
         reported = self.register_view.leaving(source, pool.version, now)
-        # Only destinations in this balancer's own list matter; another member's list adds no destination
+        # Only destinations in this balancer's own list matter: another member's list adds no destination
         drained = {
             destination
             for destination in reported
             if destination in pool.entries and pool.entries[destination].state is i.State.READY
         }
-        added = drained - self.leaving
-        if added:
+        newly_drained = drained - self.leaving
+        if newly_drained:
             self.log.event(
                 "fleet-leaving",
                 "fleet: {count} destinations have to be left: another balancer has a newer list than "
                 "version {version}",
-                count=len(added),
+                count=len(newly_drained),
                 version=pool.version,
             )
             self.host.apply_pool_update(
                 PoolUpdate(
                     i.ListKind.CHANGES,
-                    [_as_draining(pool.entries[destination]) for destination in sorted(added)],
+                    [_as_draining(pool.entries[destination]) for destination in sorted(newly_drained)],
                 )
             )
         restored = [
@@ -297,7 +297,7 @@
         self.leaving = frozenset(drained)
 
     def _share_load(self, now: float) -> None:
-        """Publish this balancer's connections at each destination."""
+        """Publish the number of this balancer's connections at each destination."""
         chunks: dict[int, dict[int, int]] = defaultdict(dict)
         for pool_counts in self.host.connection_counts():
             for destination, count in pool_counts.items():
@@ -307,7 +307,7 @@
             self._write_register(registers.LOAD, str(chunk), chunks.get(chunk), now)
 
     def _share_rights(self, now: float, stage: ContractStage) -> None:
-        """Request and grant leases, so that rights move to the balancers that need them."""
+        """Request and grant leases, so that rights move to where they are needed; apply the own rights."""
         if self.leases is None:
             self.leases = Leases(self.node.name, stage.budgets(), now)
         leases, epoch = self.leases, self.node.store.owners[self.node.name].epoch
@@ -396,7 +396,7 @@
     # -- observing ---------------------------------------------------------------------------------------
 
     def record_step(self, message: object) -> None:
-        """Record from a decider's message whether a destination served a client or failed."""
+        """Record from a decider's message that a destination served a client or a route step failed."""
         now = self.loop.clock()
         if isinstance(message, RouteStepEstablished):
             self.health.record_served(message.destination, now)
@@ -404,7 +404,7 @@
             self.health.record_failure(message.destination, message.outcome is Outcome.TIMEOUT, now)
 
     def record_silent(self, message: object) -> None:
-        """Record a destination that the gauge reports as silent."""
+        """Record a destination that the delay monitor reports as silent; other messages are ignored."""
         if isinstance(message, DestinationSilent):
             self.health.record_hanging(message.destination, self.loop.clock())
 
@@ -433,14 +433,14 @@
 
 
 def _as_draining(entry: i.BackendEntry) -> i.BackendEntry:
-    """The entry of discovery's list with its state changed to draining."""
+    """A copy of an entry of discovery's list, with its state changed to draining."""
     return i.BackendEntry(
         entry.backend, i.State.DRAINING, entry.zone, entry.cell, entry.weight, entry.started
     )
 
 
 def call_both(first: Callable[[Any], None], second: Callable[[Any], None]) -> Callable[[Any], None]:
-    """A function that passes a message to both functions in turn."""
+    """Return a function that passes a message to ``first`` and then to ``second``."""
 
     def both(message: Any) -> None:
         first(message)
