--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""Admission control on a controlled clock: limits, lending, reclaiming, retry times and changes of limits."""
+"""Admission control on a simulated clock: limits, lending, reclaiming, retry times and changes of limits."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from snowwick.broker.gcra import Gcra
 from snowwick.broker.retry_queue import ENTRIES_PER_ROW, RetryTable
 
-UNLIMITED_SETUPS_PER_S = (0.0, 1e6)  # a rate that no test reaches
-QUIET = "quiet"  # a team that uses little
-LOUD = "loud"  # a team that asks for more than its guarantee
+UNLIMITED_SETUPS_PER_S = (0.0, 1e6)  # guarantee and ceiling; no test reaches this ceiling
+QUIET = "quiet"  # a team that stays within its guarantee or its rate
+LOUD = "loud"  # a team that requests more than its guarantee
 TWO_TEAMS = BalancerLimits(
     300.0,
     1e6,
@@ -42,6 +42,7 @@
 def request_connection(
     controller: AdmissionController, now: float, team: str, key: Any = "k", class_name: str = "c"
 ) -> Lease | Refusal:
+    """Request a connection, and establish it at once if it is admitted."""
     result = controller.admit(now, key, team, class_name, str(key))
     if isinstance(result, Lease):
         controller.mark_established(result)
@@ -49,7 +50,7 @@
 
 
 def fill_up(controller: AdmissionController, now: float, team: str, count: int = 10000) -> list[Lease]:
-    """Request connections until one is refused."""
+    """Request connections until one is refused or ``count`` are admitted; returns the leases."""
     leases: list[Lease] = []
     while len(leases) < count and isinstance(
         result := request_connection(controller, now, team, f"{team}{len(leases)}"), Lease
@@ -60,33 +61,33 @@
 
 @given(st.floats(0.1, 50.0), st.floats(1.0, 20.0), st.lists(st.floats(0.0, 3.0), max_size=80))
 def test_no_window_passes_more_than_rate_and_burst(rate: float, burst: float, gaps: list[float]) -> None:
-    limit, now, passed = Gcra(rate, burst), 0.0, []
+    limiter, now, passed_at = Gcra(rate, burst), 0.0, []
     for gap in gaps:
         now += gap
-        if limit.conforms(now):
-            limit.consume(now)
-            passed.append(now)
+        if limiter.conforms(now):
+            limiter.consume(now)
+            passed_at.append(now)
         else:
-            assert limit.wait_s(now) > 0.0 and limit.conforms(now + limit.wait_s(now) + 1e-6)
-    for n, first in enumerate(passed):
-        for m in range(n, len(passed)):
-            assert m - n + 1 <= rate * (passed[m] - first) + burst + 1e-6
+            assert limiter.wait_s(now) > 0.0 and limiter.conforms(now + limiter.wait_s(now) + 1e-6)
+    for n, window_start in enumerate(passed_at):
+        for m in range(n, len(passed_at)):
+            assert m - n + 1 <= rate * (passed_at[m] - window_start) + burst + 1e-6
 
 
 @pytest.mark.parametrize("jump", [0.0, 600.0, -50.0])
 def test_a_clock_that_stands_still_or_jumps_admits_one_burst(jump: float) -> None:
     limits = BalancerLimits(1000.0, 10.0, {QUIET: TeamLimits((0.0, 1000.0), (5.0, 10.0))}, burst_s=2.0)
     controller = AdmissionController(limits, max_retry_after_s=1.0)
-    first = len(fill_up(controller, 100.0, QUIET))
-    assert first == 20
-    again = len(fill_up(controller, 100.0 + jump, QUIET))
-    assert again == (20 if jump > 0 else 0)
+    first_burst = len(fill_up(controller, 100.0, QUIET))
+    assert first_burst == 20
+    second_burst = len(fill_up(controller, 100.0 + jump, QUIET))
+    assert second_burst == (20 if jump > 0 else 0)
 
 
 def test_unused_room_is_lent_except_for_a_tenth_of_the_unused_guarantees() -> None:
     controller = AdmissionController(TWO_TEAMS)
     assert len(fill_up(controller, 0.0, LOUD)) == 290
-    assert len(fill_up(controller, 0.0, QUIET)) == 10  # the reserve: no move needed
+    assert len(fill_up(controller, 0.0, QUIET)) == 10  # the lending reserve, free without a move
     assert controller.connection_budget.total_in_use == 300
 
 
@@ -111,13 +112,11 @@
     )
     controller = AdmissionController(limits, max_retry_after_s=0.6)
     borrowed = fill_up(controller, 0.0, LOUD)
-    owner_connections, readmitted, now, moved, pending_releases = (
-        0,
-        0,
-        0.0,
-        list[Lease](),
-        list[tuple[float, Lease]](),
-    )
+    owner_connections = 0
+    readmitted = 0
+    now = 0.0
+    moved = list[Lease]()
+    pending_releases = list[tuple[float, Lease]]()
     while owner_connections < limits.teams[QUIET].connections[0]:
         now += 0.02
         owner_connections += isinstance(
@@ -128,7 +127,7 @@
             pending_releases.append((now + 0.1, lease))
         while pending_releases and pending_releases[0][0] <= now:
             controller.release(pending_releases.pop(0)[1])
-            # A client that was moved off borrowed room retries and must not get that room again.
+            # The client of a moved connection reconnects, and must not be admitted to the same room again.
             readmitted += isinstance(request_connection(controller, now, LOUD, "returned"), Lease)
         assert now <= TWO_TEAMS.reclaim_within_s + 0.7, (owner_connections, len(moved))
     assert moved == list(reversed(borrowed))[: len(moved)]
@@ -137,7 +136,7 @@
 
 
 def test_short_connections_within_a_guarantee_move_no_borrower() -> None:
-    """If each of these connections moved one of a borrower's, the moves would never end."""
+    """If each of these connections caused a move of a borrowed one, the moves would never end."""
     controller = AdmissionController(TWO_TEAMS)
     fill_up(controller, 0.0, LOUD)
     moved = 0
@@ -170,9 +169,10 @@
             controller.release(lease)
         for team in "abc":
             request_connection(controller, now, team, f"{team}{n}")
+    # Team c is at its ceiling of 30; a and b divide the other 370 connections by their weights, 1 to 3.
     in_use = {name: team.connection_share.in_use for name, team in controller.teams.items()}
     assert in_use["c"] == 30 and abs(in_use["a"] - 92.5) <= 3 and abs(in_use["b"] - 277.5) <= 3, in_use
-    assert moves <= 330  # 307.5 have to pass to other teams
+    assert moves <= 330  # teams b and c together get 307.5 of the connections that team a used first
 
 
 def test_a_team_at_ten_times_its_rate_does_not_reduce_the_other_s_rate() -> None:
@@ -181,6 +181,8 @@
     )
     controller, admitted, now = AdmissionController(limits, max_retry_after_s=0.6), Counter[str](), 0.0
     rng = random.Random(3)
+    # ``admitted`` counts the quiet team before its pause ("quietFalse") and after it ("quietTrue"), and the
+    # loud team during this pause ("idle") and at other times ("loud").
     for n in range(40000):
         now += 0.001
         if now < 10.0 or now >= 20.0:  # the quiet team pauses from 10 s to 20 s
@@ -194,7 +196,7 @@
             admitted[LOUD] += isinstance(controller.admit(now, n, LOUD, "c", f"l{rng.random()}"), Lease)
     assert admitted[f"{QUIET}False"] >= 0.95 * 10000 / 34 and admitted[f"{QUIET}True"] >= 0.95 * 20000 / 34
     assert admitted["idle"] >= 0.9 * 100.0 * 10.0
-    assert sum(admitted.values()) <= 100.0 * 40.0 + 100.0 + 30.0  # nothing is lent twice
+    assert sum(admitted.values()) <= 100.0 * 40.0 + 100.0 + 30.0  # no part of the rate is lent twice
 
 
 def test_a_burst_of_all_teams_at_once_is_limited_to_the_fleet_s_burst_and_the_guarantees() -> None:
@@ -217,7 +219,7 @@
     )
     controller, admitted = AdmissionController(limits, max_retry_after_s=0.6), Counter[str]()
     for n in range(60000):
-        team = "b" if n % 6 == 0 else "a"  # a requests five times as often
+        team = "b" if n % 6 == 0 else "a"  # team a requests five times as often as team b
         admitted[team] += isinstance(controller.admit(0.002 * n, n, team, "c", f"{n}"), Lease)
     assert 0.23 <= admitted["a"] / sum(admitted.values()) <= 0.27, admitted
     assert sum(admitted.values()) >= 0.95 * 100.0 * 120.0
@@ -237,14 +239,14 @@
     )
     controller = AdmissionController(limits)
     assert len(fill_up(controller, 0.0, QUIET)) == 20
-    refused = request_connection(controller, 0.0, QUIET, "more")
-    assert isinstance(refused, Refusal) and (refused.reason, refused.limit) == ("over-class", "connections")
+    refusal = request_connection(controller, 0.0, QUIET, "more")
+    assert isinstance(refusal, Refusal) and (refusal.reason, refusal.limit) == ("over-class", "connections")
     assert (
-        isinstance(other := request_connection(controller, 0.0, QUIET, "other", "d"), Lease)
-        and other.class_state.max_wait_ms == 900.0
+        isinstance(other_class_lease := request_connection(controller, 0.0, QUIET, "other", "d"), Lease)
+        and other_class_lease.class_state.max_wait_ms == 900.0
     )
-    assert isinstance(refused := request_connection(controller, 0.0, QUIET, "none", "e"), Refusal)
-    assert refused.reason == "no-contract"
+    assert isinstance(refusal := request_connection(controller, 0.0, QUIET, "none", "e"), Refusal)
+    assert refusal.reason == "no-contract"
 
 
 def run_overload(
@@ -252,37 +254,39 @@
     clients: int,
     mean_lifetime_s: float,
     max_retry_after_s: float,
-    until: float,
-    ignoring: int = 0,
+    end_s: float,
+    ignoring_clients: int = 0,
 ) -> tuple[float, Counter[str]]:
-    """Run a fixed set of clients in steady overload.
+    """Run a fixed number of clients in steady overload for ``end_s`` seconds.
 
-    Returns the part of the retries at the stated time that were admitted, and the admitted connections by
-    kind of client.  The first ``ignoring`` clients ignore the stated time and retry every 50 ms.
+    The first ``ignoring_clients`` clients ignore the stated retry time and retry every 50 ms.  Returns the
+    fraction of the retries at the stated time that were admitted, and the number of admitted connections by
+    kind of client.  Both are counted after the first third of the time.
     """
     rng, controller, sequence = random.Random(5), AdmissionController(limits, 5, max_retry_after_s), clients
+    # (time, sequence number, client, lease that ends or None for a request, whether it is a retry on time)
     events: list[tuple[float, int, int, Lease | None, bool]] = [
         (2.0 * rng.random(), n, n, None, False) for n in range(clients)
     ]
     heapq.heapify(events)
     retries_on_time = admitted_on_time = 0
     admitted: Counter[str] = Counter()
-    while events and events[0][0] < until:
+    while events and events[0][0] < end_s:
         now, _, client, lease, retried_on_time = heapq.heappop(events)
         sequence += 1
-        kind = "ignoring" if client < ignoring else "compliant"
+        kind = "ignoring" if client < ignoring_clients else "compliant"
         if lease is not None:
             controller.release(lease)
             heapq.heappush(events, (now + 0.1 + 0.2 * rng.random(), sequence, client, None, False))
             continue
         result = controller.admit(now, client, QUIET, "c", f"k{client}")
-        if retried_on_time and now > until / 3:
+        if retried_on_time and now > end_s / 3:
             retries_on_time, admitted_on_time = (
                 retries_on_time + 1,
                 admitted_on_time + isinstance(result, Lease),
             )
         if isinstance(result, Lease):
-            admitted[kind] += now > until / 3
+            admitted[kind] += now > end_s / 3
             heapq.heappush(
                 events, (now + rng.expovariate(1.0 / mean_lifetime_s), sequence, client, result, False)
             )
@@ -307,7 +311,7 @@
 
 def test_clients_that_ignore_the_retry_time_gain_nothing() -> None:
     limits = BalancerLimits(1e4, 1e4, {QUIET: TeamLimits((0.0, 1e4), (0.0, 30.0))})
-    admitted_on_time, admitted = run_overload(limits, 300, 2.0, 20.0, 90.0, ignoring=150)
+    admitted_on_time, admitted = run_overload(limits, 300, 2.0, 20.0, 90.0, ignoring_clients=150)
     assert admitted["ignoring"] <= 1.25 * admitted["compliant"] and admitted_on_time >= 0.8
 
 
@@ -329,13 +333,12 @@
 def test_limits_change_under_established_connections() -> None:
     controller = AdmissionController(TWO_TEAMS, max_retry_after_s=0.6)
     leases = {name: fill_up(controller, 0.0, name, 100) for name in (QUIET, LOUD)}
-    reduced = replace(
-        TWO_TEAMS, teams={QUIET: TeamLimits((10.0, 20.0), UNLIMITED_SETUPS_PER_S)}
-    )  # smaller, and one team removed
-    controller.apply(reduced, 1.0)
-    controller.apply(reduced, 1.0)  # a second change at once allows no more moves
-    refused = request_connection(controller, 1.0, LOUD)
-    assert isinstance(refused, Refusal) and refused.reason == "no-contract"
+    # Lower limits for one team; the other team is removed.
+    reduced_limits = replace(TWO_TEAMS, teams={QUIET: TeamLimits((10.0, 20.0), UNLIMITED_SETUPS_PER_S)})
+    controller.apply(reduced_limits, 1.0)
+    controller.apply(reduced_limits, 1.0)  # a second change at the same time allows no additional moves
+    refusal = request_connection(controller, 1.0, LOUD)
+    assert isinstance(refusal, Refusal) and refusal.reason == "no-contract"
     now, moved = 1.0, 0
     while controller.reclaim_delay_s() is not None:
         now += 0.05
@@ -347,9 +350,10 @@
         controller.connection_budget.total_in_use == 20 and set(controller.teams) == {QUIET} and moved == 180
     )
     controller.apply(TWO_TEAMS, now)
+    # All 300 connections except for 20 in use and the reserve of 8, a tenth of the unused guarantee of 80.
     assert len(fill_up(controller, now, LOUD)) == 200 - 20 + 100 - 8
     for lease in leases[QUIET]:
-        controller.release(lease)  # for those moved before this is the second release
+        controller.release(lease)  # a second release for the leases that were moved above
     assert controller.teams[QUIET].connection_share.in_use == 0
 
 
@@ -381,17 +385,17 @@
     leases = fill_up(controller, 0.0, QUIET, 10)
     for lease in leases:
         controller.update_load(lease, 8.0)
-    refused = request_connection(controller, 0.0, QUIET)
-    assert isinstance(refused, Refusal) and refused.reason == "over-load"
+    refusal = request_connection(controller, 0.0, QUIET)
+    assert isinstance(refusal, Refusal) and refusal.reason == "over-load"
     moved = [lease for n in range(100) for lease in controller.reclaim(0.05 * n)]
-    assert len(moved) == 4  # six connections cause 48 of 50
+    assert len(moved) == 4  # the other six cause a load of 48, and the ceiling is 50
     for lease in moved:
         controller.release(lease)
     assert math.isclose(controller.load_budget.total_in_use, 48.0)
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Checks the controller against a plain count of leases, and that each refusal was justified."""
+    """Checks the controller against the number of active leases, and that each refusal was justified."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -420,12 +424,12 @@
     @rule(team=st.sampled_from("abz"), class_name=st.sampled_from("cd"), established=st.booleans())
     def request_connection(self, team: str, class_name: str, established: bool) -> None:
         self.key += 1
-        before = {name: self.active_connections(name) for name in "abz"}
-        total, team_limits = sum(before.values()), self.limits.teams.get(team)
+        connections_before = {name: self.active_connections(name) for name in "abz"}
+        total, team_limits = sum(connections_before.values()), self.limits.teams.get(team)
         result = self.controller.admit(self.now, None, team, class_name, f"{self.key}")
         if isinstance(result, Lease):
-            assert team_limits is not None and before[team] + 1 <= team_limits.connections[1]
-            assert total + 1 <= self.limits.connections  # nothing is lent twice
+            assert team_limits is not None and connections_before[team] + 1 <= team_limits.connections[1]
+            assert total + 1 <= self.limits.connections  # no room is lent twice
             self.leases.append(result)
             if established:
                 self.controller.mark_established(result)
@@ -434,18 +438,21 @@
         if team_limits is None or (team_limits.classes and class_name not in team_limits.classes):
             assert result.reason == "no-contract"
         elif result.reason == "over-connections" and result.limit == "team":
-            assert before[team] + 2 > team_limits.connections[1]  # one is left for clients with a retry slot
-        elif result.reason == "over-connections":  # no free room while a team below its ceiling is refused
+            # One connection is left for clients with a retry slot.
+            assert connections_before[team] + 2 > team_limits.connections[1]
+        elif result.reason == "over-connections":
+            # A team below its ceiling is refused only if there is no free room.
             unused = sum(
-                max(0.0, other.connections[0] - before[name]) for name, other in self.limits.teams.items()
+                max(0.0, other_limits.connections[0] - connections_before[name])
+                for name, other_limits in self.limits.teams.items()
             )
             not_lent = (
                 math.ceil(0.1 * unused)
                 + self.controller.connection_budget.reserved
                 - self.controller.teams[team].connection_share.reserved
             )
-            within_guarantee = before[team] < team_limits.connections[0]
-            retry_connections = 1  # left for clients with a retry slot, from 20 connections on
+            within_guarantee = connections_before[team] < team_limits.connections[0]
+            retry_connections = 1  # left for clients with a retry slot if the ceiling is at least 20
             assert (
                 total + 1 + (0 if within_guarantee else not_lent + retry_connections)
                 > self.limits.connections
@@ -460,7 +467,7 @@
     @precondition(lambda self: self.leases)
     @rule(index=st.integers(0, 1000))
     def release(self, index: int) -> None:
-        self.controller.release(self.leases[index % len(self.leases)])  # sometimes a second time
+        self.controller.release(self.leases[index % len(self.leases)])  # may be released already
 
     @precondition(lambda self: self.leases)
     @rule(index=st.integers(0, 1000), load=st.floats(0.0, 100.0))
@@ -500,18 +507,19 @@
 
     @rule(team=st.sampled_from("ab"))
     def fill_guarantee(self, team: str) -> None:
-        """A team that keeps requesting connections has its guarantee in the stated time."""
+        """A team that keeps requesting connections gets its guarantee within the reclaim time."""
         team_limits = self.limits.teams.get(team)
-        end = self.now + self.limits.reclaim_within_s + 0.8
+        deadline = self.now + self.limits.reclaim_within_s + 0.8
         while (
             team_limits is not None
             and self.active_connections(team) < team_limits.connections[0]
-            and self.now < end
+            and self.now < deadline
         ):
             self.request_connection(team, "c", True)
             self.advance_time(0.03)
-        pending = sum(lease.active and lease not in lease.team.movable_leases for lease in self.leases)
-        assert team_limits is None or self.active_connections(team) >= team_limits.connections[0] or pending
+        # Connections that are not established cannot be moved.
+        unmovable = sum(lease.active and lease not in lease.team.movable_leases for lease in self.leases)
+        assert team_limits is None or self.active_connections(team) >= team_limits.connections[0] or unmovable
 
     @invariant()
     def usage_matches_the_leases(self) -> None:
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""The contracts file: faults are reported with their key paths, and the parts of all balancers sum to it."""
+"""The contracts file: faults with their key paths, and balancers' parts that sum to the contract."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
     assert old in VALID
     with pytest.raises(BadContracts) as caught:
         parse(VALID.replace(old, new, 1), ["feed"], ["t1", "t2", "t3"])
-    start, _, rest = fault.partition("*")
+    start, _, rest = fault.partition("*")  # "*" stands for any text in the middle of the line
     assert any(line.startswith(start) and rest in line for line in caught.value.faults), caught.value.faults
 
 
@@ -125,7 +125,8 @@
     not_guaranteed: int, rows: list[tuple[int, int, int, int]]
 ) -> None:
     claims = [
-        Claim(guarantee, guarantee + above, weight, demand) for guarantee, above, weight, demand in rows
+        Claim(guarantee, guarantee + ceiling_margin, weight, demand)
+        for guarantee, ceiling_margin, weight, demand in rows
     ]
     total = sum(claim.guarantee for claim in claims) + not_guaranteed
     shares = max_min_shares(total, claims)
@@ -134,8 +135,9 @@
         assert min(claim.guarantee, claim.demand) - 1e-6 <= share <= min(claim.ceiling, claim.demand) + 1e-6
     unsatisfied = [n for n, claim in enumerate(claims) if shares[n] < min(claim.ceiling, claim.demand) - 1e-6]
     if unsatisfied:
-        assert sum(shares) >= total - 1e-6  # nothing is left over while a claim is not satisfied
-    for n in unsatisfied:  # no claim gets more beyond its guarantee, for its weight, than an unsatisfied one
+        assert sum(shares) >= total - 1e-6  # nothing is left over if a claim is not satisfied
+    # No claim gets more beyond its guarantee, in proportion to its weight, than an unsatisfied one.
+    for n in unsatisfied:
         for claim, share in zip(claims, shares, strict=True):
             extra = max(0.0, share - claim.guarantee) / claim.weight
             assert extra <= (shares[n] - claims[n].guarantee) / claims[n].weight + 1e-6
@@ -156,7 +158,7 @@
         )
     rows = {row["team"]: row for row in explain(contracts, balancers)}
     assert rows["x"]["connections"][0] == parts[0].teams["x"].connections[0]
-    if balancers == 1:  # ten connections are not guaranteed; y has three times the weight of x
+    if balancers == 1:  # ten connections are not guaranteed, and x and y share them by weight, 1 to 3
         assert rows["x"]["connections"] == (40, 80, 42) and rows["y"]["connections"] == (50, 100, 57)
 
 
@@ -171,15 +173,15 @@
             for pool, update in updates.items()
         }
 
-    full = assignment.apply(ListUpdate(ListKind.FULL, [first, second]), labels)
-    assert states(full) == {"a": [(1, "ready")], "b": [(2, "ready")]}
-    changed = assignment.apply(ListUpdate(ListKind.CHANGES, [first]), {1: Labels("k2")})
-    assert states(changed) == {"a": [(1, "gone")], "b": [(1, "ready")]}
+    initial_updates = assignment.apply(ListUpdate(ListKind.FULL, [first, second]), labels)
+    assert states(initial_updates) == {"a": [(1, "ready")], "b": [(2, "ready")]}
+    changed_updates = assignment.apply(ListUpdate(ListKind.CHANGES, [first]), {1: Labels("k2")})
+    assert states(changed_updates) == {"a": [(1, "gone")], "b": [(1, "ready")]}
     assert assignment.available_pools == {"b"}
-    restored = assignment.apply(ListUpdate(ListKind.FULL, [first, second]), labels)
-    assert states(restored) == {"a": [(1, "ready")], "b": [(2, "ready"), (1, "gone")]}
-    removed = assignment.apply(ListUpdate(ListKind.CHANGES, [BackendEntry(1, State.GONE)]), {})
-    assert states(removed) == {"a": [(1, "gone")], "b": []}
+    restored_updates = assignment.apply(ListUpdate(ListKind.FULL, [first, second]), labels)
+    assert states(restored_updates) == {"a": [(1, "ready")], "b": [(2, "ready"), (1, "gone")]}
+    removed_updates = assignment.apply(ListUpdate(ListKind.CHANGES, [BackendEntry(1, State.GONE)]), {})
+    assert states(removed_updates) == {"a": [(1, "gone")], "b": []}
     assert assignment.apply(ListUpdate(ListKind.FAILED), {})["b"].kind is ListKind.FAILED
 
 
@@ -206,6 +208,6 @@
         "20",
     ]
     path.write_text(VALID.replace("connections = 40", "connections = -1"))
-    failed = run_command("contracts", "check", str(path))
-    assert failed.returncode == 2 and "teams.x.guarantee.connections: expected" in failed.stderr
-    assert failed.stderr.count("\n") == 1
+    failed_check = run_command("contracts", "check", str(path))
+    assert failed_check.returncode == 2 and "teams.x.guarantee.connections: expected" in failed_check.stderr
+    assert failed_check.stderr.count("\n") == 1
--- a/tests/test_contracts_net.py
+++ b/tests/test_contracts_net.py
@@ -1,4 +1,4 @@
-"""The contract stage on sockets: leases are released however a request ends; pools; reloads."""
+"""The contract stage on sockets: release of leases at each end of a request, pools, and reloads."""
 
 from __future__ import annotations
 
@@ -48,12 +48,15 @@
 
 
 def request(n: int, tenant: str = "n") -> str:
-    """Client ``n`` sends its opening line."""
+    """The scenario steps by which client ``n`` sends its opening line."""
     return f"c{n} send OPEN {n} k{n} d=1200,c=feed,t={tenant},g=g{n}\n"
 
 
 def established(n: int, tenant: str = "n", destination: int | None = None) -> str:
-    """The same, and a destination accepts: its connection ``destination``, by default also ``n``."""
+    """The scenario steps that establish the connection of client ``n``.
+
+    ``destination`` is the number of the connection to the destination in the scenario, by default ``n``.
+    """
     destination = destination or n
     return (
         request(n, tenant) + f"d{destination} expect OPEN {n} *\nd{destination} send UP r\nc{n} expect UP r\n"
@@ -66,7 +69,7 @@
 
 
 def connections_in_use(world: World) -> dict[str, float]:
-    """By team."""
+    """The number of leased connections by team."""
     return {
         name: team.connection_share.in_use for name, team in contract_stage(world).admission.teams.items()
     }
@@ -166,7 +169,7 @@
 
 
 def test_lease_is_released_when_the_destination_ends_the_connection(world: World) -> None:
-    """Otherwise a client that is slow to close would use up its team's limit. This one is resumed."""
+    """A client that is slow to close must not use up its team's limit; this client resumes a connection."""
     world.play("c1 send OPEN 1 k d=1200,c=feed,t=n,at=s-1\nd1 expect *\nd1 send UP r\nc1 expect UP r")
     assert connections_in_use(world) == {"x": 1, "y": 0}
     world.play("d1 send BYE\nd1 close\nc1 expect BYE\nc1 end")
@@ -186,17 +189,15 @@
 
 
 def test_borrowed_connections_are_reclaimed_newest_first_when_the_owner_needs_them(world: World) -> None:
-    world.play(
-        "".join(established(n) for n in range(1, 10))
-    )  # x borrows five; one of y's four is the reserve
+    # Team x borrows five connections; one of y's guarantee of four is the lending reserve.
+    world.play("".join(established(n) for n in range(1, 10)))
     world.play(request(10) + "c10 expect BUSY [1-9]*\nc10 end")
     world.play(
         established(11, "m", 10) + "wait 60\nc9 expect MOVE\nc9 end\nd9 end\nc8 quiet\nc10 close\nwait 1"
     )
     assert " over-connections " in world.log_output.getvalue()
-    world.play(
-        "c9 close\nwait 600\n" + request(12) + "c12 expect BUSY [1-9]*\nc12 end"
-    )  # the freed connection is not lent again at once
+    # The freed connection is not lent again at once.
+    world.play("c9 close\nwait 600\n" + request(12) + "c12 expect BUSY [1-9]*\nc12 end")
     assert "reclaimed" in world.log_output.getvalue() and connections_in_use(world) == {"x": 8, "y": 1}
 
 
@@ -207,7 +208,7 @@
 
 
 def test_requests_of_a_team_go_to_its_pool_only(world_with_pools: World) -> None:
-    """If a pool has no destination left, its requests are refused at once and the other pool's are served."""
+    """If a pool has no destination left, its requests are refused at once; the other pool serves its own."""
     numbers = {name: world_with_pools.service.destination_number(name) for name in ("s-1", "s-2")}
     world_with_pools.play("".join(established(n, "mn"[n % 2]) for n in range(1, 7)))
     destinations = {
@@ -216,13 +217,13 @@
         if front.request
     }
     assert destinations == {("n", numbers["s-1"]), ("m", numbers["s-2"])}
-    without_second = {
+    update_without_second = {
         "version": 2,
         "full": False,
         "servers": [World.list_entry("s-2", world_with_pools.destination_listener, "terminated")],
     }
     world_with_pools.service.pool_deciders.apply_update(
-        world_with_pools.service.pool.config.apply(without_second)
+        world_with_pools.service.pool.config.apply(update_without_second)
     )
     world_with_pools.play(request(7, "m") + "c7 expect BUSY *\nc7 end\nc7 close\n" + established(8, "n", 7))
     assert " no-destinations " in world_with_pools.log_output.getvalue() and connections_in_use(
@@ -232,7 +233,7 @@
 
 def test_destination_that_changes_its_kind_changes_its_pool(world_with_pools: World) -> None:
     world_with_pools.play(established(1, "m") + established(2, "n"))
-    changed = {
+    kind_change = {
         "version": 2,
         "full": False,
         "servers": [
@@ -240,26 +241,31 @@
             World.list_entry("s-3", world_with_pools.destination_listener, kind="k2"),
         ],
     }
-    world_with_pools.service.pool_deciders.apply_update(world_with_pools.service.pool.config.apply(changed))
+    world_with_pools.service.pool_deciders.apply_update(
+        world_with_pools.service.pool.config.apply(kind_change)
+    )
     for _ in range(6):
         world_with_pools.wait(500)
     world_with_pools.play("c1 expect MOVE\nc1 end\nc2 quiet\nc1 close\n" + established(3, "m"))
-    (third,) = (
+    (third_front,) = (
         front
         for front in world_with_pools.service.fronts
         if front.request and front.request.opening.id == "3"
     )
-    assert third.last_destination == world_with_pools.service.destination_number("s-3")
+    assert third_front.last_destination == world_with_pools.service.destination_number("s-3")
 
 
 def test_reload_under_traffic_applies_the_whole_file_or_nothing(world: World) -> None:
     world.play("".join(established(n) for n in range(1, 5)) + established(5, "m"))
-    before = contract_stage(world).contracts
+    contracts_before = contract_stage(world).contracts
     world.contracts_text = CONTRACTS.replace("connections = 4", "connections = -4", 1)
     world.raw_config["discovery"] = "127.0.0.1:9"
     world.service.reload()
     assert "teams.x.guarantee.connections: expected" in world.log_output.getvalue()
-    assert contract_stage(world).contracts is before and world.service.config.discovery != ("127.0.0.1", 9)
+    assert contract_stage(world).contracts is contracts_before and world.service.config.discovery != (
+        "127.0.0.1",
+        9,
+    )
     world.contracts_text = CONTRACTS.replace(
         "guarantee = { connections = 4 }", "guarantee = { connections = 1 }\nceiling = { connections = 2 }", 1
     )
@@ -311,50 +317,56 @@
 
 
 def test_drain_continues_through_a_reload(tmp_path: Path) -> None:
-    """After SIGTERM, a SIGHUP with a broken file reloads nothing, and the process still exits in order."""
-    servers, path, file = open_listener(), tmp_path / "config.json", tmp_path / "contracts.toml"
-    servers.settimeout(5.0)
-    known = {"version": 1, "full": True, "servers": [World.list_entry("s-1", servers)]}
-    path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS, "known": known}))
-    file.write_text(CONTRACTS)
-    with program(path, SNOWWICK_CONTRACTS=str(file)) as process:
+    """A SIGHUP after SIGTERM, with a malformed file, reloads nothing, and the process exits normally."""
+    destination_listener, config_path, contracts_path = (
+        open_listener(),
+        tmp_path / "config.json",
+        tmp_path / "contracts.toml",
+    )
+    destination_listener.settimeout(5.0)
+    known_list = {"version": 1, "full": True, "servers": [World.list_entry("s-1", destination_listener)]}
+    config_path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS, "known": known_list}))
+    contracts_path.write_text(CONTRACTS)
+    with program(config_path, SNOWWICK_CONTRACTS=str(contracts_path)) as process:
         host, port = address_in(process.stderr).split(":")
         client = socket.create_connection((host, int(port)), 5.0)
         client.sendall(b"OPEN 1 k1 d=1200,c=feed,t=n\r\n")
-        destination = servers.accept()[0]
+        destination = destination_listener.accept()[0]
         assert destination.recv(4096).startswith(b"OPEN 1 k1 d=")
         destination.sendall(b"UP r\r\n")
         assert client.recv(4096) == b"UP r\r\n"
-        file.write_text("version = ")
+        contracts_path.write_text("version = ")
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
         assert client.recv(4096) == b"MOVE\r\n" and client.recv(4096) == b""
-        for sock in (client, destination, servers):
+        for sock in (client, destination, destination_listener):
             sock.close()
         assert process.wait(10.0) == 0
 
 
 def test_faulty_contracts_file_ends_the_start_and_names_its_key_path(tmp_path: Path) -> None:
-    path, file = tmp_path / "config.json", tmp_path / "contracts.toml"
-    path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS}))
-    file.write_text(CONTRACTS.replace('"m"', '"unheard-of"'))
-    with program(path, SNOWWICK_CONTRACTS=str(file)) as process:
+    config_path = tmp_path / "config.json"
+    contracts_path = tmp_path / "contracts.toml"
+    config_path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS}))
+    contracts_path.write_text(CONTRACTS.replace('"m"', '"unheard-of"'))
+    with program(config_path, SNOWWICK_CONTRACTS=str(contracts_path)) as process:
         _, stderr = process.communicate(timeout=20.0)
     assert process.returncode == 2 and stderr.count("\n") == 1
     assert "teams.y.tenants: the settings have no tenant 'unheard-of'" in stderr
 
 
 def test_hangup_signal_reloads_the_contracts_of_the_running_process(tmp_path: Path) -> None:
-    path, file = tmp_path / "config.json", tmp_path / "contracts.toml"
-    path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS}))
-    file.write_text(CONTRACTS)
-    with program(path, SNOWWICK_CONTRACTS=str(file)) as process:
+    config_path = tmp_path / "config.json"
+    contracts_path = tmp_path / "contracts.toml"
+    config_path.write_text(json.dumps({**GOOD, "settings": SETTINGS_WITH_TENANTS}))
+    contracts_path.write_text(CONTRACTS)
+    with program(config_path, SNOWWICK_CONTRACTS=str(contracts_path)) as process:
         host, port = address_in(process.stderr).split(":")
         assert process.stderr is not None
         log = process.stderr
 
         def reload_with(text: str) -> str:
-            file.write_text(text)
+            contracts_path.write_text(text)
             process.send_signal(signal.SIGHUP)
             return next(line for line in iter(log.readline, "") if "contracts of" in line or "stays" in line)
 
@@ -362,7 +374,8 @@
         assert "fleet.connections: is missing" in reload_with(CONTRACTS.replace("connections = 10", ""))
         with socket.create_connection((host, int(port)), 5.0) as client:
             client.sendall(b"OPEN 1 k1 d=1200,c=feed,t=m\r\n")
-            assert client.recv(4096).startswith(b"BUSY ")  # the first reload still counts: y has no contract
+            # The first reload is still in force: team y has no contract.
+            assert client.recv(4096).startswith(b"BUSY ")
         process.terminate()
         assert "no-contract" in log.read()
         assert process.wait(10.0) == 0
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -1,7 +1,7 @@
-"""The rebalancing planner on a controlled clock.
+"""The rebalancing planner on a simulated clock.
 
-Checks that it levels the load within its rates, moves groups whole, does not overload destinations that warm
-up, and does not move a client twice within the cooldown.
+Checks that it levels the load within its rates, moves whole groups, does not overload destinations that are
+warming up, and does not move a client twice within the cooldown.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 
 def imbalance(destinations: list[Destination], connections: list[Connection]) -> tuple[float, int]:
-    """The highest utilization over the mean, and how many groups are split."""
-    ratios, split = utilization_ratios(destinations, connections, 3.0)
-    return max(ratios.values()), split
+    """The ratio of the highest utilization to the mean, and the number of split groups."""
+    ratios, split_groups = utilization_ratios(destinations, connections, 3.0)
+    return max(ratios.values()), split_groups
 
 
 class Fleet:
@@ -64,7 +64,7 @@
         return [connection for connections in self.connections for connection in connections]
 
     def run(self, start: float, end: float, destinations: list[Destination] | None = None) -> list[float]:
-        """Plan twice a second; returns the imbalance at the end of every 5 s."""
+        """Plan and carry out moves every 0.5 s; returns the imbalance at the end of every 5 s."""
         imbalances = []
         for step in range(int(2 * (end - start))):
             now = start + 0.5 * step
@@ -88,15 +88,20 @@
 @pytest.mark.parametrize("balancers", [1, 2, 3])
 def test_new_destinations_are_filled_steadily_with_whole_groups(balancers: int) -> None:
     fleet = Fleet(RebalanceSettings(moves_per_s=12.0, receive_moves_per_s=6.0), balancers)
-    before, split_before = imbalance(fleet.destinations, fleet.all_connections())
+    imbalance_before, split_groups_before = imbalance(fleet.destinations, fleet.all_connections())
     imbalances = fleet.run(100.0, 160.0)
     assert all(
-        later <= earlier + 0.03 for earlier, later in zip([before, *imbalances], imbalances, strict=False)
+        later <= earlier + 0.03
+        for earlier, later in zip([imbalance_before, *imbalances], imbalances, strict=False)
+    )
+    imbalance_after, split_groups_after = imbalance(fleet.destinations, fleet.all_connections())
+    assert (
+        imbalance_before > 1.5
+        and imbalance_after <= (1.10 if balancers < 3 else 1.15)
+        and split_groups_after <= split_groups_before
     )
-    after, split_after = imbalance(fleet.destinations, fleet.all_connections())
-    assert before > 1.5 and after <= (1.10 if balancers < 3 else 1.15) and split_after <= split_before
     moves_by_second = Counter(int(now) for now, _ in fleet.moves)
-    assert max(moves_by_second.values()) <= 12 * 2 + 8 * balancers  # rate, burst, and the last group whole
+    assert max(moves_by_second.values()) <= 12 * 2 + 8 * balancers  # rate, burst, and a last whole group of 8
     assert all(move.gain > 0.0 for _, move in fleet.moves)
 
 
@@ -115,21 +120,21 @@
     for step in range(20):
         now = 100.0 + 0.5 * step
         fleet.run(now, now + 0.5)
-        warm_fraction = 0.3 + 0.7 * min(1.0, (now - 100.0) / 10.0)
-        present = [
+        capacity_fraction = 0.3 + 0.7 * min(1.0, (now - 100.0) / 10.0)
+        warming_destinations = [
             replace(
                 destination,
-                capacity=destination.capacity * (warm_fraction if destination.number >= 8 else 1.0),
+                capacity=destination.capacity * (capacity_fraction if destination.number >= 8 else 1.0),
             )
             for destination in fleet.destinations
         ]
-        ratios, _ = utilization_ratios(present, fleet.all_connections(), 3.0)
+        ratios, _ = utilization_ratios(warming_destinations, fleet.all_connections(), 3.0)
         assert max(ratios[number] for number in range(8, 12)) <= 1.05 + 1e-9
     assert min(ratios[number] for number in range(8, 12)) > 0.7
 
 
 def test_a_group_with_half_of_all_load_is_not_moved() -> None:
-    """Moving it would only overload another destination: the other groups leave its destination instead."""
+    """It would only overload another destination, so the other groups are moved off its destination."""
     fleet = Fleet(RebalanceSettings(moves_per_s=20.0, receive_moves_per_s=20.0), groups=60)
     other_load = sum(connection.load for connection in fleet.all_connections())
     fleet.connections[0] += [
@@ -155,17 +160,19 @@
     planner = Planner(
         RebalanceSettings(moves_per_s=5.0, receive_moves_per_s=50.0, min_age_s=0.0, client_cooldown_s=30.0)
     )
-    moved = {move.client for move in planner.plan(100.0, destinations, ConnectionTable(connections_at(1)))}
-    assert len(moved) == 5
-    assert not moved & {
+    moved_clients = {
+        move.client for move in planner.plan(100.0, destinations, ConnectionTable(connections_at(1)))
+    }
+    assert len(moved_clients) == 5
+    assert not moved_clients & {
         move.client for move in planner.plan(110.0, destinations, ConnectionTable(connections_at(2)))
     }
-    later = {
+    later_moved_clients = {
         move.client
-        for t in range(12)
-        for move in planner.plan(131.0 + t, destinations, ConnectionTable(connections_at(2)))
+        for step in range(12)
+        for move in planner.plan(131.0 + step, destinations, ConnectionTable(connections_at(2)))
     }
-    assert moved <= later
+    assert moved_clients <= later_moved_clients
     with_young_group = [
         Connection(1, "a", "g", 1, 1.0, 0.0),
         Connection(2, "b", "g", 1, 1.0, 99.0),
@@ -205,12 +212,12 @@
 def test_between_the_thresholds_moves_neither_begin_nor_end() -> None:
     destinations = [Destination(1, 100.0), Destination(2, 100.0)]
 
-    def connections_with(first: int) -> list[Connection]:
-        """200 connections, of which ``first`` are at the first destination."""
-        return [Connection(n, f"c{n}", f"g{n}", 1 if n < first else 2, 1.0, 0.0) for n in range(200)]
+    def connections_with(first_count: int) -> list[Connection]:
+        """200 connections: ``first_count`` at the first destination, the others at the second."""
+        return [Connection(n, f"c{n}", f"g{n}", 1 if n < first_count else 2, 1.0, 0.0) for n in range(200)]
 
     planner = Planner(RebalanceSettings(moves_per_s=1.0, receive_moves_per_s=100.0))
-    # 110 of 200 connections are 1.10 of the mean.
+    # With 110 of 200 connections the ratio to the mean is 1.10, between the two thresholds.
     assert not planner.plan(100.0, destinations, ConnectionTable(connections_with(110)))
     assert planner.plan(101.0, destinations, ConnectionTable(connections_with(120)))
     assert planner.plan(103.0, destinations, ConnectionTable(connections_with(110)))
@@ -240,13 +247,13 @@
                 number, f"c{number}", f"g{number % 7}", rng.randrange(4), rng.random(), step
             )
             table.put(connections[number])
-    fresh = ConnectionTable(connections.values())
+    rebuilt_table = ConnectionTable(connections.values())
     assert (
         table.connections == connections
-        and table.group_destinations == fresh.group_destinations
-        and table.groups.keys() == fresh.groups.keys()
+        and table.group_destinations == rebuilt_table.group_destinations
+        and table.groups.keys() == rebuilt_table.groups.keys()
     )
-    assert all(abs(table.loads[n] - fresh.loads[n]) < 1e-9 for n in fresh.loads)
+    assert all(abs(table.loads[n] - rebuilt_table.loads[n]) < 1e-9 for n in rebuilt_table.loads)
     for number in list(connections):
         table.remove(number)
     assert (
