--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -37,20 +37,20 @@
 
 
 def seconds_until_called(world: World, calls: int) -> float:
-    """Advance the clock until discovery has been called so often without an answer."""
-    started_at, seen = world.clock.now, 0
+    """Advance the clock until discovery has had ``calls`` calls in all; returns the seconds it took."""
+    started_at, call_count = world.clock.now, 0
     while True:
         world.run_turns()
         world.try_take_call("pool")
-        seen = len(world.discovery_calls)
-        if seen >= calls:
+        call_count = len(world.discovery_calls)
+        if call_count >= calls:
             return world.clock.now - started_at
-        assert world.clock.now < started_at + 10.0, f"called {seen} times"
+        assert world.clock.now < started_at + 10.0, f"called {call_count} times"
         world.clock.now += CLOCK_STEP_MS / 1000.0
 
 
 def test_worst_case_of_calls_fits_into_the_deadline() -> None:
-    """A watch times out as the list changes, the next call is refused, the one after it succeeds."""
+    """A watch times out when the list changes, the next call is refused, and the one after it succeeds."""
     assert (
         pool.WATCH_HOLD_S
         + pool.WATCH_OVERDUE_S
@@ -63,10 +63,10 @@
 
 
 def test_change_arrives_in_time_after_a_silent_watch_and_a_failed_call(world: World) -> None:
-    """The watch timed out only after seven seconds, and the decider's retry pause was added to that."""
+    """Guards against a watch that times out after seven seconds, plus the retry pause of the decider."""
     updates = subscribe_once(world)
     world.play("pool " + list_text(world, 2, "s-1"))
-    world.take_call("pool")  # the watch, which is held and silent from now on while the list changes
+    world.take_call("pool")  # the watch, which gets no answer although the list changes
     slack = 0.05 + 5 * CLOCK_STEP_MS / 1000.0
     assert seconds_until_called(world, 3) <= pool.WATCH_HOLD_S + pool.WATCH_OVERDUE_S + slack
     world.clock.now += 2.0  # discovery refuses this call as late as it ever does
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("end", ["fail", "reset", "closed", "trickles", "half", "malformed", "endless"])
 def test_failed_call_is_repeated_in_time_without_a_new_subscription(world: World, end: str) -> None:
-    """The next call waited for the decider, whose retry pauses do not take the deadline into account."""
+    """Guards against waiting for the decider, whose retry pauses do not take the deadline into account."""
     subscribe_once(world)
     world.take_call("pool")
     if end == "fail":
@@ -105,16 +105,16 @@
 
 @pytest.mark.parametrize("late", [False, True], ids=["with the first", "some ms later"])
 def test_second_answer_to_a_call_is_not_taken_for_the_next_calls(world: World, late: bool) -> None:
-    """It was left in the reused connection, so that each later answer was that of the call before."""
+    """Left in the reused connection, it would make each later answer that of the previous call."""
     updates = subscribe_once(world)
-    first = list_text(world, 2, "s-1")
-    body = f"HTTP/1.1 200 OK\r\nContent-Length: {len(first)}\r\n\r\n{first}".encode()
+    first_list = list_text(world, 2, "s-1")
+    answer = f"HTTP/1.1 200 OK\r\nContent-Length: {len(first_list)}\r\n\r\n{first_list}".encode()
     world.take_call("pool")
-    world.sockets["pool"].sendall(body * (1 if late else 2))
+    world.sockets["pool"].sendall(answer * (1 if late else 2))
     if late:
         world.run_turns()
         world.take_call("pool")
-        world.sockets["pool"].sendall(body)
+        world.sockets["pool"].sendall(answer)
     world.run_until(lambda: "pool" in world.closed)
     world.wait(101)
     world.take_call("pool")
@@ -128,13 +128,13 @@
 
 
 def test_late_second_answer_with_changes_is_not_taken_for_the_whole_list(world: World) -> None:
-    """All destinations that it does not contain would have been removed."""
+    """Taken for the whole list, it would remove all destinations that it does not contain."""
     subscribe_once(world)
     world.play("pool " + list_text(world, 7, "s-1", "s-2", full=True))
     world.take_call("pool")
-    older = list_text(world, 3, "s-1")
+    older_list = list_text(world, 3, "s-1")
     world.sockets["pool"].sendall(
-        f"HTTP/1.1 200 OK\r\nContent-Length: {len(older)}\r\n\r\n{older}".encode() * 2
+        f"HTTP/1.1 200 OK\r\nContent-Length: {len(older_list)}\r\n\r\n{older_list}".encode() * 2
     )
     world.play("pool " + list_text(world, 3, "s-1", "s-2", full=True))
     assert world.discovery_calls[-1] == "pool /v1/endpoints"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,7 @@
 """Races between the end of a connection and input that arrives at the same time; see docs/endings.md.
 
-Each race is forced: bytes are in a socket before the turn that closes it, arrive between the turn's poll and
-the actors that it resumes, or just before a socket call.  See wire.py for the scenarios and the hooks.
+Each race is forced: bytes are in a socket before the turn that closes it, arrive after the turn's poll and
+before it resumes actors, or arrive just before a socket call. See wire.py for the scenarios and the hooks.
 """
 
 from __future__ import annotations
@@ -95,7 +95,7 @@
 def test_request_during_the_shutdown_of_an_idle_connection_is_never_forwarded(
     world: World, trigger: str
 ) -> None:
-    """Its answer could no longer be sent, so a destination would serve it in vain.  Nor is there a reset."""
+    """Its answer could no longer be sent, so a destination would serve it in vain. No reset occurs either."""
     front = open_idle_connection(world)
     world.call_before(front, "shutdown", lambda: world.put_unread("c1", OPEN))
     if trigger == "time":
@@ -171,7 +171,7 @@
 def test_client_that_leaves_while_the_decider_sends_its_route_step_leaves_nothing_behind(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The route step went to a front that had ended, and the module waited forever for the step's end."""
+    """Guards against a module that waits forever for the end of a route step whose front has ended."""
     front, balancer = queue_request(world, monkeypatch), world.service.decider.balancer
     monkeypatch.undo()
     world.close_unread("c1")
@@ -327,7 +327,7 @@
 
 
 def test_last_line_of_a_destination_is_relayed_although_a_write_to_it_fails(world: World) -> None:
-    """The write failed while a BYE was unread in the socket, and the client was reset without the BYE."""
+    """The write fails while a BYE is unread in the socket; the client must not be reset without the BYE."""
     world.play(UP)
     world.put_unread("c1", "M 1")
 
@@ -362,7 +362,7 @@
 
 
 def test_move_behind_a_full_buffer_is_written_within_a_second(world: World) -> None:
-    """A slow client was disconnected half a second after its MOVE, which was still unsent."""
+    """A slow client must not be disconnected while its MOVE is unsent."""
     world.play(UP)
     front, client, server = front_of(world), world.sockets.pop("c1"), world.sockets["d1"]
     line, sent = b"M " + b"x" * 4000 + b"\r\n", 0
@@ -398,7 +398,7 @@
 
 
 def test_connection_with_a_fresh_answer_is_not_evicted(world: World) -> None:
-    """The list of idle connections to evict also held those that had just been answered."""
+    """Connections that were just answered are in the list of idle connections too."""
     world.play(f"c1 send {OPEN} x\nc1 expect ERR")
     front = front_of(world)
     front.post(EvictIdle())
@@ -428,7 +428,7 @@
 def test_connection_in_the_backlog_is_answered_before_shutdown(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Shutdown ended as soon as no front was left, and connections in the backlog were reset."""
+    """A shutdown that ends as soon as no front is left would reset the connections in the backlog."""
     monkeypatch.setattr(world.service, "make_room", lambda: False)
     shutdown = Shutdown(world.service)
     world.play("wait 300")
@@ -452,7 +452,7 @@
 
 
 def test_idle_connection_is_closed_in_order_before_shutdown(world: World) -> None:
-    """It was closed with the process, although it might just have sent a request."""
+    """A connection that ends with the process would be reset, although it may just have sent a request."""
     shutdown = Shutdown(world.service)
     front = open_idle_connection(world)
     world.call_before(front, "shutdown", lambda: world.put_unread("c1", OPEN))
@@ -466,7 +466,7 @@
 def test_pending_request_is_answered_at_shutdown(
     monkeypatch: pytest.MonkeyPatch, may_have_run: bool, answer: str
 ) -> None:
-    """With a class deadline beyond the time until SIGKILL, requests in the waiting buffer got no answer."""
+    """A class deadline may lie after SIGKILL; requests in the waiting buffer must be answered before."""
     classes = [{"name": "feed", "aim": 300.0, "deadline": 9000.0, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     if not may_have_run:
@@ -482,7 +482,7 @@
 
 @pytest.mark.parametrize("deadline", [100.0, 300.0, 600.0, 1200.0])
 def test_all_connections_are_moved_before_shutdown_however_short_the_deadline(deadline: float) -> None:
-    """Moving all clients took a second whatever the settings, and the program ended earlier."""
+    """With short deadlines the shutdown is shorter than the time over which clients are moved."""
     classes = [{"name": "feed", "aim": 50.0, "deadline": deadline, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     for n in range(1, 9):
@@ -498,7 +498,7 @@
 
 
 def test_connection_established_in_the_last_turns_of_shutdown_is_moved() -> None:
-    """All other connections were moved long before."""
+    """All other connections have been moved long before."""
     classes = [{"name": "feed", "aim": 300.0, "deadline": 3000.0, "effect": "read_like"}]
     world = World(settings={**SETTINGS, "classes": classes})
     world.play("c1 send OPEN 1 k1 d=3000,c=feed,t=n\nd1 expect OPEN 1 *")
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -12,7 +12,7 @@
 
     def __init__(self, loop: Loop, sock: socket.socket | None = None) -> None:
         super().__init__(loop)
-        self.sock, self.target, self.message_count = sock, self, 0
+        self.sock, self.target, self.message_count = sock, self, 0  # the target itself: nothing is forwarded
 
     def run(self) -> Coroutine:
         while True:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -118,7 +118,7 @@
     ],
 )
 def test_malformed_opening_is_rejected_by_the_balancer(world: World, line: str) -> None:
-    """Destinations rejected such lines: all were tried in turn, and each rejection counted as a failure."""
+    """Forwarded, it would be tried at each destination, and each rejection would count as a failure."""
     world.play(f"c1 send {line}\nc1 expect ERR\nc1 end")
     assert not world.destination_connections
 
@@ -155,7 +155,7 @@
 
 
 def test_idle_clients_leave_sockets_for_requests() -> None:
-    """Connections without a request once used up all descriptors, and other clients were not accepted."""
+    """Connections without a request must not use up the descriptors, so that others are still accepted."""
     world = World(limits={"sockets": 64})
     idle_clients = [socket.create_connection(world.service.listener.getsockname()) for _ in range(100)]
     for n in range(1, 13):
@@ -179,7 +179,7 @@
 
 
 def test_client_of_a_silent_destination_is_moved_within_seven_seconds(world: World) -> None:
-    """Connections to a vanished machine stay open: they must end even without a decision to move them."""
+    """A connection to a vanished machine stays open: it must end even if the decider does not move it."""
     world.service.delay_monitor.report = lambda _: None
     world.play(
         UP + "c1 send M 1\nd1 expect M 1\nwait 5400\nc1 quiet\nwait 200\nc1 expect MOVE\nc1 end\nd1 end"
@@ -195,7 +195,7 @@
 
 
 def test_shutdown_moves_all_clients_without_waiting_for_them(world: World) -> None:
-    """On a planned restart all clients are moved and new ones answered, and it ends before SIGKILL."""
+    """On a planned restart all clients are moved, new ones are answered, and it ends before SIGKILL."""
     world.play(UP)
     shutdown = world.service.drain()
     next(shutdown)
@@ -256,7 +256,7 @@
 def test_route_step_without_a_descriptor_is_a_failed_connect(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """When socket() failed, the client once got no answer."""
+    """If ``socket()`` fails, the client must still get an answer."""
 
     def raise_no_descriptors(*_: object) -> None:
         raise OSError(errno.EMFILE, "too many open files")
@@ -382,7 +382,7 @@
 
 
 def test_invalid_entry_does_not_hide_the_others(world: World) -> None:
-    """A single server in an unknown state would make every later call fail."""
+    """A single server in an unknown state must not make every later call fail."""
     updates = watch_pool(world)
     rows = [
         {**world.list_entry("s-3", world.destination_listener), "state": "warming"},
@@ -507,7 +507,7 @@
     ],
 )
 def test_invalid_body_fails_the_call_and_the_next_call_succeeds(world: World, body: str) -> None:
-    """A deeply nested body ended the watch by a fault, and discovery was not called again."""
+    """A deeply nested body must not end the watch by an exception, so that discovery is called again."""
     updates = watch_pool(world)
     world.play(UP + "pool " + body)
     assert [update.kind.value for update in updates] == ["failed"] and "call failed" in log_without_faults(
@@ -536,7 +536,7 @@
     ],
 )
 def test_entry_with_an_invalid_value_is_left_out(world: World, change: dict[str, Any]) -> None:
-    """A weight of NaN made every ranking with that entry arbitrary."""
+    """A weight of NaN would make every ranking with that entry arbitrary."""
     updates = watch_pool(world)
     rows = [
         world.list_entry("s-1", world.destination_listener),
@@ -586,7 +586,7 @@
 
 
 def test_clients_of_unlisted_destinations_are_moved_once_there_is_another(world: World) -> None:
-    """A destination missing from a full list is gone; its clients stayed until they were disconnected."""
+    """A destination missing from a full list is gone; its clients must not stay until disconnected."""
     world.play(UP + "wait 800")
     world.play("pool " + pool_list(world, 2) + "\nwait 3000\nc1 quiet")
     world.play("c2 send OPEN 2 k2 d=1200,c=feed,t=n\nwait 1130\nc2 expect BUSY *\nc1 quiet")
@@ -624,11 +624,11 @@
 
 
 def test_hang_shows_in_the_first_unanswered_line() -> None:
-    """Lines answered just before a hang once hid it for more than a second."""
+    """Lines answered just before a hang must not hide it."""
     destination_timing, timings = timings_of_one_destination(9)
-    for n, timing in enumerate(timings):
-        timing.record_sent(9.0 + 0.05 * n, 1)
-        timing.record_reply(9.001 + 0.05 * n)
+    for index, timing in enumerate(timings):
+        timing.record_sent(9.0 + 0.05 * index, 1)
+        timing.record_reply(9.001 + 0.05 * index)
     delay = message_delay(destination_timing, 9.8)
     assert delay is not None and round(delay[0], 4) == 0.001
     timings[0].record_sent(9.5, 1)
@@ -642,10 +642,10 @@
 
 
 def test_hang_is_reported_within_a_second_unless_most_destinations_seem_to_hang() -> None:
-    """Clients of a hung destination were moved in parts per second, although it answered nothing at all."""
+    """All clients of a hung destination must be moved at once, not a part of them per second."""
     destination_timing, timings = timings_of_one_destination(2)
-    for n, timing in enumerate(timings):
-        timing.record_sent(9.0 + n, 1)
+    for index, timing in enumerate(timings):
+        timing.record_sent(9.0 + index, 1)
     assert is_silent(destination_timing, 10.1) and not is_silent(destination_timing, 9.4)
     timings[0].record_reply(9.9)
     assert not is_silent(destination_timing, 10.2)
@@ -660,7 +660,7 @@
         timing.record_sent(50.0, 1)
     delay_monitor.loop.clock = lambda: 50.6
     delay_monitor.report_silent()
-    assert not reports  # if two of three hang at once, rather this program was delayed
+    assert not reports  # if two of three seem to hang at once, this program itself was probably delayed
     for timing in monitored[2:4]:
         timing.record_reply(50.6)
     delay_monitor.report_silent()
@@ -672,7 +672,7 @@
 
 
 def test_check_for_hangs_costs_nothing_for_idle_connections() -> None:
-    """Four checks a second of all connections were a third of a relayed line's cost at 4,000 connections."""
+    """With 4,000 connections, checking all four times a second was a third of the cost of relaying lines."""
     checked: list[object] = []
 
     class CountingDeque(deque[float]):
@@ -752,9 +752,9 @@
 
 
 def test_pushed_list_is_polled_without_being_asked_for_and_retried_soon() -> None:
-    """The agent was never called, and the balancer sent requests to a draining destination.
+    """An agent that is not called leaves the balancer sending requests to a draining destination.
 
-    The balancer counts as informed of what the agent holds: calls may be at most half the drain grace apart.
+    The balancer is assumed to have the agent's list: calls may be at most half the drain grace apart.
     """
     world = World(settings={**SETTINGS, "registryMode": "pushed", "invariants": {"drainGrace": 500.0}})
     world.play("pool " + pool_list(world, 1, full=False))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -42,7 +42,7 @@
 
 
 class Process(subprocess.Popen[str]):
-    """Killed if the test fails. The library would wait for the process and so block the test run."""
+    """A process that is killed if the test fails; ``Popen`` would wait for it and block the test run."""
 
     def __exit__(
         self, error_type: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
@@ -75,7 +75,7 @@
 
 
 def test_drain_moves_all_clients_and_answers_late_requests(tmp_path: Path) -> None:
-    """SIGKILL follows SIGTERM after the longest deadline and 0.7 s. Connections still open then are lost."""
+    """SIGKILL follows 0.7 s after SIGTERM and the longest deadline; connections open by then are lost."""
     servers, path = open_listener(), tmp_path / "config.json"
     servers.settimeout(5.0)
     known = {"version": 1, "full": True, "servers": [World.list_entry("s-1", servers)]}
@@ -90,16 +90,16 @@
         destination.sendall(b"UP r\r\n")
         assert client.recv(4096) == b"UP r\r\n"
         process.send_signal(signal.SIGTERM)
-        told = time.monotonic()
-        late = socket.create_connection((address_parts[0], int(address_parts[1])), 5.0)
+        terminated_at = time.monotonic()
+        late_client = socket.create_connection((address_parts[0], int(address_parts[1])), 5.0)
         assert client.recv(4096) == b"MOVE\r\n" and client.recv(4096) == b""
         assert destination.recv(4096) == b""
-        late.sendall(b"OPEN 2 k2 d=1200,c=feed,t=n\r\n")
-        assert late.recv(4096).startswith(b"BUSY ")
-        for sock in (client, destination, late, servers):
+        late_client.sendall(b"OPEN 2 k2 d=1200,c=feed,t=n\r\n")
+        assert late_client.recv(4096).startswith(b"BUSY ")
+        for sock in (client, destination, late_client, servers):
             sock.close()
         assert process.wait(10.0) == 0
-        assert time.monotonic() - told < 1.9
+        assert time.monotonic() - terminated_at < 1.9
 
 
 @pytest.mark.parametrize(
@@ -161,7 +161,7 @@
 
 
 def serves_until_terminated(process: subprocess.Popen[str], address_parts: list[str]) -> None:
-    """Check that the process still answers and exits in order on SIGTERM, although a SIGHUP follows."""
+    """Check that the process still answers and exits with code 0 on SIGTERM, although a SIGHUP follows."""
     with socket.create_connection((address_parts[0], int(address_parts[1])), 5.0) as client:
         client.sendall(b"PING\r\n")
         assert client.recv(4096) == b"PONG\r\n"
@@ -172,8 +172,8 @@
 
 
 def test_hangup_signal_reloads_the_file_and_does_not_end_the_process(tmp_path: Path) -> None:
-    """By default SIGHUP ends a process, so the balancer died at each new configuration."""
-    path, other = tmp_path / "config.json", open_listener()
+    """By default SIGHUP ends a process, and with it the balancer at each new configuration."""
+    path, new_discovery = tmp_path / "config.json", open_listener()
     path.write_text(json.dumps(GOOD))
     # The variable applies to the start only; the replaced file takes precedence after a reload.
     with program(path, GW_DISCOVERY="127.0.0.1:1") as process:
@@ -182,27 +182,27 @@
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
         assert "not JSON" in process.stderr.readline()
-        path.write_text(json.dumps({**GOOD, "discovery": address_of(other)}))
+        path.write_text(json.dumps({**GOOD, "discovery": address_of(new_discovery)}))
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
-        other.settimeout(5.0)
-        call, _ = other.accept()
+        new_discovery.settimeout(5.0)
+        call, _ = new_discovery.accept()
         call.settimeout(5.0)
         assert call.recv(4096).startswith(b"GET /v1/endpoints HTTP/1.1\r\n")
         serves_until_terminated(process, address_parts)
         call.close()
-        other.close()
+        new_discovery.close()
 
 
 def ignores_hangup(pid: int) -> bool:
-    found = re.search(r"SigIgn:\s*([0-9a-f]+)", Path(f"/proc/{pid}/status").read_text())
-    return found is not None and bool(int(found[1], 16) & 1)
+    ignored_mask = re.search(r"SigIgn:\s*([0-9a-f]+)", Path(f"/proc/{pid}/status").read_text())
+    return ignored_mask is not None and bool(int(ignored_mask[1], 16) & 1)
 
 
 def test_hangup_signal_during_the_start_neither_ends_the_process_nor_is_lost(tmp_path: Path) -> None:
-    """SIGHUP is sent to all balancers at once. Those that were just starting died of it."""
+    """SIGHUP is sent to all balancers at once, also to those that are just starting."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    path, other = tmp_path / "config.json", open_listener()
+    path, new_discovery = tmp_path / "config.json", open_listener()
     path.write_text(json.dumps(GOOD))
     command = run.replace(".venv/bin/python", sys.executable)
     log = tmp_path / "log"
@@ -213,19 +213,19 @@
         ) as process,
     ):
         try:
-            end = time.monotonic() + 20.0
+            deadline = time.monotonic() + 20.0
             while not ignores_hangup(process.pid):
-                assert time.monotonic() < end and process.poll() is None
-            path.write_text(json.dumps({**GOOD, "discovery": address_of(other)}))
-            while "serving" not in log.read_text() and time.monotonic() < end:
+                assert time.monotonic() < deadline and process.poll() is None
+            path.write_text(json.dumps({**GOOD, "discovery": address_of(new_discovery)}))
+            while "serving" not in log.read_text() and time.monotonic() < deadline:
                 process.send_signal(signal.SIGHUP)
                 assert process.poll() is None, f"the process died: {log.read_text()}"
-            other.settimeout(10.0)
-            call, _ = other.accept()
+            new_discovery.settimeout(10.0)
+            call, _ = new_discovery.accept()
             call.close()
         finally:
             process.kill()
-    other.close()
+    new_discovery.close()
 
 
 @pytest.mark.parametrize(
@@ -260,7 +260,7 @@
 
 
 def test_log_reader_that_stops_reading_does_not_block_the_service(tmp_path: Path) -> None:
-    """After some 1,300 answers the pipe was full, and the service blocked until its reader continued."""
+    """Once the pipe is full (after some 1,300 answers), a blocking write would stop the service."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     with program(path) as process:
@@ -339,17 +339,20 @@
 
 def imports(path: Path) -> set[str]:
     """Return the modules that a source file imports anywhere."""
-    found = set[str]()
+    modules = set[str]()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
-            found.update(alias.name for alias in node.names)
+            modules.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            found.add("." * node.level + (node.module or ""))
-    return found
+            modules.add("." * node.level + (node.module or ""))
+    return modules
 
 
 def test_deploy_file_names_existing_paths_and_commands() -> None:
-    """Operators start and measure what this file names. The decision module does no I/O, reads no clock."""
+    """Operators start and measure what this file names.
+
+    Its decision module may import nothing that does I/O or reads a clock.
+    """
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     for path in [*deploy["policy"], *deploy["node"]]:
         assert (ROOT / path).exists(), path
@@ -365,7 +368,7 @@
 
 
 def test_process_of_a_failing_test_is_killed(tmp_path: Path) -> None:
-    """A test that failed in the middle waited forever for its process."""
+    """A test that fails in the middle must not wait forever for its process."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     with pytest.raises(AssertionError), program(path) as process:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Configurations, pools and customers are isolated from each other."""
+"""Services, pools and decision modules in one process share no settings and no state."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_reload_that_changes_the_tenants_of_a_pool_updates_its_quotas() -> None:
-    """The pool's module kept the quotas of the old contract and so its estimate of the servers' capacity."""
+    """The pool's module kept the old tenants' quotas, and with them its estimate of the servers' capacity."""
     world = World(TWO_POOL_CONTRACTS, settings=QUOTAS)
     servers = [
         world.list_entry("s-1", world.destination_listener, kind="k1"),
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The cost of a timer among many others, and when it fires."""
+"""When timers fire, and what they cost with many others set."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_distant_timer_fires_at_most_one_slot_late_and_shares_its_event() -> None:
-    """Each emptied slot wakes the loop: at 1,000 lines per second, 1,000 useless wake-ups per second."""
+    """Each emptied slot wakes the loop: with 1 ms slots, 1,000 times a second at 1,000 lines per second."""
     clock, fired = Clock(), list[int]()
     timers: Timers[int] = Timers(clock, fired.append)
     for waiter in range(1000):
@@ -88,10 +88,10 @@
         waiter: timers.set(clock.now + 7.0 * waiter / timer_count, waiter) for waiter in range(timer_count)
     }
     comparison_count = 0
-    for n in range(RESET_COUNT):
-        waiter = (n * 7919) % timer_count
+    for reset_number in range(RESET_COUNT):
+        waiter = (reset_number * 7919) % timer_count
         timers.cancel(slots[waiter], waiter)
-        slots[waiter] = timers.set(clock.now + 7.0 + 0.0005 * n, waiter)
+        slots[waiter] = timers.set(clock.now + 7.0 + 0.0005 * reset_number, waiter)
     per_reset, comparison_count = comparison_count / RESET_COUNT, 0
     clock.now += 9.0
     timers.run()
@@ -102,9 +102,9 @@
 def test_cost_of_resetting_a_timer_does_not_depend_on_the_number_of_timers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """``scheduler.cancel`` searches and sorts the whole queue, thousands of events at 4,000 connections.
+    """``scheduler.cancel`` searches and sorts the whole queue: thousands of events at 4,000 connections.
 
-    Firing costs at most the depth of the heap, which has no more events than the longest wait has ms.
+    Firing costs at most the depth of the heap, whose events are at most the milliseconds of the longest wait.
     """
     few, many = count_comparisons(1_000, monkeypatch), count_comparisons(100_000, monkeypatch)
     assert many[0] <= 1.15 * few[0] + 0.01 and many[0] < 2.0, (few, many)
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -1,7 +1,7 @@
 """Helper of the network tests: a small scenario language, and a balancer with peers that runs it.
 
-A scenario is text with one step per line: NAME VERB [ARGUMENT].  NAME is a client (``c1``), a connection to
-a destination (``d1``, numbered in the order of arrival) or discovery (``pool``).  The clock advances only by
+A scenario is text with one step per line: NAME VERB [ARGUMENT]. NAME is a client (``c1``), a connection to a
+destination (``d1``, numbered in the order of arrival) or discovery (``pool``). The clock advances only by
 ``wait``; steps that expect something run the balancer's loop until it has arrived.
 
     c1 send OPEN 1 k1 d=1200,c=feed     sends a line, after connecting; ``part`` omits the line end
@@ -64,7 +64,7 @@
 
 
 def wait_until(done: Callable[[], bool]) -> None:
-    """Wait until a condition holds, since the kernel may deliver with a delay even on loopback."""
+    """Wait in real time until a condition holds; even on loopback the kernel may deliver with a delay."""
     deadline = time.monotonic() + MAX_WAIT_S
     while not done():
         assert time.monotonic() < deadline, "the expected state did not occur in time"
@@ -90,10 +90,10 @@
     """Wraps the loop's epoll, and runs an action once, just after ``poll`` has returned."""
 
     def poll(self, timeout: float | None = None) -> Any:
-        found = self.wrapped.poll(timeout)
+        events = self.wrapped.poll(timeout)
         if self.pending_actions:
             self.pending_actions.pop()()
-        return found
+        return events
 
 
 class Clock:
@@ -110,7 +110,11 @@
     """One balancer, the destinations ``s-1`` and ``s-2`` at one address, and discovery, all in one thread."""
 
     def __init__(self, contracts_text: str = "", **config_changes: Any) -> None:
-        """``contracts_text`` is the content of a contracts file; tests may replace it before a reload."""
+        """Start the balancer.
+
+        ``contracts_text`` is the content of a contracts file; tests may replace it before a reload.
+        ``config_changes`` replace keys of the default configuration.
+        """
         self.clock = Clock()
         self.destination_listener = open_listener()
         self.discovery_listener = open_listener()
@@ -119,7 +123,7 @@
         self.sockets: dict[str, socket.socket] = {}
         self.received: dict[str, bytearray] = {}
         self.closed: set[str] = set()
-        self.destination_connections = 0
+        self.destination_connections = 0  # accepted so far; numbers their names d1, d2, ...
         self.log_output = io.StringIO()
         log = Log(self.clock, self.log_output)
         default_config = {
@@ -184,7 +188,7 @@
                 ) from None
 
     def run_turn(self) -> None:
-        """Run one turn of the balancer's loop, then accept and read at the other ends."""
+        """Run one turn of the balancer's loop, then accept a connection and read at the other ends."""
         self.loop.run_once(0.001)
         try:
             self.destination_connections += 1
@@ -221,16 +225,16 @@
     def put_unread(self, name: str, line: str) -> None:
         """Put a line into the receive buffer of the balancer's socket, without running the loop."""
         sock, data = self.balancer_socket(name), line.encode() + b"\r\n"
-        before = unread_bytes(sock)
+        unread_before = unread_bytes(sock)
         self.sockets[name].sendall(data)
-        wait_until(lambda: unread_bytes(sock) >= before + len(data))
+        wait_until(lambda: unread_bytes(sock) >= unread_before + len(data))
 
     def close_unread(self, name: str, reset: bool = False) -> None:
-        """Close or reset a connection, so that the balancer has the end pending, without running the loop."""
-        sock, own_sock = self.balancer_socket(name), self.sockets.pop(name)
+        """Close or reset a connection; returns once the balancer can read its end, without running the loop."""
+        sock, peer_sock = self.balancer_socket(name), self.sockets.pop(name)
         if reset:
-            own_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        own_sock.close()
+            peer_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        peer_sock.close()
         poller = select.poll()
         poller.register(sock.fileno(), select.POLLRDHUP)
         wait_until(lambda: bool(poller.poll(0)))
@@ -245,13 +249,13 @@
 
     def resume_first(self, actor: Any) -> None:
         """Resume this actor before all others in every following turn."""
-        real, fd = self.loop.epoll, actor.sock.fileno()
+        real_epoll, fd = self.loop.epoll, actor.sock.fileno()
 
-        class First(CallHook):
+        class SortingPoll(CallHook):
             def poll(self, timeout: float | None = None) -> Any:
-                return sorted(real.poll(timeout), key=lambda row: row[0] != fd)
+                return sorted(real_epoll.poll(timeout), key=lambda event: event[0] != fd)
 
-        self.loop.epoll = First(real, "", lambda: None)  # type: ignore[assignment]
+        self.loop.epoll = SortingPoll(real_epoll, "", lambda: None)  # type: ignore[assignment]
 
     def run_until(self, done: Any) -> None:
         """Run turns until a condition holds."""
@@ -300,7 +304,7 @@
         self.received[name] = bytearray(rest)
 
     def quiet(self, name: str, _: str) -> None:
-        """Expect no input and no end of the connection."""
+        """Expect that nothing was received and the connection is still open."""
         self.run_turns()
         assert not self.received.get(name) and name not in self.closed, (
             "received input or the end of the connection"
