--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -67,10 +67,10 @@
 
 
 def test_old_and_new_key_are_accepted_while_keys_are_replaced() -> None:
-    old, new = b"o" * 32, b"n" * 32
-    assert wire.unseal(wire.seal(frame(), old), [new, old]).sender == "a"
+    old_key, new_key = b"o" * 32, b"n" * 32
+    assert wire.unseal(wire.seal(frame(), old_key), [new_key, old_key]).sender == "a"
     with pytest.raises(FrameDropped, match="digest"):
-        wire.unseal(wire.seal(frame(), old), [new])
+        wire.unseal(wire.seal(frame(), old_key), [new_key])
 
 
 def test_a_frame_is_accepted_once_and_only_for_this_start() -> None:
@@ -132,13 +132,13 @@
 )
 
 
-def consistent(entries: list[Entry]) -> list[Entry]:
-    """The entries with one entry for each sequence number, as an owner writes them."""
+def without_duplicate_seqs(entries: list[Entry]) -> list[Entry]:
+    """The entries with one entry for each owner, epoch and sequence number, as owners write them."""
     return list({(entry.owner, entry.epoch, entry.seq): entry for entry in entries}.values())
 
 
-def live(store: Store) -> object:
-    """The live entries of a store."""
+def live_entries(store: Store) -> object:
+    """The owner, kind and key, sequence number and epoch of each entry that is no tombstone."""
     return {
         (name, key, stored.entry.seq, stored.entry.epoch)
         for name, owner in store.owners.items()
@@ -150,30 +150,30 @@
 @given(st.lists(ENTRY, max_size=5))
 @settings(max_examples=150)
 def test_merge_is_commutative_and_idempotent(entries: list[Entry]) -> None:
-    entries = consistent(entries)
+    entries = without_duplicate_seqs(entries)
     results = []
     for order in list(permutations(entries))[:24]:
         store = Store("me", 1)
         for entry in [*order, *order]:
             store.merge_entry(entry, 0.0)
-        results.append(live(store))
+        results.append(live_entries(store))
     assert all(result == results[0] for result in results)
 
 
 @given(st.lists(ENTRY, max_size=6), st.lists(ENTRY, max_size=6))
 def test_two_stores_that_pull_from_each_other_become_equal(first: list[Entry], second: list[Entry]) -> None:
-    entries = consistent([*first, *second])
-    one, other = Store("me", 1), Store("you", 1)
+    entries = without_duplicate_seqs([*first, *second])
+    store_1, store_2 = Store("me", 1), Store("you", 1)
     for entry in entries:
-        (one if entry in first else other).merge_entry(entry, 0.0)
+        (store_1 if entry in first else store_2).merge_entry(entry, 0.0)
     for _ in range(4):
-        for target, source in ((one, other), (other, one)):
+        for target, source in ((store_1, store_2), (store_2, store_1)):
             for summary in source.summaries():
                 pull(target, source, summary)
-    assert {owner for owner in one.owners if owner in "xyz"} == {
-        owner for owner in other.owners if owner in "xyz"
+    assert {owner for owner in store_1.owners if owner in "xyz"} == {
+        owner for owner in store_2.owners if owner in "xyz"
     }
-    assert live(one) == live(other)
+    assert live_entries(store_1) == live_entries(store_2)
 
 
 def pull(target: Store, source: Store, summary: OwnerSummary) -> None:
@@ -184,10 +184,10 @@
     after, full = start
     seqs, more = set[int](), True
     while more:
-        found = source.entries_after(summary.owner, summary.epoch, after, 40, 0.0)
-        assert found is not None
-        current, up_to, more, entries = found
-        target.merge_batch(current, after, up_to, entries, 0.0)
+        batch = source.entries_after(summary.owner, summary.epoch, after, 40, 0.0)
+        assert batch is not None
+        current_summary, up_to, more, entries = batch
+        target.merge_batch(current_summary, after, up_to, entries, 0.0)
         seqs |= {entry.seq for entry in entries}
         after = up_to
     if full:
@@ -222,8 +222,8 @@
 
 def test_the_number_of_registers_of_an_owner_is_limited() -> None:
     store = Store("me", 1, max_entries=10)
-    for n in range(50):
-        store.merge_entry(Entry("x", 1, n + 1, 1, f"k{n}", b"v", 0), 0.0)
+    for index in range(50):
+        store.merge_entry(Entry("x", 1, index + 1, 1, f"k{index}", b"v", 0), 0.0)
     assert len(store.owners["x"].entries) == 10 and store.rejected == 40
 
 
@@ -232,75 +232,75 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_copies_agree_after_loss_duplication_corruption_and_a_partition(seed: int) -> None:
-    net = Network(
+    network = Network(
         6,
         seed,
         faults=LinkFaults(
             loss_probability=0.1, duplicate_probability=0.1, corruption_probability=0.05, max_delay_s=0.15
         ),
     )
-    net.run(10.0, net.has_converged)
-    net.partition(["m0", "m1", "m2"])
+    network.run(10.0, network.has_converged)
+    network.partition(["m0", "m1", "m2"])
     for n in range(6):
-        net.write(f"m{n}", 1, "k", b"%d" % n)
-    net.run(net.now + 12.0)
-    net.kill("m4")
-    net.run(net.now + 3.0)
-    net.start_machine("m4")
-    net.write("m4", 1, "k", b"anew")
-    net.write("m0", 1, "k", None)
-    net.heal()
-    healed_at = net.now
-    net.run(healed_at + 20.0, net.has_converged)
-    assert net.has_converged() and net.now < healed_at + 10.0
-    assert all(machine.node.counts.dropped["digest"] for machine in net.running_machines())
+        network.write(f"m{n}", 1, "k", b"%d" % n)
+    network.run(network.now + 12.0)
+    network.kill("m4")
+    network.run(network.now + 3.0)
+    network.start_machine("m4")
+    network.write("m4", 1, "k", b"anew")
+    network.write("m0", 1, "k", None)
+    network.heal()
+    healed_at = network.now
+    network.run(healed_at + 20.0, network.has_converged)
+    assert network.has_converged() and network.now < healed_at + 10.0
+    assert all(machine.node.counts.dropped["digest"] for machine in network.running_machines())
 
 
 def test_a_stopped_machine_recovers_and_a_wrong_clock_has_no_effect() -> None:
-    net = Network(5, 3)
-    net.machines["m1"].skew_ms = 600_000.0
-    net.run(8.0, net.has_converged)
-    net.pause("m2", 5.0)
-    net.write("m1", 1, "k", b"1")
-    net.write("m0", 1, "k", b"0")
-    net.run(net.now + 12.0)
-    assert net.has_converged()
+    network = Network(5, 3)
+    network.machines["m1"].skew_ms = 600_000.0
+    network.run(8.0, network.has_converged)
+    network.pause("m2", 5.0)
+    network.write("m1", 1, "k", b"1")
+    network.write("m0", 1, "k", b"0")
+    network.run(network.now + 12.0)
+    assert network.has_converged()
     assert all(
         machine.node.hybrid_clock.highest_timestamp >> LOGICAL_BITS < 1_700_000_000_000 + 60_000
-        for machine in net.running_machines()
+        for machine in network.running_machines()
         if machine.name != "m1"
     )
 
 
 def test_a_restart_after_the_clock_went_back_continues_from_the_earlier_start() -> None:
-    net = Network(4, 5)
-    net.run(8.0, net.has_converged)
-    net.write("m3", 1, "k", b"before")
-    net.run(net.now + 2.0)
-    net.kill("m3")
-    net.machines["m3"].skew_ms = -3_600_000.0
-    net.start_machine("m3")
-    net.write("m3", 1, "k", b"after")
-    net.run(net.now + 25.0, net.has_converged)
+    network = Network(4, 5)
+    network.run(8.0, network.has_converged)
+    network.write("m3", 1, "k", b"before")
+    network.run(network.now + 2.0)
+    network.kill("m3")
+    network.machines["m3"].skew_ms = -3_600_000.0
+    network.start_machine("m3")
+    network.write("m3", 1, "k", b"after")
+    network.run(network.now + 25.0, network.has_converged)
     values = {
         stored.entry.value
-        for machine in net.running_machines()
+        for machine in network.running_machines()
         for stored in machine.node.store.live_entries(1)
     }
-    assert net.has_converged() and values == {b"after"}
+    assert network.has_converged() and values == {b"after"}
 
 
 def test_a_one_way_cut_and_short_stops_cause_no_false_death() -> None:
-    net = Network(20, 2, faults=LinkFaults(loss_probability=0.05))
-    net.run(20.0, net.has_converged)
-    net.is_cut = lambda one, other: (one, other) == ("m3", "m4")
-    end = net.now + 60.0
-    while net.now < end:
-        net.pause(f"m{net.rng.randrange(20)}", 0.6)
-        net.run(net.now + 5.0)
+    network = Network(20, 2, faults=LinkFaults(loss_probability=0.05))
+    network.run(20.0, network.has_converged)
+    network.is_cut = lambda sender, receiver: (sender, receiver) == ("m3", "m4")
+    end = network.now + 60.0
+    while network.now < end:
+        network.pause(f"m{network.rng.randrange(20)}", 0.6)
+        network.run(network.now + 5.0)
     assert not [
         event
-        for machine in net.running_machines()
+        for machine in network.running_machines()
         for _, event in machine.node_events
         if getattr(getattr(event, "member", None), "state", 0) >= 2
     ]
@@ -311,15 +311,25 @@
 
 def test_verdicts_of_a_balancer_that_reports_many_destinations_are_ignored() -> None:
     store = Store("me", 1)
-    for n in range(6):
+    for destination in range(6):
         store.merge_entry(
-            Entry("x", 1, n + 1, registers.HEALTH, str(n), registers.pack(registers.HANGING), 0, 6000), 0.0
+            Entry(
+                "x",
+                1,
+                destination + 1,
+                registers.HEALTH,
+                str(destination),
+                registers.pack(registers.HANGING),
+                0,
+                6000,
+            ),
+            0.0,
         )
     node = Node("me", "me", [FLEET_KEY], [], random.Random(1), lambda: 1e12)
     node.members.record_contact("x", "x", 1, 1, 0.0)
     register_view = registers.RegisterView(store, node.members)
     assert not register_view.verdicts(12, 1.0) and len(register_view.verdicts(24, 1.0)) == 6
-    assert not register_view.verdicts(24, 7.0)  # expired
+    assert not register_view.verdicts(24, 7.0)  # the registers have expired
 
 
 def test_a_balancer_that_is_served_ignores_and_contradicts_a_verdict() -> None:
@@ -352,9 +362,9 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_rights_are_never_used_twice(seed: int) -> None:
-    """Three balancers whose registers arrive late, in any combination or not for a while, and that crash.
+    """The limits of three balancers are together within the budget at each step.
 
-    At each step the limits of all three together must be within the budget.
+    Their registers arrive late or, during a partition, not at all, and the balancers crash and restart.
     """
     rng = random.Random(seed)
     names, share = ["a", "b", "c"], 20.0
@@ -363,7 +373,7 @@
     requests: dict[str, tuple[int, object]] = {}
     read_requests: dict[tuple[str, str], tuple[int, object]] = {}  # by (reader, writer)
     grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # by (lender, borrower): lender's epoch and grant
-    read_grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # the same, as read by the borrower
+    read_grants: dict[tuple[str, str], tuple[int, Grant]] = {}  # the version that the borrower read last
     used = dict.fromkeys(names, 0.0)
     highest_limit, now = 0.0, 0.0
     cut: set[tuple[str, str]] = set()
@@ -404,13 +414,13 @@
             if rng.random() < 0.1:
                 other_epochs = {other: epochs[other] for other in names if other != name}
                 requests[name] = epochs[name], budget.make_request(used[name], other_epochs, now)
-            known = {other: row for (reader, other), row in read_requests.items() if reader == name}
-            for borrower, grant in budget.grant_requests(known, used[name], now).items():  # type: ignore[arg-type]
+            known_requests = {other: row for (reader, other), row in read_requests.items() if reader == name}
+            for borrower, grant in budget.grant_requests(known_requests, used[name], now).items():  # type: ignore[arg-type]
                 grants[name, borrower] = epochs[name], grant
         limits = [budgets[name].limit(now) for name in names]
         assert sum(limits) <= 3 * share + 1e-6, (now, limits)
         highest_limit = max(highest_limit, max(limits))
-    assert highest_limit > share  # rights have moved
+    assert highest_limit > share  # some balancer had borrowed rights
 
 
 def test_a_starting_balancer_assumes_most_is_lent_until_all_confirm_its_start() -> None:
@@ -426,24 +436,24 @@
 
 @pytest.mark.parametrize("first", [0, 27, 120, 1059, 1472])
 def test_runs_with_all_faults_at_once_end_in_agreement_on_what_was_written(first: int) -> None:
-    """With seeds 8, 27, 120, 1059 and 1472 some members never learned of each other in earlier versions."""
+    """In earlier versions some members never joined each other with seeds 8, 27, 120, 1059 and 1472."""
     assert not [fault for seed in range(first, first + 12) if (fault := run_schedule(seed))]
 
 
 def test_no_interleaving_of_two_balancers_uses_a_right_twice() -> None:
-    states, depth, broken = explore(2, 6, 100_000)
-    assert not broken and depth == 6 and states > 10_000
+    states, depth, failing_steps = explore(2, 6, 100_000)
+    assert not failing_steps and depth == 6 and states > 10_000
 
 
 def lease_from_arrival(
     budget: Budget, lender: str, lender_epoch: int, grant: Grant, epoch: int, now: float
 ) -> None:
-    """Counts the lease from when its grant arrived, not from when it was requested."""
+    """A broken ``receive_grant``: counts the lease from the arrival of the grant, not from the request."""
     budget.request_times[grant.request_number] = now
     receive_grant(budget, lender, lender_epoch, grant, epoch, now)
 
 
-receive_grant = Budget.receive_grant
+receive_grant = Budget.receive_grant  # the original, which the last test here replaces
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -11,11 +11,11 @@
 from snowwick.fleet.file import FleetFileError, load, parse
 
 ROOT = Path(__file__).parent.parent
-GOOD = 'version = 1\n[links]\nlisten = "127.0.0.1:7946"\nkey_file = "key"\nseeds = ["127.0.0.1:7947"]\n'
+VALID_FILE = 'version = 1\n[links]\nlisten = "127.0.0.1:7946"\nkey_file = "key"\nseeds = ["127.0.0.1:7947"]\n'
 
 
-def folder(path: Path, mode: int = 0o600, key: bytes = b"sixteen bytes at least") -> Path:
-    """A folder with a key file."""
+def add_key_file(path: Path, mode: int = 0o600, key: bytes = b"sixteen bytes at least") -> Path:
+    """Write a key file to a folder; returns the folder."""
     (path / "key").write_bytes(key)
     (path / "key").chmod(mode)
     return path
@@ -37,7 +37,7 @@
 )
 def test_each_fault_starts_with_its_key_path(tmp_path: Path, change: tuple[str, str], fault: str) -> None:
     with pytest.raises(FleetFileError) as caught:
-        parse(GOOD.replace(*change), folder(tmp_path))
+        parse(VALID_FILE.replace(*change), add_key_file(tmp_path))
     assert any(line.startswith(fault) for line in caught.value.faults), caught.value.faults
 
 
@@ -45,17 +45,17 @@
     with pytest.raises(
         FleetFileError, match=r"links.key_file: .* is accessible to group or others; run chmod 600 on it"
     ):
-        parse(GOOD, folder(tmp_path, 0o640))
+        parse(VALID_FILE, add_key_file(tmp_path, 0o640))
     with pytest.raises(FleetFileError, match=r"links.key_file: .* holds 5 bytes"):
-        parse(GOOD, folder(tmp_path, key=b"short"))
+        parse(VALID_FILE, add_key_file(tmp_path, key=b"short"))
 
 
 def test_the_example_is_valid_and_the_check_command_reads_it(tmp_path: Path) -> None:
-    (folder(tmp_path) / "key").rename(tmp_path / "fleet.key")
+    (add_key_file(tmp_path) / "key").rename(tmp_path / "fleet.key")
     file = tmp_path / "fleet.toml"
     file.write_text((ROOT / "deploy" / "fleet.toml").read_text())
     assert load(file).links.period_ms == 200
-    good, bad = [
+    valid_result, missing_result = [
         subprocess.run(
             [sys.executable, "-m", "snowwick", "fleet", "check", str(path)],
             cwd=ROOT,
@@ -64,8 +64,8 @@
         )
         for path in (file, tmp_path / "none")
     ]
-    assert good.returncode == 0 and "2 seeds, 1 keys" in good.stdout
-    assert bad.returncode == 2 and "cannot read" in bad.stderr
+    assert valid_result.returncode == 0 and "2 seeds, 1 keys" in valid_result.stdout
+    assert missing_result.returncode == 2 and "cannot read" in missing_result.stderr
 
 
 def test_no_fleet_module_is_loaded_without_a_fleet_file() -> None:
--- a/tests/test_fleet_net.py
+++ b/tests/test_fleet_net.py
@@ -1,4 +1,4 @@
-"""Several real balancer processes with faults on the links between them."""
+"""Several balancer processes that replicate over UDP, with faults on the links between them."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
         fleet.wait_until(fleet.all_joined)
         fleet.partition([0, 1])
         fleet.wait_until(lambda: fleet.all_joined(0, 1) and fleet.all_joined(2, 3))
-        answers = [fleet.connect_client(n) for n in range(4)]
-        fleet.wait_for_answers(*answers)
+        results = [fleet.connect_client(n) for n in range(4)]
+        fleet.wait_for_answers(*results)
         fleet.heal()
         assert fleet.wait_until(fleet.all_joined) < 3.0
         fleet.wait_until(lambda: all(fleet.status(n)["held_elsewhere"] == 3 for n in range(4)))
-        assert all(answer.final_answers[0].startswith(b"UP") for answer in answers)
+        assert all(result.final_answers[0].startswith(b"UP") for result in results)
 
 
 def test_no_member_is_declared_dead_by_a_one_way_cut(tmp_path: Path) -> None:
@@ -38,14 +38,14 @@
         fleet.wait_until(lambda: all(fleet.status(n)["list_version"] >= 3 for n in range(3)))
         hanging = fleet.destinations[0]
         hanging.mode = "hang"
-        for n in range(8):  # their keys send about half of them to the hanging destination
+        for n in range(8):  # about half of these keys are routed to the hanging destination
             fleet.connect_client(0, key=f"c{n}")
         fleet.wait_for_answers()
         fleet.wait_until(lambda: all(fleet.status(n)["kept_away_from"] for n in (1, 2)))
         opened_before = len(hanging.opening_times)
-        answers = [fleet.connect_client(n, key=f"d{client}") for n in (1, 2) for client in range(8)]
-        fleet.wait_for_answers(*answers)
-        assert all(answer.final_answers[0].startswith(b"UP") for answer in answers)
+        results = [fleet.connect_client(n, key=f"d{client}") for n in (1, 2) for client in range(8)]
+        fleet.wait_for_answers(*results)
+        assert all(result.final_answers[0].startswith(b"UP") for result in results)
         assert len(hanging.opening_times) == opened_before
 
 
@@ -64,9 +64,9 @@
 
 
 def test_a_newer_list_at_one_balancer_drains_destinations_at_all_and_adds_none(tmp_path: Path) -> None:
-    """Two balancers get no new list from discovery; the third one's list drains one destination and adds one.
+    """Two balancers receive no new list; the third one's list drains one destination and adds one.
 
-    The two drain the destination as well, but do not use the added one.
+    The two also drain that destination, but do not use the added one.
     """
     with Fleet(tmp_path, 3, destination_count=2) as fleet:
         fleet.start()
@@ -84,9 +84,9 @@
             )
         )
         opened_before = len(drained.opening_times)
-        answers = [fleet.connect_client(n, key=f"d{client}") for n in (1, 2) for client in range(6)]
-        fleet.wait_for_answers(*answers)
-        assert all(answer.final_answers[0].startswith(b"UP s-1") for answer in answers)
+        results = [fleet.connect_client(n, key=f"d{client}") for n in (1, 2) for client in range(6)]
+        fleet.wait_for_answers(*results)
+        assert all(result.final_answers[0].startswith(b"UP s-1") for result in results)
         assert len(drained.opening_times) == opened_before and not added.opening_times
 
 
@@ -138,11 +138,11 @@
         fleet.wait_until(fleet.all_joined)
         fleet.send_signal(1, signal.SIGSTOP)
         fleet.run_for(5.0)
-        answers = [fleet.connect_client(0), fleet.connect_client(2)]
+        results = [fleet.connect_client(0), fleet.connect_client(2)]
         fleet.send_signal(1, signal.SIGCONT)
         fleet.wait_until(fleet.all_joined)
-        answers.append(fleet.connect_client(1))
-        fleet.wait_for_answers(*answers)
+        results.append(fleet.connect_client(1))
+        fleet.wait_for_answers(*results)
         fleet.wait_until(lambda: [fleet.status(n)["held_elsewhere"] for n in range(3)] == [2, 2, 2])
 
 
@@ -198,31 +198,33 @@
 
 
 def test_a_budget_moves_to_the_balancer_that_needs_it_and_is_never_exceeded(tmp_path: Path) -> None:
-    """Clients connect to one balancer only, then, during a partition, to the other one.
+    """Clients connect to one balancer and then, during a partition, to the other one.
 
-    The connections are counted at the destination, so that the budget is checked over both balancers.
+    The connections are counted at the destination, so that the budget is checked across both balancers.
     """
     with Fleet(tmp_path, 2, destination_count=1, contracts=CONTRACTS) as fleet:
         fleet.start()
         fleet.wait_until(fleet.all_joined)
-        (node,) = fleet.destinations
+        (destination,) = fleet.destinations
         most_connections = 0
 
-        def connect_until(n: int, wanted: int) -> bool:
-            """Open one more connection at balancer ``n``; whether ``wanted`` are established there."""
+        def connect_until(number: int, wanted: int) -> bool:
+            """Connect one more client to a balancer if needed; returns whether ``wanted`` are established."""
             nonlocal most_connections
-            open_here = [
-                answer for answer in fleet.client_results if answer.balancer_number == n and not answer.ended
+            open_results = [
+                result
+                for result in fleet.client_results
+                if result.balancer_number == number and not result.ended
             ]
-            if len(open_here) < wanted:
-                fleet.connect_client(n)
+            if len(open_results) < wanted:
+                fleet.connect_client(number)
                 fleet.run_for(0.05)
-            most_connections = max(most_connections, node.established)
+            most_connections = max(most_connections, destination.established)
             assert most_connections <= 20
             return (
                 sum(
-                    bool(answer.final_answers and answer.final_answers[0].startswith(b"UP"))
-                    for answer in open_here
+                    bool(result.final_answers and result.final_answers[0].startswith(b"UP"))
+                    for result in open_results
                 )
                 >= wanted
             )
@@ -233,11 +235,11 @@
         fleet.wait_until(lambda: connect_until(0, 10) and not connect_until(0, 11), 30.0)
         assert most_connections > 16
         ended = [
-            answer
-            for answer in fleet.client_results
-            if answer.final_answers and answer.final_answers[0].startswith(b"UP") and answer.ended
+            result
+            for result in fleet.client_results
+            if result.final_answers and result.final_answers[0].startswith(b"UP") and result.ended
         ]
-        assert ended and all(answer.moved for answer in ended)
+        assert ended and all(result.moved for result in ended)
 
 
 def test_the_stricter_of_two_contracts_applies_at_both_balancers(tmp_path: Path) -> None:
