--- a/snowwick/net/fleet.py
+++ b/snowwick/net/fleet.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from crowgap import interface as i
+from crowgap import interface
 from snowwick.fleet import registers
 from snowwick.fleet.file import FleetFile
 from snowwick.fleet.members import STATE_NAMES, MemberChange
@@ -237,7 +237,7 @@
         for destination, verdict in to_publish.items():
             made_at = health.own_verdicts[destination][1] if destination in health.own_verdicts else now
             published = self.published_verdicts.get(destination)
-            # Written again only where the verdict has changed or was renewed, not at every call
+            # Written again only where the verdict has changed, or was made again half its lifetime later
             if (
                 published is None
                 or published[0] != verdict
@@ -258,7 +258,9 @@
         pool = self.host.pool_config
         source = self.file.share.discovery
         leaving = [
-            destination for destination, entry in pool.entries.items() if entry.state is not i.State.READY
+            destination
+            for destination, entry in pool.entries.items()
+            if entry.state is not interface.State.READY
         ]
         self._write_register(
             registers.LIST, "", DiscoveryState(source, pool.version, leaving[-registers.MAX_LEAVING :]), now
@@ -268,7 +270,7 @@
         drained = {
             destination
             for destination in reported
-            if destination in pool.entries and pool.entries[destination].state is i.State.READY
+            if destination in pool.entries and pool.entries[destination].state is interface.State.READY
         }
         newly_drained = drained - self.leaving
         if newly_drained:
@@ -281,18 +283,20 @@
             )
             self.host.apply_pool_update(
                 PoolUpdate(
-                    i.ListKind.CHANGES,
+                    interface.ListKind.CHANGES,
                     [_as_draining(pool.entries[destination]) for destination in sorted(newly_drained)],
                 )
             )
         restored = [
             destination
             for destination in sorted(self.leaving - drained)
-            if destination in pool.entries and pool.entries[destination].state is i.State.READY
+            if destination in pool.entries and pool.entries[destination].state is interface.State.READY
         ]
         if restored:  # the newer list was withdrawn, for example when discovery was restored from a backup
             self.host.apply_pool_update(
-                PoolUpdate(i.ListKind.CHANGES, [pool.entries[destination] for destination in restored])
+                PoolUpdate(
+                    interface.ListKind.CHANGES, [pool.entries[destination] for destination in restored]
+                )
             )
         self.leaving = frozenset(drained)
 
@@ -353,8 +357,10 @@
             self.revision = Revision(
                 self.file.digest, contracts_digest(stage.contracts), fleet_limits(stage.contracts)
             )
-        own = self.revision = Revision(self.file.digest, self.revision.contracts_digest, self.revision.limits)
-        limits = sorted(own.limits.items())
+        own_revision = self.revision = Revision(
+            self.file.digest, self.revision.contracts_digest, self.revision.limits
+        )
+        limits = sorted(own_revision.limits.items())
         parts = [
             dict(limits[start : start + registers.LIMITS_PER_REGISTER])
             for start in range(0, len(limits), registers.LIMITS_PER_REGISTER)
@@ -363,17 +369,18 @@
             self._write_register(
                 registers.REVISION,
                 f"{number:04}",
-                Revision(own.fleet_digest, own.contracts_digest, parts[number])
+                Revision(own_revision.fleet_digest, own_revision.contracts_digest, parts[number])
                 if number < len(parts)
                 else None,
                 now,
             )
         self.revision_part_count = len(parts)
-        others = self.register_view.revisions(now)
+        other_revisions = self.register_view.revisions(now)
         differing = frozenset(
             name
-            for name, revision in others.items()
-            if (revision.fleet_digest, revision.contracts_digest) != (own.fleet_digest, own.contracts_digest)
+            for name, revision in other_revisions.items()
+            if (revision.fleet_digest, revision.contracts_digest)
+            != (own_revision.fleet_digest, own_revision.contracts_digest)
         )
         if differing - self.differing_members:
             self.log.event(
@@ -381,14 +388,16 @@
                 "fleet: {names} use another fleet file or other contracts than this balancer, "
                 "{digest} {contracts}; the stricter limits apply",
                 names=", ".join(sorted(differing)),
-                digest=own.fleet_digest,
-                contracts=own.contracts_digest or "-",
+                digest=own_revision.fleet_digest,
+                contracts=own_revision.contracts_digest or "-",
             )
         self.differing_members = differing
         if stage is not None:
-            lowest = registers.stricter_limits(own, others)
+            stricter = registers.stricter_limits(own_revision, other_revisions)
             stage.stricter_shares = {
-                key: limit / own.limits[key] for key, limit in lowest.items() if own.limits[key] > 0.0
+                key: limit / own_revision.limits[key]
+                for key, limit in stricter.items()
+                if own_revision.limits[key] > 0.0
             }
             if not self.file.share.rights:
                 stage.set_rights({key: share for key, (share, _) in stage.budgets().items()})
@@ -432,10 +441,10 @@
         }
 
 
-def _as_draining(entry: i.BackendEntry) -> i.BackendEntry:
+def _as_draining(entry: interface.BackendEntry) -> interface.BackendEntry:
     """A copy of an entry of discovery's list, with its state changed to draining."""
-    return i.BackendEntry(
-        entry.backend, i.State.DRAINING, entry.zone, entry.cell, entry.weight, entry.started
+    return interface.BackendEntry(
+        entry.backend, interface.State.DRAINING, entry.zone, entry.cell, entry.weight, entry.started
     )
 
 
