--- a/snowwick/broker/contract.py
+++ b/snowwick/broker/contract.py
@@ -26,7 +26,10 @@
 
 
 class BadContracts(ValueError):
-    """The file cannot be used; ``faults`` holds one line per fault, starting with the full key path."""
+    """The contracts file cannot be used; ``faults`` holds one line per fault.
+
+    A fault at a key starts with the key's full path.
+    """
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -120,6 +123,7 @@
         ceiling = fleet.connections if team.ceiling.connections is None else team.ceiling.connections
         setups_per_s = fleet.setups_per_s if team.ceiling.setups_per_s is None else team.ceiling.setups_per_s
         load = team.ceiling.load if team.ceiling.load is not None else fleet.load or math.inf
+        # The ceiling is dealt from the same unit as the guarantee, so it is no lower at any balancer.
         team_parts[name] = TeamPart(
             (
                 round_robin_count(first_unit, guaranteed, balancers, index),
@@ -154,13 +158,13 @@
 
 
 def load(
-    path: str | Path, classes: Collection[str] | None = None, tenants: Collection[str] | None = None
+    file_path: str | Path, classes: Collection[str] | None = None, tenants: Collection[str] | None = None
 ) -> Contracts:
     """Like ``parse`` for a file; raises BadContracts also if the file cannot be read."""
     try:
-        text = Path(path).read_text(encoding="utf-8")
+        text = Path(file_path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise BadContracts([f"cannot read {path}: {error}"]) from error
+        raise BadContracts([f"cannot read {file_path}: {error}"]) from error
     return parse(text, classes, tenants)
 
 
@@ -236,6 +240,7 @@
             getattr(fleet, key),
             sum(getattr(team.guarantee, key) or 0 for team in teams.values()),
         )
+        # 1e-9 allows for the rounding errors of a sum.
         if limit is not None and guaranteed > limit * (1 + 1e-9):
             reader.add_fault(f"fleet.{key}", f"the guarantees add up to {guaranteed}, which exceeds {limit}")
     names = list(pools)
@@ -253,7 +258,7 @@
     classes: Collection[str] | None,
     tenants: Collection[str] | None,
 ) -> None:
-    """Check that the settings have the classes and tenants that the contracts name."""
+    """Check that the settings define the classes and tenants that the contracts name."""
     for name, team in teams.items():
         for key in team.classes if classes is not None else ():
             if key not in (classes or ()):
--- a/snowwick/rebalance/plan.py
+++ b/snowwick/rebalance/plan.py
@@ -189,6 +189,7 @@
         if not self.active:
             return []
         moves: list[Move] = []
+        # Heaps of (negated utilization, destination) for sources, (utilization, destination) for targets.
         sources = [(-state.utilization, number) for number, state in states.items()]
         heapq.heapify(sources)
         targets = [
--- a/snowwick/toml_reader.py
+++ b/snowwick/toml_reader.py
@@ -21,7 +21,8 @@
 class TomlReader:
     """Reads one file.
 
-    ``faults`` holds one line per fault; a fault at a key starts with the key's full path.
+    A path is a full key path, such as ``teams.x.pool``.  ``faults`` holds one line per fault, which starts
+    with the path of the key if the fault is at a key.
     """
 
     def __init__(self) -> None:
