--- a/snowwick/broker/budget.py
+++ b/snowwick/broker/budget.py
@@ -180,7 +180,7 @@
         return free >= spare + self.lending_reserve() + self.reserved - share.reserved
 
     def reserve_room(self, expires_at: float, share: TeamShare, amount: float) -> bool:
-        """Reserve an amount for a share that was refused; False where it is not entitled to it.
+        """Reserve an amount for a share that was refused; False if it is not entitled to it.
 
         Up to its ceiling, a share is entitled to room within its guarantee, and beyond the guarantee to room
         that the largest borrower has to give up.
