--- a/snowwick/config.py
+++ b/snowwick/config.py
@@ -133,11 +133,13 @@
 
 
 def _settings(setup: dict[str, Any]) -> Settings:
-    count, index = setup.get("nInstances", 1), setup.get("selfIndex", 0)
-    if not isinstance(count, int) or isinstance(count, bool) or count < 1:
-        raise BadConfig(f"settings.nInstances: must be a whole number of at least 1, not {count!r}")
-    if not isinstance(index, int) or isinstance(index, bool) or not 0 <= index < count:
-        raise BadConfig(f"settings.selfIndex: must be a whole number from 0 to {count - 1}, not {index!r}")
+    balancer_count, index = setup.get("nInstances", 1), setup.get("selfIndex", 0)
+    if not isinstance(balancer_count, int) or isinstance(balancer_count, bool) or balancer_count < 1:
+        raise BadConfig(f"settings.nInstances: must be a whole number of at least 1, not {balancer_count!r}")
+    if not isinstance(index, int) or isinstance(index, bool) or not 0 <= index < balancer_count:
+        raise BadConfig(
+            f"settings.selfIndex: must be a whole number from 0 to {balancer_count - 1}, not {index!r}"
+        )
     try:
         return settings_from(setup)
     except KeyError as error:
--- a/snowwick/net/contracts.py
+++ b/snowwick/net/contracts.py
@@ -97,8 +97,11 @@
         shares = balancer_budgets(self.contracts, self.balancers, self.index)
         for key, fraction in self.stricter_shares.items():
             if key in shares:
-                amount, whole = shares[key]
-                shares[key] = math.floor(fraction * amount + 1e-9) if whole else fraction * amount, whole
+                amount, in_whole_units = shares[key]
+                shares[key] = (
+                    math.floor(fraction * amount + 1e-9) if in_whole_units else fraction * amount,
+                    in_whole_units,
+                )
         return shares
 
     def set_rights(self, rights: dict[str, float]) -> None:
--- a/snowwick/net/delay_monitor.py
+++ b/snowwick/net/delay_monitor.py
@@ -121,7 +121,7 @@
         self, loop: Loop, report: Callable[[MessageDelay | DestinationSilent], None], shortest_aim_ms: float
     ) -> None:
         super().__init__(loop)
-        # Delays above a third of the shortest target delay are reported; the 3000 includes ms to s.
+        # Delays above a third of the shortest target delay are reported; divided by 3000 since it is in ms.
         self.report, self.report_threshold_s = report, shortest_aim_ms / 3000.0
         self.timings: dict[int, DestinationTiming] = {}
         self.slow_destinations: set[int] = set()  # with a delay above the threshold in the last report
--- a/snowwick/net/pool.py
+++ b/snowwick/net/pool.py
@@ -134,14 +134,14 @@
                 raise TypeError("servers must be a list")
         except READ_ERRORS as error:
             raise CallFailed(f"unusable list: {type(error).__name__} {error}") from error
-        rows, errors, unreadable = [], list[str](), list[int]()
+        rows, errors, unreadable_numbers = [], list[str](), list[int]()
         for server in servers:
             try:
                 rows.append((parse_address(server["addr"]), self._entry(server), self._labels(server)))
             except READ_ERRORS as error:
                 errors.append(f"{type(error).__name__} {error}")
                 if isinstance(server, dict) and isinstance(server.get("id"), str):
-                    unreadable.append(destination_number(server["id"]))
+                    unreadable_numbers.append(destination_number(server["id"]))
         if errors and errors != self.refused_errors and kind is not interface.ListKind.RESTORED:
             self.refused_errors = errors
             raise CallFailed(f"{len(errors)} unreadable entries, the first: {errors[0]}")
@@ -149,7 +149,7 @@
             self.on_entry_left_out(error_text)
         rows += [
             (self.addresses[number], self.entries[number], self.labels[number])
-            for number in unreadable
+            for number in unreadable_numbers
             if full and number in self.entries
         ]
         self.version, self.refused_errors = version, []
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -230,7 +230,7 @@
         wait_until(lambda: unread_bytes(sock) >= unread_before + len(data))
 
     def close_unread(self, name: str, reset: bool = False) -> None:
-        """Close or reset a connection; returns once the balancer can read its end, without running the loop."""
+        """Close or reset a connection; returns once the balancer can read its end. The loop does not run."""
         sock, peer_sock = self.balancer_socket(name), self.sockets.pop(name)
         if reset:
             peer_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
