--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -46,7 +46,7 @@
     )
 
 
-def simulated_row(size: int, **other: Any) -> dict[str, Any]:
+def simulated_row(size: int, **overrides: Any) -> dict[str, Any]:
     """A row as a run in the simulated network writes it; quantities that are absent were not measured."""
     return {
         "members": size,
@@ -58,11 +58,11 @@
         "memory": model_value("memory", size, 2e6, 0.0, 3000.0),
         "everywhere_p99_s": 0.2 * math.log2(size),
         "false_deaths": 0,
-        **other,
+        **overrides,
     }
 
 
-def simulated_file(rows: list[dict[str, Any]], **other: Any) -> dict[str, Any]:
+def simulated_file(rows: list[dict[str, Any]], **overrides: Any) -> dict[str, Any]:
     return {
         "form": "simulated",
         "command": "python -m snowwick.lab.scale_simulated",
@@ -72,7 +72,7 @@
         "rows": rows,
         "complete": True,
         "ended": "done",
-        **other,
+        **overrides,
     }
 
 
@@ -148,8 +148,10 @@
     assert validation is not None and validation.size == 256 and validation.fit.sizes == SIZES[:-1]
     assert validation.passed and validation.error == pytest.approx(0.0, abs=1e-9)
     rows[-1]["memory"] *= 2.0  # the value left out does not change its prediction
-    other = validate_largest(LINEAR, rows)
-    assert other is not None and other.predicted == pytest.approx(validation.predicted) and not other.passed
+    failed = validate_largest(LINEAR, rows)
+    assert (
+        failed is not None and failed.predicted == pytest.approx(validation.predicted) and not failed.passed
+    )
 
 
 @pytest.mark.parametrize(("factor", "passed"), [(1.10, True), (0.90, True), (1.25, False), (0.80, False)])
@@ -328,11 +330,11 @@
         model_value("bytes_out", 256, 900.0, 50.0, 30.0) / (30.0 * wire.MAX_FRAME_BYTES)
     )
     rows[-1]["bytes_out"] = 1.0  # the value left out changes neither its regime nor its prediction
-    other = validate_largest(GROWTH_MODELS["bytes_out"], rows)
+    second_validation = validate_largest(GROWTH_MODELS["bytes_out"], rows)
     assert (
-        other is not None
-        and other.crosses_regimes
-        and other.expected_frame_fill == validation.expected_frame_fill
+        second_validation is not None
+        and second_validation.crosses_regimes
+        and second_validation.expected_frame_fill == validation.expected_frame_fill
     )
     for bytes_out in (1.0, 1e9):
         within_regime = [simulated_row(size) for size in SIZES[:-1]] + [
@@ -869,14 +871,17 @@
 
 def test_page_without_markers_exits_with_two(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     page = tmp_path / "PAGE.md"
-    for text in (
-        "",
-        EMPTY_PAGE.replace("<!-- roles -->\n", ""),
-        EMPTY_PAGE + "<!-- roles -->\n<!-- end of roles -->",
+    for text, table in (
+        ("", "glance"),
+        (EMPTY_PAGE.replace("<!-- roles -->\n", ""), "roles"),
+        (EMPTY_PAGE + "<!-- roles -->\n<!-- end of roles -->", "roles"),
     ):
         page.write_text(text)
         assert capacity.main(["--page", str(page), "--slopes", str(tmp_path)]) == 2
-        assert page.read_text() == text and "marker" in capsys.readouterr().err
+        assert page.read_text() == text
+        assert capsys.readouterr().err == (
+            f"{page}: table {table}: the page needs its begin and end marker once each, in this order\n"
+        )
     with pytest.raises(InvalidPage):
         render("", merge_results([]))
     assert capacity.main(["--page", str(tmp_path / "none.md"), "--slopes", str(tmp_path)]) == 2
