--- a/benchmarks/broker.py
+++ b/benchmarks/broker.py
@@ -37,7 +37,7 @@
 from snowwick.net.pool_deciders import PoolDeciders
 
 COMMIT_BEFORE_CONTRACTS = "52cd155a84a0"  # the last one without contracts; memory is compared with it
-RECLAIM_S = 3.0  # within which a team gets its guarantee back, as the contracts state
+RECLAIM_S = 3.0  # time limit of the contracts for a team to get its guarantee back
 FLEET_CONNECTIONS = 160
 QUIET_GUARANTEE_CONNECTIONS = 70
 LOUD_GUARANTEE_CONNECTIONS = 30
@@ -306,8 +306,10 @@
             for future in futures
         ]
     cost_10_us, cost_10000_us = stage_costs_us(15 if options.quick else 60)
-    alone, both = with_contracts["alone quiet"]["quiet"], with_contracts["both quiet loud"]["quiet"]
-    woken, idle = with_contracts["woken quiet loud"]["quiet"], with_contracts["idle loud"]["loud"]
+    alone = with_contracts["alone quiet"]["quiet"]
+    both = with_contracts["both quiet loud"]["quiet"]
+    woken = with_contracts["woken quiet loud"]["quiet"]
+    idle = with_contracts["idle loud"]["loud"]
     figures = {
         "quiet_service_beside_tenfold": Figure(
             both.service_fraction / alone.service_fraction, 0.95, "higher"
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -34,7 +34,8 @@
     network.run(120.0, network.has_converged, 0.2)
     periods = []
     for n in range(3):
-        key, began = f"k{n}", network.now
+        key = f"k{n}"
+        began = network.now
         network.write(f"m{n}", 1, key, b"v")
         network.run(
             began + 30.0,
@@ -83,7 +84,8 @@
         for n, name in enumerate("ab", 1)
     )
     for node in (writer, reader):
-        node.store.max_entries, node.store.max_bytes = 10 * entries, 1 << 30
+        node.store.max_entries = 10 * entries
+        node.store.max_bytes = 1 << 30
     nodes = {"a": writer, "b": reader}
 
     def run_until_equal(end: float) -> None:
@@ -102,11 +104,14 @@
     writer.store.gossip_queue.clear()  # so that the reader gets the entries by comparison only
     run_until_equal(600.0)
     assert writer.has_same_registers(reader)
-    changed, bytes_before = int(entries * changed_fraction), 0
-    for n in range(changed):
+    changed_count = int(entries * changed_fraction)
+    bytes_before = 0
+    for n in range(changed_count):
         writer.write(1, f"key{n:06}", b"other%06d" % n, now)
     writer.store.gossip_queue.clear()
-    changed_bytes = sum(writer.store.owners["a"].entries[1, f"key{n:06}"].size_bytes for n in range(changed))
+    changed_bytes = sum(
+        writer.store.owners["a"].entries[1, f"key{n:06}"].size_bytes for n in range(changed_count)
+    )
     bytes_before = sum(node.counts.bytes_out for node in nodes.values())
     run_until_equal(now + 600.0)
     assert writer.has_same_registers(reader)
@@ -169,7 +174,7 @@
 
 
 def failed_route_steps(folder: Path, count: int, with_fleet: bool) -> int:
-    """Number of route steps that fail at a server that hangs, until no balancer uses it any more."""
+    """Number of route steps that fail at a server that hangs, while 60 clients connect within 6 s."""
     folder.mkdir()
     with Fleet(folder, count, destination_count=4, fleet_enabled=with_fleet, deadline_ms=600.0) as fleet:
         fleet.start()
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -74,7 +74,8 @@
 def growth_ratio(rows: Sequence[Row], quantity: str) -> float:
     """A quantity at the largest size over that at the size before, which is half of it."""
     values = [row_value(row, quantity) for row in rows[-2:]]
-    smaller, larger = values[0], values[-1]
+    smaller = values[0]
+    larger = values[-1]
     return larger / smaller if smaller and larger is not None else math.inf
 
 
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -32,6 +32,8 @@
 
 
 class DestinationServer(socketserver.ThreadingTCPServer):
+    """Serves each connection in a thread of its own."""
+
     allow_reuse_address = daemon_threads = True
 
 
--- a/snowwick/lab/capacity_model.py
+++ b/snowwick/lab/capacity_model.py
@@ -574,14 +574,14 @@
     growth_model: GrowthModel, rows: Sequence[Row], quantity: str = "", size_key: str = "members"
 ) -> list[Validation]:
     """For each size that has enough smaller ones, its prediction by a fit of all of those; by size."""
-    quantity, found = quantity or growth_model.quantity, list[Validation]()
+    quantity, results = quantity or growth_model.quantity, list[Validation]()
     phase_prefix = phase_prefix_of(quantity)
     for size, value in zip(*sizes_and_values(rows, quantity, size_key), strict=True):
         smaller = [row for row in rows if float(row[size_key]) < size]
         smaller_fit = fit_quantity(growth_model, smaller, quantity, size_key)
         if smaller_fit is not None:
             has_regimes = size_key == "members" and growth_model.full_frames_basis is not None
-            found.append(
+            results.append(
                 Validation(
                     smaller_fit,
                     size,
@@ -591,7 +591,7 @@
                     expected_frame_fill(smaller, size, phase_prefix) if has_regimes else None,
                 )
             )
-    return found
+    return results
 
 
 def validate_largest(
@@ -599,12 +599,12 @@
 ) -> Validation | None:
     """The validation by the largest size; None where the smaller sizes are not enough for a fit."""
     sizes = sizes_and_values(rows, quantity or growth_model.quantity, size_key)[0]
-    of_largest = [
+    largest_validations = [
         validation
         for validation in validations(growth_model, rows, quantity, size_key)
         if validation.size == sizes[-1]
     ]
-    return of_largest[0] if of_largest else None
+    return largest_validations[0] if largest_validations else None
 
 
 DATA_PATH_GROWTH_MODELS = {
@@ -697,7 +697,7 @@
                 rows_by_size[float(row[size_key])] = with_control_core(row)
     ordered = {key: [row for _, row in sorted(by_size.items())] for key, by_size in rows.items()}
     return Measurements(
-        {rate: of_rate for (form, rate), of_rate in sorted(ordered.items()) if form == "simulated"},
+        {rate: series_rows for (form, rate), series_rows in sorted(ordered.items()) if form == "simulated"},
         ordered.get(("real", 0.0), ()),
         ordered.get(("data-path", 0.0), ()),
         runs,
@@ -712,7 +712,7 @@
 
 
 def range_hashes_frame_bytes(owners: int) -> int:
-    """Bytes of the frame with the range hashes for so many owners, with names as long as the platform's."""
+    """Bytes of the frame with the range hashes of all owners, with names as long as the platform's."""
     count = 1 << max(0, math.ceil(math.log2(max(1, owners / store.OWNERS_PER_RANGE))))
     hashes = [(1 << 63) + 1] * count
     frame = wire.Frame(
@@ -729,24 +729,24 @@
 
 
 def transmissions_per_entry(fleet_size: float) -> float:
-    """How often each member sends an entry on, and so about how often each member receives it."""
+    """How often each member sends each entry, which is about how often each member receives it."""
     return members.RETRANSMIT_FACTOR * math.log2(max(2.0, fleet_size))
 
 
-# The number of owners from which on the range hashes exceed a frame, so that comparison no longer works
+# The smallest number of owners whose range hashes exceed a frame, so that comparison no longer works
 RANGE_HASHES_OVERFLOW_OWNERS = next(
     owners for owners in itertools.count(8) if range_hashes_frame_bytes(owners) > wire.MAX_FRAME_BYTES
 )
 
 
 def lease_request_bytes(others: int, letters: int = 13) -> int:
-    """Bytes of the register with a lease request that lists so many other members."""
+    """Bytes of a lease request register that lists ``others`` members with names of ``letters`` letters."""
     holdings = {f"{number:0{letters}}": Holding(0.0, 0, 1_700_000_000_000) for number in range(others)}
     return len(registers.pack(LeaseRequest(1, 10.0, 0.0, holdings)))
 
 
 def lease_request_overflow_members(letters: int = 13) -> int:
-    """The fleet size from which on ``net/fleet.py`` drops lease requests, as they exceed a register value."""
+    """The smallest fleet in which ``net/fleet.py`` drops lease requests, as they exceed a register value."""
     return next(
         count
         for count in itertools.count(2)
@@ -827,7 +827,7 @@
     value: float | None
     fit: Fit | None
     validation: Validation | None
-    sizes: tuple[float, ...]  # that were measured
+    sizes: tuple[float, ...]  # the measured sizes
     extrapolation_factor: float | None  # the target size over the largest measured size
     missing_reason: str  # "" where there is a value
     capped: bool = False  # the value is the upper bound of the code in place of the fit's
@@ -920,7 +920,8 @@
     """The fit for a rate of load updates that is ``rate_factor`` times as high.
 
     The cost of load updates is the term N log2 N, which is proportional to their rate; the other terms do not
-    depend on it.  What the simulating process takes once (1/N) is no cost of a member and is left out.
+    depend on it.  The memory that the simulating process takes once (1/N) is not a cost of a member and is
+    left out.
     """
     factors = {"N log2 N": rate_factor, "1/N": 0.0}
     return replace(
@@ -943,7 +944,7 @@
     )
 
 
-MAX_FLEET_MEMBERS = 10_000_000  # at which the searches for the largest fleet end
+MAX_FLEET_MEMBERS = 10_000_000  # upper limit of the searches for the largest fleet
 
 
 def largest_fleet_below_full_frames(bytes_fit: Fit, frames_fit: Fit) -> int:
@@ -1109,7 +1110,7 @@
         )
 
     def data_path_estimate(self, quantity: str, connections: float) -> Estimate:
-        """A quantity of the data path with so many connections."""
+        """A quantity of the data path at a number of connections."""
         return estimate(
             DATA_PATH_GROWTH_MODELS[quantity],
             self.measurements.data_path,
--- a/snowwick/lab/capacity_roles.py
+++ b/snowwick/lab/capacity_roles.py
@@ -81,15 +81,13 @@
 
 def _shard_placement(model: Model) -> list[str]:
     shards, score_s = target_value("shards"), assumed_value("processor time per shard score")
-    placement_bytes, cell, zones = (
+    placement_bytes, cell_size, zones = (
         assumed_value("bytes per shard placement"),
         assumed_value("members per cell"),
         target_value("zones"),
     )
-    flat_s, hierarchical_s = (
-        model.balancers * score_s,
-        (zones + model.balancers_per_zone / cell + cell) * score_s,
-    )
+    flat_s = model.balancers * score_s
+    hierarchical_s = (zones + model.balancers_per_zone / cell_size + cell_size) * score_s
     return [
         "placement of shards",
         "**missing**; possible: rendezvous hashing over zones, then cells, then members, as in "
@@ -112,7 +110,7 @@
         assumed_value("listeners per shard and balancer"),
         assumed_value("processor time per frame sent or received"),
     )
-    frames_per_s, balancers, cell = (
+    frames_per_s, balancers, cell_size = (
         model.lines_per_s / listeners_per_balancer,
         model.balancers,
         assumed_value("members per cell"),
@@ -131,7 +129,7 @@
         f"zone lost: {format_number(model.lines_per_s_zone_lost / listeners_per_balancer)} frames/s; one "
         f"message of the largest topic, sent by its owner alone: {format_number(balancers)} frames, "
         f"{seconds_text(direct_s)} of {seconds_text(target_value('delivery time'))}; through one balancer "
-        f"per cell: {seconds_text((balancers / cell + cell) * frame_s)} (estimated)",
+        f"per cell: {seconds_text((balancers / cell_size + cell_size) * frame_s)} (estimated)",
     ]
 
 
@@ -315,14 +313,14 @@
 
 
 def _cell_cost_text(
-    fit: Fit | None, quantity: str, budget: str, cell: float, delegates: float, has_rows: bool
+    fit: Fit | None, quantity: str, budget: str, cell_size: float, delegates: float, has_rows: bool
 ) -> str:
     """The cost of a member of a cell, and of a delegate, which is also a member of the delegates' fleet."""
     if fit is None:
         return NOT_FITTED if has_rows else NOT_MEASURED
     unit, member_cost = (
         GROWTH_MODELS[quantity].unit,
-        min(fit.value_at(cell), upper_bound(quantity, cell)),
+        min(fit.value_at(cell_size), upper_bound(quantity, cell_size)),
     )
     text = f"{format_value(member_cost, unit)}, {budget_verdict(member_cost / target_value(budget))}"
     if delegates > 1.0:
@@ -345,41 +343,41 @@
     idle, entry_bytes = model.control_estimate("idle_bytes_out"), assumed_value("bytes per entry")
     measured_sizes = [float(row["members"]) for row in rows_measured]
     rows = []
-    for cell in (*CELL_SIZES_MEMBERS, model.balancers):
-        delegates = model.balancers / cell
-        cells = [
-            f"cells of {format_number(cell)}, {format_number(delegates)} delegates"
+    for cell_size in (*CELL_SIZES_MEMBERS, model.balancers):
+        delegates = model.balancers / cell_size
+        row_texts = [
+            f"cells of {format_number(cell_size)}, {format_number(delegates)} delegates"
             if delegates > 1.0
             else "all members, as now"
         ]
-        cells += [
-            _cell_cost_text(fits[name], name, budgets[name], cell, delegates, bool(rows_measured))
+        row_texts += [
+            _cell_cost_text(fits[name], name, budgets[name], cell_size, delegates, bool(rows_measured))
             for name in fits
         ]
         sums = sums_bytes_per_s(model) if delegates > 1.0 else 0.0
-        cells.append(bytes_per_s_text(sums))
+        row_texts.append(bytes_per_s_text(sums))
         if idle.fit is None:
-            cells.append(idle.missing_reason)
+            row_texts.append(idle.missing_reason)
         else:
-            remaining = target_value("control bytes") - idle.fit.value_at(cell) - sums
-            cells.append(
-                seconds_text(full_gossip_bytes_per_s(cell, 1.0, entry_bytes) / remaining)
+            remaining = target_value("control bytes") - idle.fit.value_at(cell_size) - sums
+            row_texts.append(
+                seconds_text(full_gossip_bytes_per_s(cell_size, 1.0, entry_bytes) / remaining)
                 if remaining > 0.0
                 else "none, the budget is used up"
             )
         within_measured_sizes = (
             bool(measured_sizes)
-            and min(measured_sizes) <= cell <= max(measured_sizes)
+            and min(measured_sizes) <= cell_size <= max(measured_sizes)
             and (delegates == 1.0 or min(measured_sizes) <= delegates <= max(measured_sizes))
         )
-        cells.append(
+        row_texts.append(
             "within the measured sizes"
             if within_measured_sizes
             else "beyond the measured sizes"
             if measured_sizes
             else "-"
         )
-        rows.append(cells)
+        rows.append(row_texts)
     return markdown_table(
         [
             "members that exchange all registers",
--- a/snowwick/lab/capacity_tables.py
+++ b/snowwick/lab/capacity_tables.py
@@ -87,6 +87,7 @@
         slowest_series: str = "unchanged",
         value_suffix: str = "",
     ) -> None:
+        """Add a row; where ``value`` is None, ``status`` is shown in its place."""
         if value is None:
             rows.append((-1.0, [name, status, format_value(budget, unit), "-", "-", "-", slowest_series]))
             return
--- a/snowwick/lab/connection_load.py
+++ b/snowwick/lab/connection_load.py
@@ -26,7 +26,7 @@
 # Over all connections of a program: few enough that lines arrive one at a time, whatever the number of
 # connections
 LINES_PER_S = 500
-MAX_HOLD_S = 2.5  # for which a destination holds a line; after 3 s the program treats it as silent
+MAX_HOLD_S = 2.5  # of a line at a destination; after 3 s the program treats the destination as silent
 LINE = b"M 1\r\n"
 ANSWER_TIMEOUT_S = 5.0  # for an accept or an answer while connections are opened
 # Blocked while a program is being started, so that the program is always ended
@@ -143,6 +143,7 @@
             self._read(self.clients[index])
 
     def _read(self, client: socket.socket) -> None:
+        """Count the lines that a client can receive without waiting."""
         with contextlib.suppress(BlockingIOError):
             self.lines_received += _receive(client).count(LINE)
 
@@ -158,6 +159,7 @@
 
 
 def _receive(sock: socket.socket) -> bytes:
+    """Receive data; raises ConnectionError at the end of the stream."""
     data = sock.recv(4096)
     if not data:
         raise ConnectionError("the program closed a connection")
--- a/snowwick/lab/data_path.py
+++ b/snowwick/lab/data_path.py
@@ -124,7 +124,7 @@
 
 
 def connection_limits() -> tuple[int, int]:
-    """The connections that this process's file descriptors allow, and that half of the memory allows."""
+    """How many connections the limit of file descriptors allows, and how many half of the memory allows."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     by_descriptors = (soft - SPARE_DESCRIPTORS) // 2 if soft != resource.RLIM_INFINITY else sys.maxsize
     return by_descriptors, machine_memory_bytes() // 2 // MAX_BYTES_PER_CONNECTION
@@ -143,8 +143,8 @@
     end = time.monotonic() + MEMORY_TIMEOUT_S
     while time.monotonic() < end:
         samples.append(process_memory(pid))
-        last = [rss for rss, _ in samples[-MEMORY_SAMPLES:]]
-        if len(last) == MEMORY_SAMPLES and max(last) - min(last) <= MEMORY_TOLERANCE_BYTES:
+        latest_rss = [rss for rss, _ in samples[-MEMORY_SAMPLES:]]
+        if len(latest_rss) == MEMORY_SAMPLES and max(latest_rss) - min(latest_rss) <= MEMORY_TOLERANCE_BYTES:
             return samples[-1]
         time.sleep(MEMORY_SAMPLE_INTERVAL_S)
     raise TimeoutError(f"the program's memory did not settle in {MEMORY_TIMEOUT_S:g} s")
@@ -181,7 +181,8 @@
     """
     concurrent = max(1, min(CONCURRENT_OPENINGS, size // 8))
     began = time.perf_counter()
-    half, half_cpu_s = 0, 0.0
+    half = 0  # number of connections at which the measurement of setups begins
+    half_cpu_s = 0.0
     while (opened := len(program.clients)) < size:
         if not half and opened >= size // 2:
             half, half_cpu_s = opened, program.cpu_s()
@@ -191,11 +192,11 @@
 
 @dataclass
 class LineCosts:
-    """CPU time in s of a line and its multiple of the reference, both medians over several windows."""
+    """CPU time of a line in s and as a multiple of the reference, both medians over several windows."""
 
     line_s: float
     multiple: float
-    lines: int
+    lines: int  # in all windows
 
 
 def measure_windows(
@@ -213,19 +214,21 @@
     of lines so far.  The reference is measured between windows, since the machine's speed changes over time:
     each window is compared with the mean of the two references next to it.
     """
-    costs_s, multiples, lines = [], [], 0
+    costs_s = []
+    multiples = []
+    lines = 0
     began, reference_before = time.perf_counter(), reference_line_s()
     for n in range(window_count + 1):
         cpu_s_before, lines_before = program.cpu_s(), count_lines()
         while (elapsed := time.perf_counter() - began) < warm_up_s + n * window_s:
             send_until(int(lines_per_s * elapsed))
             time.sleep(0.001)
-        cpu_s, passed = program.cpu_s() - cpu_s_before, count_lines() - lines_before
+        cpu_s, window_lines = program.cpu_s() - cpu_s_before, count_lines() - lines_before
         reference_after = reference_line_s()
         if n:
-            costs_s.append(cpu_s / passed)
+            costs_s.append(cpu_s / window_lines)
             multiples.append(2.0 * costs_s[-1] / (reference_before + reference_after))
-            lines += passed
+            lines += window_lines
         reference_before = reference_after
     return LineCosts(statistics.median(costs_s), statistics.median(multiples), lines)
 
--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -18,10 +18,10 @@
 
 from snowwick.fleet.rights import Budget, Grant, LeaseRequest
 
-STATIC_SHARE = 4.0  # of each balancer
+STATIC_SHARE = 4.0  # each balancer's part of the budget before any lending
 LEASE_S = 3.0
 TIME_STEP_S = 1.0
-DEMANDS = (0.0, 7.0)  # between which the demand of a balancer switches
+DEMANDS = (0.0, 7.0)  # a balancer's demand is one or the other
 
 
 @dataclass
--- a/snowwick/lab/member_host.py
+++ b/snowwick/lab/member_host.py
@@ -60,7 +60,7 @@
 from snowwick.net.loop import Actor, Coroutine, Loop, Wait
 from snowwick.net.pool import PoolConfig
 
-MAX_HISTOGRAM_MS = 3_600_000  # highest value that a histogram of ms records
+MAX_HISTOGRAM_MS = 3_600_000  # one hour, the largest value that the histograms record
 LOAD_AGE_SAMPLE_INTERVAL_S = 1.0
 
 
@@ -91,7 +91,7 @@
 
     written_ms: int  # Unix time at which its owner wrote it
     last_arrival: float  # Unix time in s at which the last of the members received it
-    members: int = 0
+    members: int = 0  # that have received it
 
 
 class ArrivalRecordingStore(Store):
@@ -118,10 +118,10 @@
         self.register_view = RegisterView(self.node.store, self.node.members)
         self.node.seeds = []
         self.initial_state_written = False
-        self.caught_up_after_s: float | None = None  # from its start until it had the others' registers
+        self.caught_up_after_s: float | None = None  # time from its start; None until then
 
     def share_state(self, now: float) -> None:
-        """Write the registers on a balancer's files once; the workload writes all others."""
+        """Write the registers for a balancer's files and list once; the workload writes all others."""
         if not self.initial_state_written:
             self.initial_state_written = True
             self._write_register(registers.REVISION, "0000", Revision(self.file.digest), now)
@@ -142,7 +142,7 @@
 
 
 class WorkloadWriter(Actor):
-    """Performs the writes of the workload at their times, apart from those of real members."""
+    """Performs the writes that the workload schedules for the members of this process."""
 
     def __init__(self, member_host: MemberHost, workload: Workload, first: int, began: float) -> None:
         super().__init__(member_host.loop)
@@ -163,7 +163,8 @@
     def perform(self, event: Event) -> None:
         """Perform one event's writes that belong to members of this process."""
         workload, member = self.workload, self.member(event.member)
-        # The rate of changes is that of the whole fleet: lightweight members also write those of real ones.
+        # Lightweight members also write the changes that are scheduled for real ones, because the rate of
+        # changes is that of the whole fleet.
         if event.kind is EventKind.CHANGE:
             number = self.first + event.member % (workload.members - self.first)
             member = self.member(number)
@@ -201,7 +202,7 @@
 
 
 class MemberStarter(Actor):
-    """Starts the members one after another."""
+    """Starts the members of this process one after another, at an interval."""
 
     def __init__(self, member_host: MemberHost, interval_s: float) -> None:
         super().__init__(member_host.loop)
@@ -328,7 +329,10 @@
         return {"at": time.time()}
 
     def on_agree(self) -> dict[str, Any]:
-        """For each member: the number of members alive, itself included, and a hash of its registers."""
+        """For each member: how many it considers alive, itself included, and a hash of its registers.
+
+        ``caught`` is the time in s from its start until it had caught up; None until then.
+        """
         return {
             "alive": {name: 1 + len(member.node.members.alive()) for name, member in self.members.items()},
             "roots": {name: member.node.store.root_hash() for name, member in self.members.items()},
--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -53,7 +53,8 @@
         self.target_address: tuple[str, int] = ("", 0)
         self.rng = random.Random(seed)
         self.cut = False
-        # Probabilities of each datagram, and the upper limit of its random delay
+        # For each datagram: the probabilities of loss, duplication and a flipped bit, and the upper limit of
+        # its random delay
         self.loss_probability = self.duplicate_probability = self.corrupt_probability = self.max_delay_s = 0.0
         self.max_datagrams_per_s = 0.0  # 0 for no limit
         self.datagrams_forwarded = 0
@@ -79,7 +80,7 @@
                     self.sock.sendto(datagram, self.target_address)
 
     def enqueue(self, datagram: bytes) -> None:
-        """Apply the faults to a received datagram and queue what is left of it."""
+        """Apply the faults to a received datagram and queue the copies that are to be sent."""
         draw = self.rng.random
         now = self.loop.clock()
         if self.cut or draw() < self.loss_probability:
@@ -113,7 +114,7 @@
     address: str
     mode: str = "serve"
     opening_times: list[float] = field(default_factory=list)  # on the loop's clock
-    established: int = 0
+    established: int = 0  # connections at present
 
 
 class DestinationConnection(LineConnection):
@@ -124,10 +125,10 @@
         self.destination = destination
 
     def handle_connection(self) -> Coroutine:
-        first = yield from self.read_line()
-        if first == b"PING\r\n":
+        first_line = yield from self.read_line()
+        if first_line == b"PING\r\n":
             self.sock.send(b"PONG\r\n")
-        elif first and first.startswith(b"OPEN "):
+        elif first_line and first_line.startswith(b"OPEN "):
             self.destination.opening_times.append(self.loop.clock())
             if self.destination.mode == "serve":
                 self.sock.send(b"UP %s\r\n" % self.destination.id.encode())
@@ -151,7 +152,7 @@
         self.version = 1
         self.servers: dict[str, dict[str, Any]] = {}
         self.change_versions: dict[str, int] = {}  # version that last changed each server
-        self.disconnected_balancers: set[str] = set()  # their connections are closed unanswered
+        self.disconnected_balancers: set[str] = set()  # names; no request of theirs is answered
         self.version_limits: dict[str, int] = {}  # newest version that a balancer receives, by its name
 
     def update_server(
@@ -205,9 +206,9 @@
 
 @dataclass
 class ClientResult:
-    """What a client received: its final answers, of which one is correct, and how its connection ended.
+    """What a client received: its final answers, and how its connection ended.
 
-    Times are in seconds on the loop's clock.
+    More than one final answer is a fault.  Times are in seconds on the loop's clock.
     """
 
     id: int
@@ -221,7 +222,7 @@
 
 
 class Client(LineConnection):
-    """Opens a connection and sends a line now and then, until MOVE or until ``keep_s`` has passed."""
+    """Opens a connection and sends a line about every 0.2 s, until MOVE or until ``keep_s`` has passed."""
 
     def __init__(
         self, loop: Loop, address: tuple[str, int], result: ClientResult, opening: bytes, keep_s: float
@@ -443,7 +444,11 @@
         file.chmod(0o600)
 
     def write_files(self, number: int, old_key: str = "", name: str = "", **share: Any) -> None:
-        """Write a balancer's fleet file, contracts and configuration."""
+        """Write a balancer's fleet file, contracts and configuration.
+
+        ``name`` replaces the balancer's own name in the configuration; ``share`` holds the settings of the
+        fleet file's section ``[share]``.
+        """
         balancer = self.balancers[number]
         others = [other for other in range(len(self.balancers)) if other != number]
         routes = "\n".join(
@@ -575,7 +580,7 @@
     # -- processes ---------------------------------------------------------------------------------------
 
     def check_processes(self) -> None:
-        """Raise RunFailed if a process has exited that the rig did not end.
+        """Raise RunFailed if a process has exited that the rig did not end, or a balancer with an error.
 
         A member host exits at any fault of an actor.
         """
@@ -594,15 +599,15 @@
                     f"{member_host.log[-1500:]}"
                 )
 
-    def start(self, *numbers: int, skew: float = 0.0) -> None:
+    def start(self, *numbers: int, skew_s: float = 0.0) -> None:
         """Start these balancers, or all of them; returns once they serve.
 
-        ``skew`` is added to their wall clocks, in seconds.
+        ``skew_s`` is added to their wall clocks.
         """
         for n in numbers or range(len(self.balancers)):
             balancer = self.balancers[n]
             balancer.start_count, balancer.ended_on_purpose = balancer.start_count + 1, False
-            arguments = ["-m", "snowwick.lab.clock_skew", str(skew)] if skew else ["-m", "snowwick"]
+            arguments = ["-m", "snowwick.lab.clock_skew", str(skew_s)] if skew_s else ["-m", "snowwick"]
             arguments += ["serve"]
             arguments += ["--fleet", str(balancer.folder / "fleet.toml")] if self.fleet_enabled else []
             arguments += ["--contracts", str(balancer.folder / "contracts.toml")] if self.contracts else []
@@ -683,7 +688,7 @@
         )
 
     def members(self, number: int) -> dict[str, str]:
-        """The states that a balancer has of the members, by name."""
+        """The state of each member in a balancer's member list, by name."""
         return {member["name"]: member["state"] for member in self.status(number)["members"]}
 
     def all_joined(self, *numbers: int) -> bool:
@@ -714,7 +719,7 @@
         return result
 
     def wait_for_answers(self, *results: ClientResult) -> None:
-        """Wait until these clients, or all, have exactly one final answer each."""
+        """Wait until these clients, or all, are answered or have ended; each must have one final answer."""
         awaited = results or self.client_results
         self.wait_until(lambda: all(result.final_answers or result.ended for result in awaited))
         for result in awaited:
--- a/snowwick/lab/scale.py
+++ b/snowwick/lab/scale.py
@@ -66,8 +66,8 @@
 
 def available_bytes() -> int:
     """Memory that a run may use: half of the installed memory, or the available memory where that is less."""
-    rows = dict(line.split(":", 1) for line in Path("/proc/meminfo").read_text().splitlines())
-    return min(host_info()["memory_bytes"] // 2, 1024 * int(rows["MemAvailable"].split()[0]))
+    memory_fields = dict(line.split(":", 1) for line in Path("/proc/meminfo").read_text().splitlines())
+    return min(host_info()["memory_bytes"] // 2, 1024 * int(memory_fields["MemAvailable"].split()[0]))
 
 
 # -- limits --------------------------------------------------------------------------------------------------
@@ -76,7 +76,7 @@
 def largest_fitting(fits: Callable[[int], bool], maximum: int) -> int:
     """The largest number up to ``maximum`` that fits, by bisection; 0 where none does.
 
-    Every number below one that fits must fit as well.
+    If a number fits, every smaller one must fit as well.
     """
     low, high = 0, maximum
     while low < high:
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True)
 class ResultWriter:
-    """Writes the results so far.
+    """Writes the results so far, with a partial row if one is given.
 
     Each write replaces the file atomically, so that a reader always finds a complete JSON document.
     """
--- a/snowwick/lab/scale_real.py
+++ b/snowwick/lab/scale_real.py
@@ -63,22 +63,22 @@
 
 MEMBERS_PER_PROCESS = 25  # lightweight members; one core cannot run more of them
 JOINS_PER_S = 5.0  # lightweight members; many joins at one moment would overload the fleet by themselves
-VISIBLE_TIMEOUT_S = 15.0  # for a change to be visible at all real members, after which it is unfinished
+VISIBLE_TIMEOUT_S = 15.0  # for a change to be visible at all real members; after that it is unfinished
 JOIN_TIMEOUT_S = 60.0  # for all members to consider each other alive once the last one has started
-EXTRA_WORKLOAD_S = 120.0  # of workload after the measured time, while members are restarted and polled
+EXTRA_WORKLOAD_S = 120.0  # the workload goes on this long, while members are restarted and polled
 DRAIN_S = 10.0  # for the last changes to propagate
 VISIBILITY_TESTS = 5
 RESTART_TESTS = 3
 POLL_INTERVAL_S = 0.25
 CAUGHT_UP_LOG_TIMEOUT_S = 10.0  # for a restarted member to log that it has caught up
 CLIENT_INTERVAL_S = 2.0  # between new clients of a real member
-CLIENT_KEEP_S = 8.0  # for which each client keeps its connection
-STATUS_FRAME_OVERHEAD_BYTES = 90  # of a frame of a status answer, without the answer's text
+CLIENT_KEEP_S = 8.0  # lifetime of a client's connection
+STATUS_FRAME_OVERHEAD_BYTES = 90  # of a frame of a status answer, in addition to the answer's text
 MAX_PROCESSES = 300
 REAL_PROCESS_BYTES = 60e6
 HOST_PROCESS_BYTES = 40e6
-PAIR_BYTES = 8e3  # that a member holds of each other member
-MEMBER_BYTES = 0.4e6
+PAIR_BYTES = 8e3  # in a member, for each other member
+MEMBER_BYTES = 0.4e6  # of a lightweight member, without the others
 
 
 def estimate_bytes(real: int, lightweight: int) -> int:
@@ -102,11 +102,11 @@
     processes = real + math.ceil(lightweight / MEMBERS_PER_PROCESS)
     if processes > MAX_PROCESSES:
         raise RunRefused(f"needs {processes} processes, at most {MAX_PROCESSES} are allowed: lower --real")
-    needed, allowed = real * (real + 30) + 200, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if needed > allowed:
+    needed_files, allowed_files = real * (real + 30) + 200, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if needed_files > allowed_files:
         raise RunRefused(
-            f"needs about {needed} file descriptors, {allowed} are allowed: "
-            f"lower --real or set ulimit -n {needed}"
+            f"needs about {needed_files} file descriptors, {allowed_files} are allowed: "
+            f"lower --real or set ulimit -n {needed_files}"
         )
 
 
@@ -131,7 +131,7 @@
 
 
 def read_real_counts(fleet: Fleet, number: int) -> tuple[ProcessCounts, dict[str, float], dict[str, Any]]:
-    """A real member's counters, the traffic that reading them adds to later ones, and its fleet status."""
+    """A real member's counters, the traffic that this reading adds to the next one, and its fleet status."""
     process = fleet.balancers[number].process
     assert process is not None
     at, cpu_s = time.monotonic(), process_cpu_s(process.pid)
@@ -204,9 +204,13 @@
     """
     arrivals: dict[tuple[str, int], tuple[float, float, int]] = {}
     for answer in answers:
-        for owner, seq, written, last, members in answer["arrivals"]:
-            _, earlier_last, earlier_members = arrivals.get((owner, seq), (written, 0.0, 0))
-            arrivals[owner, seq] = written, max(last, earlier_last), earlier_members + members
+        for owner, seq, written_at, arrived_at, members in answer["arrivals"]:
+            _, earlier_arrived_at, earlier_members = arrivals.get((owner, seq), (written_at, 0.0, 0))
+            arrivals[owner, seq] = (
+                written_at,
+                max(arrived_at, earlier_arrived_at),
+                earlier_members + members,
+            )
     return arrivals
 
 
@@ -367,7 +371,7 @@
     def counts(
         self,
     ) -> tuple[list[ProcessCounts], list[ProcessCounts], list[dict[str, float]], list[dict[str, Any]]]:
-        """Counters of member hosts and of real members, what reading the latter cost, the hosts' answers."""
+        """Counters of member hosts and of real members, the traffic of reading the latter, hosts' answers."""
         answers = self.fleet.run_commands(self.fleet.member_hosts, "counts")
         real_counts = [read_real_counts(self.fleet, n) for n in range(self.real)]
         return (
@@ -518,9 +522,9 @@
         }
         real_names = {balancer.name for balancer in self.fleet.balancers}
         load_times_s = [
-            last - written
-            for (owner, _), (written, last, members) in arrivals.items()
-            if owner in real_names and since <= written < until and members == self.lightweight
+            arrived_at - written_at
+            for (owner, _), (written_at, arrived_at, members) in arrivals.items()
+            if owner in real_names and since <= written_at < until and members == self.lightweight
         ]
         self.real_row |= {**time_percentiles("everywhere", load_times_s), "changes": len(load_times_s)}
 
@@ -553,7 +557,10 @@
         self.save_progress()
 
     def poll_visibility(self, pending: list[int], member: str, text: str) -> bool:
-        """Poll the next of the real members that do not show the change yet; whether none is left."""
+        """Poll the first pending real member; returns whether all have shown the change by now.
+
+        Moves the member to the end of ``pending`` if it does not show the change yet.
+        """
         n = pending.pop(0)
         if self.fleet.status(n)["revisions"].get(member) != text:
             pending.append(n)
@@ -561,21 +568,30 @@
 
     def measure_restarts(self) -> None:
         """Kill and restart real members one after another, and measure how long each takes to catch up."""
-        times_s, bytes_received, logged_times_s = list[float](), list[float](), list[float]()
+        times_s = list[float]()
+        bytes_received = list[float]()
+        logged_times_s = list[float]()
         for n in range(min(RESTART_TESTS, self.real)):
             balancer = self.fleet.balancers[n]
             self.fleet.send_signal(n, signal.SIGKILL)
             self.run_until(time.monotonic() + 1.0)
             self.fleet.start(n)
             began, polling_bytes, other = time.monotonic(), 0.0, (n + 1) % self.real
-            wanted = register_counts(self.fleet.status(other))
+            expected_counts = register_counts(self.fleet.status(other))
             while time.monotonic() < began + JOIN_TIMEOUT_S:
                 counts, cost, status = read_real_counts(self.fleet, n)
-                current, own = register_counts(self.fleet.status(other)), register_counts(status)
+                other_counts, own_counts = (
+                    register_counts(self.fleet.status(other)),
+                    register_counts(status),
+                )
                 # Registers that have been removed since, such as a withdrawn verdict, are not waited for.
-                wanted = {name: min(entries, current.get(name, 0)) for name, entries in wanted.items()}
+                expected_counts = {
+                    name: min(entries, other_counts.get(name, 0)) for name, entries in expected_counts.items()
+                }
                 if all(
-                    own.get(name, 0) >= entries for name, entries in wanted.items() if name != balancer.name
+                    own_counts.get(name, 0) >= entries
+                    for name, entries in expected_counts.items()
+                    if name != balancer.name
                 ):
                     times_s.append(time.monotonic() - began)
                     bytes_received.append(counts.traffic["bytes_in"] - polling_bytes)
--- a/snowwick/lab/scale_simulated.py
+++ b/snowwick/lab/scale_simulated.py
@@ -68,18 +68,16 @@
 REFERENCE_FRAMES_PER_SAMPLE = 100
 PROGRESS_INTERVAL_S = 5.0  # between progress lines and partial rows
 MAX_RECORDED_TENTHS_MS = 36_000_000  # largest value of a histogram: an hour
-# Memory of a run with the default loads, in bytes: for the process, for each member, and for each other
-# member that a member knows
-PROCESS_BYTES = 60e6
-MEMBER_BYTES = 150e3
-KNOWN_MEMBER_BYTES = 4.5e3
-# Duration of a run in seconds: until it begins; for each simulated second and member; in addition for each
-# other member that a member knows; the fraction of these that the idle phase takes; for each pair that joins
-START_UP_S = 1.0
-MEMBER_RUN_S = 4e-3
-KNOWN_MEMBER_RUN_S = 4.5e-4
-IDLE_RUN_FRACTION = 0.2
-PAIR_JOIN_S = 8e-5
+# Estimated memory of a run with the default loads
+PROCESS_BYTES = 60e6  # without any member
+MEMBER_BYTES = 150e3  # for each member
+KNOWN_MEMBER_BYTES = 4.5e3  # in each member, for each member that it knows
+# Estimated duration of a run
+START_UP_S = 1.0  # before the members join
+MEMBER_RUN_S = 4e-3  # for each simulated second and member
+KNOWN_MEMBER_RUN_S = 4.5e-4  # for each simulated second, member and member that it knows
+IDLE_RUN_FRACTION = 0.2  # a simulated second of the idle phase takes this fraction of one of the other phases
+PAIR_JOIN_S = 8e-5  # at the join, for each member and member that it knows
 
 
 # -- recorders -----------------------------------------------------------------------------------------------
@@ -111,14 +109,14 @@
 
 @dataclass(slots=True)
 class DeathReports:
-    """Members that were declared dead, once for each start and incarnation of a member.
+    """Members that were declared dead, by name, start and incarnation.
 
     A declaration that is correct when it is first made remains correct for that incarnation: it continues to
     propagate after the partition that caused it has healed, and is refuted with a new incarnation.
     """
 
     true_positives: set[tuple[str, int, int]] = field(default_factory=set)
-    # The time of the first declaration
+    # With the time of the first declaration
     false_positives: dict[tuple[str, int, int], float] = field(default_factory=dict)
 
     def record(self, member: wire.Member, is_true_positive: bool, now: float) -> None:
@@ -220,7 +218,8 @@
     """
     machines = list(network.machines.values())
     for machine in machines:
-        own_record, owner = machine.node.members.local, machine.node.store.owners[machine.name]
+        own_record = machine.node.members.local
+        owner = machine.node.store.owners[machine.name]
         encoded_member = msgspec.msgpack.encode(own_record.member())
         encoded_entries = msgspec.msgpack.encode([held.entry for held in owner.entries.values()])
         encoded_summary = msgspec.msgpack.encode(owner.summary(machine.name))
@@ -372,7 +371,8 @@
         self.pauses[name] = self.now, self.now + seconds
 
     def heal(self) -> None:
-        self.was_cut, self.healed_at = self.is_cut, self.now
+        self.was_cut = self.is_cut
+        self.healed_at = self.now
         super().heal()
 
     # -- phases --
@@ -574,10 +574,8 @@
                 ):
                     del start.missing_versions[name]
             if not start.missing_versions:
-                start.caught_up_after_s, start.bytes_received = (
-                    self.now - start.started_at,
-                    node.counts.bytes_in,
-                )
+                start.caught_up_after_s = self.now - start.started_at
+                start.bytes_received = node.counts.bytes_in
 
     def check_healed(self, phase_log: PhaseLog) -> bool:
         """Whether the fleet has recovered from the fault of a phase; records the time if so.
@@ -626,9 +624,11 @@
                 if held_count:
                     self.phase_log.load_ages.add(self.now - history[held_count - 1][2])
                 # An observer cannot hold anything before its own start.
-                began = node.started_at if node.started_at is not None else self.now
+                observer_started_at = node.started_at if node.started_at is not None else self.now
                 self.phase_log.load_lags.add(
-                    self.now - max(began, history[held_count][2]) if held_count < len(history) else 0.0
+                    self.now - max(observer_started_at, history[held_count][2])
+                    if held_count < len(history)
+                    else 0.0
                 )
             view = RegisterView(node.store, node.members)
             read_began = time.process_time()
@@ -752,7 +752,8 @@
 def estimate_s(workload: Workload) -> float:
     """The estimated duration of a run in seconds.
 
-    It follows from the cost of each member's frames and of the work for each other member that it knows.
+    It is the sum of a fixed part, of the run, which has a cost for each member and for each member that it
+    knows, and of the join.
     """
     active_s = workload.idle_s * IDLE_RUN_FRACTION + (workload.duration_s() - workload.idle_s)
     return (
--- a/snowwick/lab/standins.py
+++ b/snowwick/lab/standins.py
@@ -118,8 +118,8 @@
         self.destination = destination
 
     def handle_connection(self) -> Coroutine:
-        first = yield from self.read_line()
-        if not first or not first.startswith(b"OPEN "):
+        opening = yield from self.read_line()
+        if not opening or not opening.startswith(b"OPEN "):
             return
         yield from self.sleep_until(self.destination.enqueue(self.loop.clock(), self.destination.setup_s))
         self.sock.send(b"UP r\r\n")
@@ -170,10 +170,10 @@
 
 @dataclass
 class ClientStatistics:
-    """What a team's clients requested and received; times are in seconds, summed over the clients."""
+    """Counters of a team's clients; times are in seconds, summed over the clients."""
 
-    wanted_s: float = 0.0  # during which clients wanted a connection
-    good_s: float = 0.0  # of that, with a connection that answered in time
+    wanted_s: float = 0.0  # time in which clients wanted a connection
+    good_s: float = 0.0  # part of ``wanted_s`` with a connection that was answered in time
     established: int = 0  # connections at present
     mean_established: float = 0.0
     setups: int = 0
@@ -196,8 +196,8 @@
     tenant: str
     mean_lifetime_s: float  # of a connection
     message_interval_s: float = 0.5  # between the messages of a connection
-    message_aim_s: float = 0.1  # within which an answer is good
-    setup_aim_s: float = 0.3
+    message_aim_s: float = 0.1  # an answer within this time counts as good
+    setup_aim_s: float = 0.3  # a setup within this time counts as in time
     clients_per_group: int = 4
     active: bool = True
     statistics: ClientStatistics = field(default_factory=ClientStatistics)
@@ -209,7 +209,7 @@
     It waits for the time that a busy reply states before it retries.
     """
 
-    last_opening_id = 0  # of all clients
+    last_opening_id = 0  # shared by all clients
 
     def __init__(self, loop: Loop, address: tuple[str, int], team: TeamClients, name: str, seed: int) -> None:
         super().__init__(loop)
--- a/snowwick/lab/workload.py
+++ b/snowwick/lab/workload.py
@@ -58,8 +58,8 @@
     at: float  # seconds from the start of the run
     kind: EventKind
     member: int = 0
-    number: int = 0
-    other: int = 0
+    number: int = 0  # of a register, change, destination or zone, depending on the kind
+    other: int = 0  # the lender of a lease
 
 
 @dataclass(slots=True, frozen=True)
@@ -271,19 +271,20 @@
     if workload.faults != "none" and workload.members > 2:
         events += _absence_events(workload, rng, steady)
     if workload.faults == "all":
-        zone, cut = phases["zone_lost"], phases["region_cut"]
+        zone_lost = phases["zone_lost"]
+        region_cut = phases["region_cut"]
         lost_zone = rng.randrange(workload.zones)
         events += [
-            Event(zone.start, EventKind.ZONE_LOST, 0, lost_zone),
-            Event(zone.start + workload.zone_lost_s, EventKind.ZONE_BACK, 0, lost_zone),
-            Event(cut.start, EventKind.CUT),
-            Event(cut.start + workload.region_cut_s, EventKind.HEAL),
+            Event(zone_lost.start, EventKind.ZONE_LOST, 0, lost_zone),
+            Event(zone_lost.start + workload.zone_lost_s, EventKind.ZONE_BACK, 0, lost_zone),
+            Event(region_cut.start, EventKind.CUT),
+            Event(region_cut.start + workload.region_cut_s, EventKind.HEAL),
         ]
     return sorted((event for event in events if event.at < end), key=lambda event: event.at)
 
 
 def _absence_events(workload: Workload, rng: random.Random, steady: Phase) -> list[Event]:
-    """Failures and restarts of distinct members, at most a third of the fleet."""
+    """Failures and restarts of distinct members, at most a third of the fleet or two members."""
     half = steady.start + 0.5 * (steady.end - steady.start)
     events, candidates = list[Event](), rng.sample(range(workload.members), max(2, workload.members // 3))
     for kind, rate, absence_s in (
--- a/tests/test_fleet_net.py
+++ b/tests/test_fleet_net.py
@@ -134,7 +134,7 @@
 def test_a_balancer_stopped_for_five_seconds_rejoins_beside_a_clock_ten_minutes_ahead(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.start(0, 1)
-        fleet.start(2, skew=600.0)
+        fleet.start(2, skew_s=600.0)
         fleet.wait_until(fleet.all_joined)
         fleet.send_signal(1, signal.SIGSTOP)
         fleet.run_for(5.0)
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -126,7 +126,7 @@
     assert not declared_dead(fleet)
 
 
-def test_a_one_way_cut_and_loss_between_the_kinds_cause_no_false_death(fleet: Fleet) -> None:
+def test_one_way_cut_and_loss_between_real_and_lightweight_cause_no_false_death(fleet: Fleet) -> None:
     for n in range(REAL_MEMBERS):
         fleet.proxies_to_balancers[n].loss_probability = 0.1
     for (sender, _), link in fleet.proxies_to_members.items():
