--- a/snowwick/__main__.py
+++ b/snowwick/__main__.py
@@ -48,13 +48,13 @@
     """Serve until SIGTERM, configured by GW_CONFIG and the other GW_ variables."""
     from snowwick.net.signals import SignalSockets
 
-    # Before the configuration is read, so that a SIGHUP during the start leads to a reload
+    # Created before the configuration is read, so that a SIGHUP during the start leads to a reload
     signal_sockets = SignalSockets()
     from snowwick.log import Log, as_json, as_text
     from snowwick.net.loop import Loop
     from snowwick.net.service import Service
 
-    settings = _load()
+    settings = _load_config()
     read_contracts = _contracts_reader(contracts, settings) if contracts is not None else None
     try:
         style = as_json(settings.name) if log_format == "json" else as_text
@@ -84,7 +84,7 @@
 @main.command("check-config")
 def check_config() -> None:
     """Read and validate the configuration and print a summary."""
-    loaded = _load()
+    loaded = _load_config()
     click.echo(
         f"name {loaded.name}\nlisten {loaded.listen[0]}:{loaded.listen[1]}\n"
         f"discovery {loaded.discovery[0]}:{loaded.discovery[1]}\nsockets {loaded.sockets}\n"
@@ -132,6 +132,7 @@
 
 
 def _contracts_reader(path: Path, settings: config.Config | None) -> Callable[[], Contracts]:
+    """Return a function that reads the contracts file, checked against the settings if they are given."""
     try:
         from snowwick.broker.contract import load
     except ImportError as error:
@@ -142,7 +143,8 @@
 
 
 def _read_contracts(path: Path) -> Contracts:
-    settings = _load() if os.environ.get("GW_CONFIG") else None
+    """Read a contracts file; exits with a line for each fault."""
+    settings = _load_config() if os.environ.get("GW_CONFIG") else None
     try:
         return _contracts_reader(path, settings)()
     except ValueError as error:
@@ -203,6 +205,7 @@
 
 
 def _load_fleet(path: Path) -> FleetFile:
+    """Read a fleet file. Raises ValueError with its faults."""
     try:
         from snowwick.fleet.file import load
     except ImportError as error:
@@ -211,6 +214,7 @@
 
 
 def _read_fleet(path: Path) -> FleetFile:
+    """Read a fleet file; exits with a line for each fault."""
     try:
         return _load_fleet(path)
     except ValueError as error:
@@ -230,7 +234,8 @@
     click.echo(f"snowwick {__version__}")
 
 
-def _load() -> config.Config:
+def _load_config() -> config.Config:
+    """Read the configuration; exits with one line if it is invalid."""
     try:
         return config.load()
     except config.BadConfig as error:
