--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -29,17 +29,17 @@
     """Everything that a step can change."""
 
     budgets: dict[str, Budget]
-    epochs: dict[str, int]
+    epochs: dict[str, int]  # by balancer; a restart increments it
     demand_indexes: dict[str, int]  # into DEMANDS
     now: float = 0.0
     crashes_left: int = 1
-    # By writer and register: the start of the writer and the value of each version
+    # By writer and register: the epoch of the writer and the value of each version
     written: dict[tuple[str, str], list[tuple[int, LeaseRequest | Grant]]] = field(default_factory=dict)
-    # By reader, writer and register: the start of the writer and the version that was received last
+    # By reader, writer and register: the epoch of the writer and the version that was received last
     received: dict[tuple[str, str, str], tuple[int, int]] = field(default_factory=dict)
 
     def used_amount(self, name: str) -> float:
-        """The most that a balancer may use now: its demand, at most its limit."""
+        """The amount that a balancer may use now: its demand, at most its limit."""
         return min(DEMANDS[self.demand_indexes[name]], self.budgets[name].limit(self.now))
 
 
--- a/snowwick/lab/member_host.py
+++ b/snowwick/lab/member_host.py
@@ -91,7 +91,7 @@
 
     written_ms: int  # Unix time at which its owner wrote it
     last_arrival: float  # Unix time in s at which the last of the members received it
-    members: int = 0  # that have received it
+    members: int = 0  # number of members that have received it
 
 
 class ArrivalRecordingStore(Store):
--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -39,7 +39,7 @@
 
 
 class LinkProxy(Actor):
-    """Forwards datagrams in one direction, with faults that may be changed while it runs.
+    """Forwards datagrams in one direction, with faults that can be changed while it runs.
 
     ``cut`` drops every datagram.
     """
