--- a/snowwick/lab/rig.py
+++ b/snowwick/lab/rig.py
@@ -344,7 +344,9 @@
     """A number of balancers and destinations with one discovery.
 
     A context manager, which ends every process that it started.  The methods take balancers by their numbers,
-    counted from 0.
+    counted from 0.  ``contracts`` is the text of the contracts file, empty for none; ``fleet_enabled`` starts
+    the balancers with a fleet file; ``deadline_ms`` is that of the only class of requests; ``period_ms`` is
+    the fleet's protocol period; ``extra_settings`` replace settings of the balancers by key.
     """
 
     def __init__(
