--- a/snowwick/lab/interleavings.py
+++ b/snowwick/lab/interleavings.py
@@ -18,10 +18,10 @@
 
 from snowwick.fleet.rights import Budget, Grant, LeaseRequest
 
-STATIC_SHARE = 4.0  # of each balancer
+STATIC_SHARE = 4.0  # each balancer's part of the budget before any lending
 LEASE_S = 3.0
 TIME_STEP_S = 1.0
-DEMANDS = (0.0, 7.0)  # between which the demand of a balancer switches
+DEMANDS = (0.0, 7.0)  # a balancer's demand is one or the other
 
 
 @dataclass
@@ -29,17 +29,17 @@
     """Everything that a step can change."""
 
     budgets: dict[str, Budget]
-    boots: dict[str, int]
+    epochs: dict[str, int]  # by balancer; a restart increments it
     demand_indexes: dict[str, int]  # into DEMANDS
     now: float = 0.0
     crashes_left: int = 1
-    # By writer and register: the start of the writer and the value of each version
+    # By writer and register: the epoch of the writer and the value of each version
     written: dict[tuple[str, str], list[tuple[int, LeaseRequest | Grant]]] = field(default_factory=dict)
-    # By reader, writer and register: the start of the writer and the version that was received last
+    # By reader, writer and register: the epoch of the writer and the version that was received last
     received: dict[tuple[str, str, str], tuple[int, int]] = field(default_factory=dict)
 
     def used_amount(self, name: str) -> float:
-        """The most that a balancer may use now: its demand, at most its limit."""
+        """The amount that a balancer may use now: its demand, at most its limit."""
         return min(DEMANDS[self.demand_indexes[name]], self.budgets[name].limit(self.now))
 
 
@@ -69,8 +69,8 @@
             if reader == writer or (register.startswith("grant") and register != f"grant {reader}"):
                 continue
             last_received = state.received.get((reader, writer, register), (0, -1))
-            for version, (boot, _) in enumerate(versions):
-                if (boot, version) > last_received:
+            for version, (epoch, _) in enumerate(versions):
+                if (epoch, version) > last_received:
                     yield "receive", (reader, writer, register, str(version))
 
 
@@ -85,29 +85,29 @@
         state.demand_indexes[name] = 1 - state.demand_indexes[name]
     elif action == "request":
         budget.peak_demand, budget.peak_at = DEMANDS[state.demand_indexes[name]], state.now
-        boots = {other: boot for other, boot in state.boots.items() if other != name}
-        request = budget.make_request(state.used_amount(name), boots, state.now)
-        state.written.setdefault((name, "request"), []).append((state.boots[name], request))
+        epochs = {other: epoch for other, epoch in state.epochs.items() if other != name}
+        request = budget.make_request(state.used_amount(name), epochs, state.now)
+        state.written.setdefault((name, "request"), []).append((state.epochs[name], request))
     elif action == "grant":
         budget.peak_demand, budget.peak_at = DEMANDS[state.demand_indexes[name]], state.now
         requests = {}
-        for (reader, writer, register), (boot, version) in state.received.items():
+        for (reader, writer, register), (epoch, version) in state.received.items():
             _, value = state.written[writer, register][version]
             if reader == name and isinstance(value, LeaseRequest):
-                requests[writer] = boot, value
+                requests[writer] = epoch, value
         for borrower, grant in budget.grant_requests(requests, state.used_amount(name), state.now).items():
-            state.written.setdefault((name, f"grant {borrower}"), []).append((state.boots[name], grant))
+            state.written.setdefault((name, f"grant {borrower}"), []).append((state.epochs[name], grant))
     elif action == "crash":
         state.crashes_left -= 1
-        state.boots[name] += 1
+        state.epochs[name] += 1
         state.budgets[name] = Budget(name, STATIC_SHARE, True, state.now + LEASE_S, LEASE_S)
         state.received = {key: version for key, version in state.received.items() if key[0] != name}
     else:
         reader, writer, register, version_text = arguments
-        boot, value = state.written[writer, register][int(version_text)]
-        state.received[reader, writer, register] = boot, int(version_text)
+        epoch, value = state.written[writer, register][int(version_text)]
+        state.received[reader, writer, register] = epoch, int(version_text)
         if isinstance(value, Grant):
-            budget.receive_grant(writer, boot, value, state.boots[reader], state.now)
+            budget.receive_grant(writer, epoch, value, state.epochs[reader], state.now)
     for each_budget in state.budgets.values():
         each_budget.lent_amount(state.now)  # removes expired grants, so that equal states are equal bytes
 
--- a/snowwick/net/destination.py
+++ b/snowwick/net/destination.py
@@ -14,17 +14,18 @@
 from snowwick.net.loop import READABLE, TIMED_OUT, Coroutine, Loop, Wait
 from snowwick.net.peer import LinePeer, PeerEnded, RelayedLines, configure_socket, connect
 
-SILENCE_TIMEOUT_S = 5.5  # a client that gets no line back is moved after this time; the protocol allows 7 s
-MIN_UNANSWERED_S = 3.0  # silence counts only once a line has been unanswered for this long
-# Outcome of an established connection by the last line from the destination
+# A client with unanswered lines is moved after this time without an answer; the protocol allows 7 s
+SILENCE_TIMEOUT_S = 5.5
+MIN_UNANSWERED_S = 3.0  # but not before a line has been unanswered for this time
+# Outcome of an established connection by the last line from the destination; RESET for all other lines
 OUTCOME_BY_LAST_LINE = {Reply.BYE: Outcome.OK, Reply.MOVE: Outcome.CANCELLED}
-# Outcome of a route step by the destination's answer to the opening line
+# Outcome of a route step by the destination's answer to the opening line; ERROR for all other answers
 OUTCOME_BY_ANSWER = {**OUTCOME_BY_LAST_LINE, Reply.BUSY: Outcome.FULL}
 
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """To the front: the connection is established; ``line`` is the destination's UP line."""
+    """Sent to the front: the connection is established; ``line`` is the destination's UP line."""
 
     line: bytes
     elapsed_ms: float
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class ConnectionEnded:
-    """To the front: the route step, or the connection established by it, has ended."""
+    """Sent to the front: the route step, or the connection established by it, has ended."""
 
     outcome: Outcome
     elapsed_ms: float
@@ -63,7 +64,7 @@
         self.started_at = loop.clock()
         self.answer_deadline = self.started_at + wait_s
         self.connect_deadline = min(self.answer_deadline, self.started_at + connect_timeout_s)
-        self.last_reply = Reply.OTHER  # kind of the last line from the destination
+        self.last_reply_kind = Reply.OTHER  # kind of the last line from the destination
         # end_reported: the front has been sent the end of this connection
         # cancelled_by_client: the client closed or sent input before the opening line was written
         self.end_reported = self.cancelled_by_client = False
@@ -77,8 +78,8 @@
                 self.other_side = self.front
                 yield from self.relay()
         except OSError:
-            # The last line from the destination decides, however the connection was closed.
-            outcome = OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET)
+            # The last line from the destination determines the outcome, however the connection was closed.
+            outcome = OUTCOME_BY_LAST_LINE.get(self.last_reply_kind, Outcome.RESET)
             self.notify_other_side(PeerEnded(reset=True))
         except lines.MalformedLine:
             # The destination still answers, so the client is sent a MOVE rather than disconnected.
@@ -154,6 +155,7 @@
             del self.output_buffer[: self.sock.send(self.output_buffer)]
 
     def _establish(self, line: bytes) -> None:
+        """Report the connection to the front, start to time it and relay the lines after the UP line."""
         self.front.post(ConnectionEstablished(line, self._elapsed_ms()))
         self.timing = self.delay_monitor.add(self.front, self.destination_number)
         remaining_lines = lines.take_lines(self.input_buffer)
@@ -164,8 +166,8 @@
     def on_lines(self, data: bytes) -> None:
         now = self.loop.clock()
         for line in data.splitlines(keepends=True):
-            self.last_reply = lines.reply_kind(line)
-            if self.last_reply is not Reply.LOAD:
+            self.last_reply_kind = lines.reply_kind(line)
+            if self.last_reply_kind is not Reply.LOAD:
                 self.timing.record_reply(now)
             elif (load := lines.parse_load(line)) is not None:
                 self.front.post(LoadReport(self.front, self.destination_number, load))
@@ -178,12 +180,12 @@
         super().on_message(message)
 
     def on_input_ended(self) -> None:
-        self._report_end(OUTCOME_BY_LAST_LINE.get(self.last_reply, Outcome.RESET))
+        self._report_end(OUTCOME_BY_LAST_LINE.get(self.last_reply_kind, Outcome.RESET))
 
     def next_deadline(self) -> float | None:
         if self.close_deadline is not None or not self.timing.pending:
             return self.close_deadline
-        return max(self.timing.last_reply + SILENCE_TIMEOUT_S, self.timing.pending[0] + MIN_UNANSWERED_S)
+        return max(self.timing.last_reply_at + SILENCE_TIMEOUT_S, self.timing.pending[0] + MIN_UNANSWERED_S)
 
     def on_deadline(self) -> bool:
         """Move the client away from a destination that hangs or has vanished while the connection is open."""
